--- a/ashlatch/fleet/protocol.py
+++ b/ashlatch/fleet/protocol.py
@@ -23,8 +23,8 @@
 from ashlatch.gateway.kept import PromptRead
 from ashlatch.gateway.tally import Tally
 from ashlatch.link import Method
+from ashlatch.policy.prefill_rate import ReadingRate
 from ashlatch.policy.quarantine import CrashRecord
-from ashlatch.policy.reading import ReadingRate
 from ashlatch.raft.message import Member
 
 __all__ = [
--- a/ashlatch/fleet/spread.py
+++ b/ashlatch/fleet/spread.py
@@ -19,8 +19,8 @@
 from ashlatch.fleet.reads import ReadLog
 from ashlatch.gateway.kept import PromptRead
 from ashlatch.gateway.tally import Tallies
+from ashlatch.policy.prefill_rate import ReadingRates
 from ashlatch.policy.quarantine import UnloggedCrashes
-from ashlatch.policy.reading import ReadingRates
 
 __all__ = ["Spread", "has_news"]
 
--- a/ashlatch/gateway/audience.py
+++ b/ashlatch/gateway/audience.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 
 from ashlatch.catalog import GatewayVm
-from ashlatch.policy.told_load import FULL
+from ashlatch.policy.load_advertisement import FULL
 
 __all__ = [
     "Audience",
--- a/ashlatch/gateway/directory.py
+++ b/ashlatch/gateway/directory.py
@@ -20,6 +20,7 @@
 from ashlatch.policy.backoff import Backoff
 from ashlatch.policy.breaker import Breaker
 from ashlatch.policy.load import EndpointLoad, LoadReport
+from ashlatch.policy.load_advertisement import ToldLoad
 from ashlatch.policy.permission import (
     ALLOWED,
     NEVER_MS,
@@ -28,7 +29,6 @@
     combine,
 )
 from ashlatch.policy.rate_limit import RateLimit
-from ashlatch.policy.told_load import ToldLoad
 from ashlatch.policy.workload import Workload
 
 __all__ = ["Directory", "EndpointState"]
--- a/ashlatch/gateway/hearing.py
+++ b/ashlatch/gateway/hearing.py
@@ -36,7 +36,7 @@
 )
 from ashlatch.gateway.notices import mark_leaving
 from ashlatch.log import emit
-from ashlatch.policy.told_load import load_level
+from ashlatch.policy.load_advertisement import load_level
 from ashlatch.registry import Handlers
 
 __all__ = ["HEARD", "Teller"]
--- a/ashlatch/gateway/pace.py
+++ b/ashlatch/gateway/pace.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from ashlatch.policy.reading import ReadingRate, ReadingRates
+from ashlatch.policy.prefill_rate import ReadingRate, ReadingRates
 
 __all__ = ["Pace"]
 
--- a/ashlatch/gateway/peers.py
+++ b/ashlatch/gateway/peers.py
@@ -44,7 +44,7 @@
 )
 from ashlatch.gateway.traffic import TrafficKind
 from ashlatch.log import emit
-from ashlatch.policy.told_load import load_level
+from ashlatch.policy.load_advertisement import load_level
 from ashlatch.rpc import Address
 
 __all__ = ["GatewayPeers"]
--- a/ashlatch/gateway/reports.py
+++ b/ashlatch/gateway/reports.py
@@ -13,7 +13,7 @@
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import LoadFigures
 from ashlatch.gateway.news import LoadSeen
-from ashlatch.policy.told_load import load_level
+from ashlatch.policy.load_advertisement import load_level
 
 __all__ = ["pass_on_load"]
 
--- a/ashlatch/gateway/sync.py
+++ b/ashlatch/gateway/sync.py
@@ -43,8 +43,8 @@
 from ashlatch.gateway.tally import Tally
 from ashlatch.gateway.traffic import TrafficKind
 from ashlatch.log import emit
+from ashlatch.policy.prefill_rate import ReadingRate
 from ashlatch.policy.quarantine import CrashRecord
-from ashlatch.policy.reading import ReadingRate
 
 __all__ = ["FleetLink"]
 
--- a/tests/test_told_load.py
+++ b/tests/test_load_advertisement.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from ashlatch.policy.told_load import AGAIN_MS, FULL, ToldLoad, load_level
+from ashlatch.policy.load_advertisement import AGAIN_MS, FULL, ToldLoad, load_level
 
 
 class LoadLevelTest(testtools.TestCase):
--- a/tests/test_reading.py
+++ b/tests/test_prefill_rate.py
@@ -13,7 +13,7 @@
 from ashlatch.fleet.protocol import SyncRequest
 from ashlatch.fleet.spread import Spread
 from ashlatch.gateway.pace import TOKEN_MS_PRIOR, UNTOLD_MAX, Pace
-from ashlatch.policy.reading import RATES_KEPT, ReadingRate, ReadingRates
+from ashlatch.policy.prefill_rate import RATES_KEPT, ReadingRate, ReadingRates
 
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
 SMALL_MS = 0.003
