--- a/ashlatch/control/api.py
+++ b/ashlatch/control/api.py
@@ -47,7 +47,7 @@
 
 BEARER = "Bearer "
 RESOURCES = "/v1/resources"
-NAME_PATTERN_RULE = "must be letters, digits, dots and dashes"
+NAME_RULE = "must be letters, digits, dots and dashes"
 WATCH_WAIT_MS = 1000.0
 RETRY_MS = 1000.0
 
@@ -66,7 +66,7 @@
 
 
 @dataclass
-class _Refused(Exception):
+class _RequestRefused(Exception):
     problem: Problem
 
 
@@ -77,11 +77,11 @@
         self,
         settings: ControlSettings,
         client: StateClient,
-        standing: Callable[[], tuple[str, bool]],
+        lease_status: Callable[[], tuple[str, bool]],
     ) -> None:
         self._operators = {o.token_sha256: o.name for o in settings.operators}
         self._client = client
-        self._standing = standing
+        self._lease_status = lease_status
         self._draining = False
         self.metrics = Metrics()
 
@@ -99,10 +99,10 @@
             return Response(self.metrics.text())
         try:
             if self._draining:
-                raise _Refused(Problem(problems.DRAINING, retry_ms=RETRY_MS))
+                raise _RequestRefused(Problem(problems.DRAINING, retry_ms=RETRY_MS))
             operator = self._authenticate(http)
             return self._route(http, operator)
-        except _Refused as refused:
+        except _RequestRefused as refused:
             return problem_response(refused.problem)
         except NoLeader:
             # A change may still take effect; its id finds out.
@@ -115,7 +115,7 @@
         hashed = hashlib.sha256(given.removeprefix(BEARER).encode()).hexdigest()
         operator = self._operators.get(hashed)
         if operator is None or not given.startswith(BEARER):
-            raise _Refused(Problem(problems.UNAUTHENTICATED))
+            raise _RequestRefused(Problem(problems.UNAUTHENTICATED))
         return operator
 
     def _route(self, http: Request, operator: str) -> Response:
@@ -137,43 +137,43 @@
                 return self._delete(http, operator, kind, name)
             case ("DELETE", "v1", "members", member_id):
                 return self._remove_member(member_id)
-        raise _Refused(Problem(problems.NOT_FOUND, f"{http.method} {http.path}"))
+        raise _RequestRefused(Problem(problems.NOT_FOUND, f"{http.method} {http.path}"))
 
     # Reading.
 
     def _list(self, kind: str) -> Response:
         reply = self._client.read(ReadRequest(kind)).result()
-        found = [_shown(resource) for resource in reply.resources]
-        return _json({"revision": reply.revision, "resources": found})
+        found = [_resource_document(resource) for resource in reply.resources]
+        return _json_response({"revision": reply.revision, "resources": found})
 
     def _get(self, kind: str, name: str) -> Response:
         reply = self._client.read(ReadRequest(kind, name)).result()
         if not reply.resources:
-            raise _Refused(Problem(problems.NOT_FOUND, f"{kind}/{name}"))
+            raise _RequestRefused(Problem(problems.NOT_FOUND, f"{kind}/{name}"))
         resource = reply.resources[0]
-        response = _json(_shown(resource))
+        response = _json_response(_resource_document(resource))
         response.headers["ETag"] = f'"{resource.revision}"'
         return response
 
     def _status(self) -> Response:
         reply = self._client.read(ReadRequest("-")).result()
-        holder, active = self._standing()
+        holder, active = self._lease_status()
         document = msgspec.to_builtins(self._client.status().result())
         document["revision"] = reply.revision
         document["this_control"] = {"holder": holder, "active": active}
-        return _json(document)
+        return _json_response(document)
 
     def _watch(self, http: Request) -> Response:
         """One JSON line for each change after a revision, until closed."""
         try:
             after = int(http.args.get("after", "0"))
         except ValueError as error:
-            problem = _bad("after", http.args["after"], "must be a revision")
-            raise _Refused(problem) from error
-        lines = self._changes(after)
+            problem = _invalid_field("after", http.args["after"], "must be a revision")
+            raise _RequestRefused(problem) from error
+        lines = self._watch_lines(after)
         return Response(lines, content_type="application/x-ndjson")
 
-    def _changes(self, after: int) -> Iterator[bytes]:
+    def _watch_lines(self, after: int) -> Iterator[bytes]:
         in_force = -1
         while not self._draining:
             request = ReadRequest(
@@ -184,14 +184,14 @@
             except NoLeader:
                 continue
             for resource in reply.resources:
-                yield _line({"changed": _shown(resource)})
+                yield _json_line({"changed": _resource_document(resource)})
             for key in reply.deleted:
-                yield _line({"deleted": {"kind": key.kind, "name": key.name}})
+                yield _json_line({"deleted": {"kind": key.kind, "name": key.name}})
             after = reply.revision
             status = reply.status
             if status is not None and status.in_force_revision != in_force:
                 in_force = status.in_force_revision
-                yield _line({"in_force": in_force, "routers": len(status.routers)})
+                yield _json_line({"in_force": in_force, "routers": len(status.routers)})
             else:
                 yield b"\n"
 
@@ -203,11 +203,11 @@
             spec = parse(kind, body)
         except UnknownName as error:
             rule = f"must be one of {', '.join(error.known)}"
-            raise _Refused(_bad("kind", kind, rule)) from error
+            raise _RequestRefused(_invalid_field("kind", kind, rule)) from error
         except InvalidResource as group:
             errors = tuple(e for e in group.exceptions if isinstance(e, FieldError))
             problem = Problem(problems.BAD_REQUEST, "", True, fields=errors)
-            raise _Refused(problem) from group
+            raise _RequestRefused(problem) from group
         command = PutResource(
             _change_id(http),
             operator,
@@ -243,7 +243,7 @@
     def _remove_member(self, member_id: str) -> Response:
         for group in range(self._client.status().result().groups):
             self._client.change_member(MemberChange(member_id, group)).result()
-        return _json(msgspec.to_builtins(self._client.status().result()))
+        return _json_response(msgspec.to_builtins(self._client.status().result()))
 
 
 def _change_response(
@@ -258,9 +258,9 @@
                 "change_id": command.change_id,
                 "accepted": True,
             }
-            return _json(document)
+            return _json_response(document)
         case RevisionConflict(current):
-            shown = _shown(current) if current else None
+            shown = _resource_document(current) if current else None
             problem = Problem(problems.REVISION_CONFLICT, extra={"current": shown})
             return problem_response(problem)
         case ChangeIdReused(change_id):
@@ -283,16 +283,16 @@
     text = given.strip('"')
     if not text.isdecimal():
         rule = 'must be a revision in quotes, or give "If-None-Match: *"'
-        raise _Refused(_bad("If-Match", given, rule))
+        raise _RequestRefused(_invalid_field("If-Match", given, rule))
     return int(text)
 
 
-def _bad(field: str, value: str, rule: str) -> Problem:
+def _invalid_field(field: str, value: str, rule: str) -> Problem:
     errors = (FieldError(field, value[:80], rule),)
     return Problem(problems.BAD_REQUEST, "", True, fields=errors)
 
 
-def _shown(resource: Resource) -> dict[str, Any]:
+def _resource_document(resource: Resource) -> dict[str, Any]:
     return {
         "kind": resource.kind,
         "name": resource.name,
@@ -303,9 +303,9 @@
     }
 
 
-def _json(document: Any) -> Response:
+def _json_response(document: Any) -> Response:
     return Response(json.dumps(document), content_type="application/json")
 
 
-def _line(document: Any) -> bytes:
+def _json_line(document: Any) -> bytes:
     return json.dumps(document).encode() + b"\n"
--- a/ashlatch/control/core.py
+++ b/ashlatch/control/core.py
@@ -14,24 +14,24 @@
 from typing import ClassVar, TypeVar
 
 from ashlatch.control.event import (
-    Change,
+    ChangeResource,
     Effect,
     Event,
     LeaseAnswered,
     Order,
-    Remove,
+    RemoveResource,
     WriteLog,
 )
 from ashlatch.log import LogEvent
 from ashlatch.policy.detector import Detector
-from ashlatch.policy.slowness import Paces
+from ashlatch.policy.slowness import LatencyHistory
 from ashlatch.registry import Handlers
 from ashlatch.resources import Spec, canonical, parse_cached
 from ashlatch.store.command import Resource
 from ashlatch.store.configuration import ResourceId
 from ashlatch.store.protocol import VersionReport
 
-__all__ = ["HANDLERS", "ControlCore", "ControlTook"]
+__all__ = ["HANDLERS", "ControlCore", "ControlLeaseChanged"]
 
 HANDLERS = Handlers("control")
 
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True)
-class ControlTook(LogEvent):
+class ControlLeaseChanged(LogEvent):
     """This process has become, or is no longer, the active one."""
 
     event: ClassVar[str] = "control_lease"
@@ -67,12 +67,12 @@
     totals: dict[str, VersionReport] = field(default_factory=dict)
     stage_starts: dict[str, int] = field(default_factory=dict)
     detectors: dict[str, Detector] = field(default_factory=dict)
-    paces: Paces = field(default_factory=Paces)
+    latency_history: LatencyHistory = field(default_factory=LatencyHistory)
     latency_verdicts: dict[str, str] = field(default_factory=dict)
     withdrawn: frozenset[str] = frozenset()
     missing_since_ms: dict[str, float] = field(default_factory=dict)
     orders: dict[str, Order] = field(default_factory=dict)
-    orders_after_ms: dict[str, float] = field(default_factory=dict)
+    next_order_ms: dict[str, float] = field(default_factory=dict)
     effects: list[Effect] = field(default_factory=list)
 
     def step(self, now_ms: float, event: Event) -> list[Effect]:
@@ -90,7 +90,7 @@
         """Whether to act: active, and the state has been read since."""
         return self.active(self.now_ms) and self.revision >= 0
 
-    def all(self, kind: type[K]) -> dict[str, K]:
+    def specs(self, kind: type[K]) -> dict[str, K]:
         """The specs of all resources of a kind, by name."""
         found: dict[str, K] = {}
         for key, resource in sorted(self.resources.items()):
@@ -104,22 +104,26 @@
         """Whether there is such a resource."""
         return ResourceId(kind.name, name) in self.resources
 
-    def put(self, name: str, spec: Spec) -> None:
+    def put_resource(self, name: str, spec: Spec) -> None:
         """Change a resource, unless it is so already."""
         current = self.resources.get(ResourceId(spec.name, name))
         content = canonical(spec)
         if current is not None and current.spec == content:
             return
         revision = current.revision if current else 0
-        self.effects.append(Change(spec.name, name, revision, content, self.epoch))
+        self.effects.append(
+            ChangeResource(spec.name, name, revision, content, self.epoch)
+        )
 
-    def remove(self, kind: type[Spec], name: str) -> None:
+    def remove_resource(self, kind: type[Spec], name: str) -> None:
         """Delete a resource, if it is there."""
         current = self.resources.get(ResourceId(kind.name, name))
         if current is not None:
-            self.effects.append(Remove(kind.name, name, current.revision, self.epoch))
+            self.effects.append(
+                RemoveResource(kind.name, name, current.revision, self.epoch)
+            )
 
-    def log(self, event: LogEvent) -> None:
+    def write_log(self, event: LogEvent) -> None:
         """Write a log line."""
         self.effects.append(WriteLog(event))
 
@@ -137,4 +141,4 @@
         core.active_until_ms = event.until_ms
     active = core.active(core.now_ms)
     if active != was_active:
-        core.log(ControlTook(core.holder, active, event.epoch))
+        core.write_log(ControlLeaseChanged(core.holder, active, event.epoch))
--- a/ashlatch/control/daemon.py
+++ b/ashlatch/control/daemon.py
@@ -28,7 +28,7 @@
 from ashlatch.control.api import ResourceApi
 from ashlatch.control.core import ControlCore
 from ashlatch.control.event import (
-    Change,
+    ChangeResource,
     Event,
     LeaseAnswered,
     LoadedVersions,
@@ -37,7 +37,7 @@
     OrderKind,
     PoolRead,
     RatingsRead,
-    Remove,
+    RemoveResource,
     SendOrder,
     StateRead,
     VersionRating,
@@ -67,7 +67,7 @@
 OPERATOR_NAME = "control"
 
 # Importing the modules registers their handlers.
-_HANDLERS_OF = (membership, placement, rollout)
+_HANDLER_MODULES = (membership, placement, rollout)
 
 
 @dataclass(frozen=True)
@@ -100,7 +100,7 @@
         self._ratings = RatingService(settings.rating_url)
         self._resources: dict[ResourceId, Resource] = {}
         self._read_revision = 0
-        self.api = ResourceApi(settings, self.client, self._standing)
+        self.api = ResourceApi(settings, self.client, self._lease_status)
         self._server = HttpServer(
             Address.parse(settings.listen), self.api.answer, settings.http
         )
@@ -146,7 +146,7 @@
         """Send an order on the pool."""
         self._orders.submit(self.send, order)
 
-    def _standing(self) -> tuple[str, bool]:
+    def _lease_status(self) -> tuple[str, bool]:
         return self.holder, self.core.active(monotonic_ms())
 
     async def _poll_lease(self) -> None:
@@ -162,7 +162,7 @@
                 self.post(LeaseAnswered(reply.holder, reply.epoch, until_ms))
             await asyncio.sleep(self.settings.control_poll_ms / 1000.0)
 
-    def _unreadable(self, source: str, error: AshlatchError) -> None:
+    def _log_unreadable(self, source: str, error: AshlatchError) -> None:
         event = SourceUnreadable(self.settings.vm, source, str(error))
         emit(log, event, logging.WARNING)
 
@@ -173,7 +173,7 @@
             request = ReadRequest(after_revision=self._read_revision, status=True)
             reply = self.client.read(request).result()
         except NoLeader as error:
-            self._unreadable("state", error)
+            self._log_unreadable("state", error)
             return
         assert reply.status is not None
         self._merge(reply)
@@ -201,7 +201,7 @@
         try:
             vms = read_vms(self.settings.platform_url, PLATFORM_TIMEOUT_MS)
         except PlatformUnreadable as error:
-            self._unreadable("platform", error)
+            self._log_unreadable("platform", error)
             return
         self.post(VmsListed(vms))
 
@@ -209,14 +209,14 @@
         if not self.core.active(monotonic_ms()):
             return
         with self._lock:
-            pools = self.core.all(Pool)
+            pools = self.core.specs(Pool)
         for name, pool in pools.items():
             if pool.serves != "models" or not pool.report_url:
                 continue
             try:
                 report = read_pool(pool.report_url, monotonic_ms(), PLATFORM_TIMEOUT_MS)
             except PlatformUnreadable as error:
-                self._unreadable(name, error)
+                self._log_unreadable(name, error)
                 continue
             loaded = tuple(
                 LoadedVersions(r.endpoint, r.versions) for r in report.reports
@@ -227,15 +227,15 @@
         try:
             ratings = self._ratings.read()
         except RatingUnreadable as error:
-            self._unreadable("ratings", error)
+            self._log_unreadable("ratings", error)
             return
         read = tuple(VersionRating(r.version, r.rating) for r in ratings)
         if read:
             self.post(RatingsRead(read))
 
 
-@EFFECTS.on(Change)
-def _change(daemon: ControlDaemon, effect: Change) -> None:
+@EFFECTS.on(ChangeResource)
+def _put_resource(daemon: ControlDaemon, effect: ChangeResource) -> None:
     spec = parse(effect.kind, effect.spec)
     content = digest(effect.spec)
     daemon.client.propose(
@@ -252,8 +252,8 @@
     )
 
 
-@EFFECTS.on(Remove)
-def _remove(daemon: ControlDaemon, effect: Remove) -> None:
+@EFFECTS.on(RemoveResource)
+def _remove_resource(daemon: ControlDaemon, effect: RemoveResource) -> None:
     daemon.client.propose(
         DeleteResource(
             f"control/delete/{effect.kind}/{effect.name}/{effect.if_revision}",
--- a/ashlatch/control/event.py
+++ b/ashlatch/control/event.py
@@ -17,7 +17,7 @@
 from ashlatch.store.protocol import VersionReport
 
 __all__ = [
-    "Change",
+    "ChangeResource",
     "Effect",
     "Event",
     "LeaseAnswered",
@@ -27,7 +27,7 @@
     "OrderKind",
     "PoolRead",
     "RatingsRead",
-    "Remove",
+    "RemoveResource",
     "SendOrder",
     "StateRead",
     "VersionRating",
@@ -127,7 +127,7 @@
 
 
 @dataclass(frozen=True)
-class Change:
+class ChangeResource:
     """Put a resource, as the active control process of this epoch."""
 
     kind: str
@@ -138,7 +138,7 @@
 
 
 @dataclass(frozen=True)
-class Remove:
+class RemoveResource:
     """Delete a resource, as the active control process of this epoch."""
 
     kind: str
@@ -161,4 +161,4 @@
     event: LogEvent
 
 
-Effect = Change | Remove | SendOrder | WriteLog
+Effect = ChangeResource | RemoveResource | SendOrder | WriteLog
--- a/ashlatch/control/latency.py
+++ b/ashlatch/control/latency.py
@@ -16,7 +16,7 @@
 from ashlatch.log import LogEvent
 from ashlatch.policy.detector import THRESHOLD, Detector
 
-__all__ = ["LatencyCompared", "LatencyNotCompared", "tell_latency"]
+__all__ = ["LatencyCompared", "LatencyNotCompared", "log_latency_verdict"]
 
 OWN = "own"
 SHARED = "shared"
@@ -53,12 +53,12 @@
     epoch: int
 
 
-def tell_latency(core: ControlCore, version: str) -> None:
+def log_latency_verdict(core: ControlCore, version: str) -> None:
     """Log the verdict on a version's slowness, when it is another than before."""
     detector = core.detectors[version]
     verdict = _verdict(detector)
     if verdict and verdict != core.latency_verdicts.get(version):
-        core.log(_event(core, version, detector, verdict))
+        core.write_log(_latency_event(core, version, detector, verdict))
     core.latency_verdicts[version] = verdict
 
 
@@ -71,7 +71,7 @@
     return OWN if detector.latency_sum >= THRESHOLD else SHARED
 
 
-def _event(
+def _latency_event(
     core: ControlCore, version: str, detector: Detector, verdict: str
 ) -> LogEvent:
     slowness = detector.slowness
--- a/ashlatch/control/membership.py
+++ b/ashlatch/control/membership.py
@@ -20,7 +20,7 @@
 
 __all__ = ["EndpointChanged"]
 
-FORGET_AFTER_MS = 60_000.0
+REMOVE_AFTER_MS = 60_000.0
 
 
 @dataclass(frozen=True)
@@ -39,8 +39,8 @@
 def _vms_listed(core: ControlCore, event: VmsListed) -> None:
     if not core.ready():
         return
-    pools = core.all(Pool)
-    known = core.all(Endpoint)
+    pools = core.specs(Pool)
+    known = core.specs(Endpoint)
     listed = set()
     for vm in event.vms:
         if vm.pool not in pools:
@@ -51,22 +51,22 @@
             pool=vm.pool, url=vm.url, vm=vm.vm, hall=vm.hall, leaving=vm.leaving
         )
         if known.get(vm.vm) != spec:
-            _log(core, vm.vm, spec, "leaving" if spec.leaving else "live")
-            core.put(vm.vm, spec)
+            _log_change(core, vm.vm, spec, "leaving" if spec.leaving else "live")
+            core.put_resource(vm.vm, spec)
     for name, spec in known.items():
         if name not in listed:
-            _missing(core, name, spec)
+            _handle_missing(core, name, spec)
 
 
-def _missing(core: ControlCore, name: str, spec: Endpoint) -> None:
+def _handle_missing(core: ControlCore, name: str, spec: Endpoint) -> None:
     since_ms = core.missing_since_ms.setdefault(name, core.now_ms)
     if not spec.leaving:
-        _log(core, name, spec, "missing")
-        core.put(name, spec.model_copy(update={"leaving": True}))
-    elif core.now_ms - since_ms > FORGET_AFTER_MS:
-        _log(core, name, spec, "forgotten")
-        core.remove(Endpoint, name)
+        _log_change(core, name, spec, "missing")
+        core.put_resource(name, spec.model_copy(update={"leaving": True}))
+    elif core.now_ms - since_ms > REMOVE_AFTER_MS:
+        _log_change(core, name, spec, "forgotten")
+        core.remove_resource(Endpoint, name)
 
 
-def _log(core: ControlCore, name: str, spec: Endpoint, state: str) -> None:
-    core.log(EndpointChanged(name, spec.pool, spec.hall, state, core.epoch))
+def _log_change(core: ControlCore, name: str, spec: Endpoint, state: str) -> None:
+    core.write_log(EndpointChanged(name, spec.pool, spec.hall, state, core.epoch))
--- a/ashlatch/control/placement.py
+++ b/ashlatch/control/placement.py
@@ -27,7 +27,7 @@
 
 __all__ = ["OrderGiven", "OrderOutcome"]
 
-ORDER_AGAIN_MS = 2000.0
+NEXT_ORDER_MS = 2000.0
 
 
 @dataclass(frozen=True)
@@ -56,46 +56,46 @@
 
 @HANDLERS.on(PoolRead)
 def _pool_read(core: ControlCore, event: PoolRead) -> None:
-    pool = core.all(Pool).get(event.pool)
+    pool = core.specs(Pool).get(event.pool)
     if not core.ready() or pool is None:
         return
     settled = core.now_ms >= core.active_since_ms + core.order_settle_ms
     if not pool.checks_fence and not settled:
         return
-    endpoints = core.all(Endpoint)
+    endpoints = core.specs(Endpoint)
     for loaded in event.loaded:
         endpoint = endpoints.get(loaded.endpoint)
         busy = loaded.endpoint in core.orders
-        wait_ms = core.orders_after_ms.get(loaded.endpoint, 0.0)
+        wait_ms = core.next_order_ms.get(loaded.endpoint, 0.0)
         if endpoint is None or endpoint.leaving or busy or core.now_ms < wait_ms:
             continue
         if core.has(Evacuation, endpoint.hall):
             continue
-        _order(core, pool, endpoint, loaded)
+        _order_next(core, pool, endpoint, loaded)
 
 
 @HANDLERS.on(OrderEnded)
 def _order_ended(core: ControlCore, event: OrderEnded) -> None:
     core.orders.pop(event.order.endpoint, None)
     # The pool's report lags; without a pause the order would be given again.
-    core.orders_after_ms[event.order.endpoint] = core.now_ms + ORDER_AGAIN_MS
-    core.log(OrderOutcome(event.order.order_id, event.order.endpoint, event.done))
+    core.next_order_ms[event.order.endpoint] = core.now_ms + NEXT_ORDER_MS
+    core.write_log(OrderOutcome(event.order.order_id, event.order.endpoint, event.done))
 
 
-def _order(
+def _order_next(
     core: ControlCore, pool: Pool, endpoint: Endpoint, loaded: LoadedVersions
 ) -> None:
     for version in sorted(loaded.versions):
         if core.has(Withdrawal, version):
-            _give(core, endpoint, OrderKind.UNLOAD, version, "withdrawn")
+            _issue_order(core, endpoint, OrderKind.UNLOAD, version, "withdrawn")
             return
     for version in pool.versions:
         if version not in loaded.versions and not core.has(Withdrawal, version):
-            _give(core, endpoint, OrderKind.LOAD, version, "wanted")
+            _issue_order(core, endpoint, OrderKind.LOAD, version, "wanted")
             return
 
 
-def _give(
+def _issue_order(
     core: ControlCore, endpoint: Endpoint, kind: OrderKind, version: str, reason: str
 ) -> None:
     order_id = f"{core.epoch}/{endpoint.vm}/{kind.value}/{version}/{core.revision}"
@@ -105,4 +105,4 @@
     given = OrderGiven(
         order_id, kind.value, version, endpoint.vm, endpoint.pool, core.epoch, reason
     )
-    core.log(given)
+    core.write_log(given)
--- a/ashlatch/control/rollout.py
+++ b/ashlatch/control/rollout.py
@@ -14,10 +14,10 @@
 
 from ashlatch.control.core import HANDLERS, ControlCore
 from ashlatch.control.event import RatingsRead, StateRead
-from ashlatch.control.latency import tell_latency
+from ashlatch.control.latency import log_latency_verdict
 from ashlatch.log import LogEvent
 from ashlatch.policy.detector import Detector, VersionTally
-from ashlatch.policy.slowness import take_tallies
+from ashlatch.policy.slowness import apply_tallies
 from ashlatch.resources import (
     Cascade,
     Rollout,
@@ -62,20 +62,20 @@
         return
     core.revision = event.revision
     core.resources = {ResourceId(r.kind, r.name): r for r in event.resources}
-    withdrawn = frozenset(core.all(Withdrawal))
+    withdrawn = frozenset(core.specs(Withdrawal))
     for version in core.withdrawn - withdrawn:
         # An operator has let it back: it is judged afresh.
         core.detectors.pop(version, None)
     core.withdrawn = withdrawn
-    _take_totals(core, event.totals)
+    _apply_totals(core, event.totals)
     if event.in_force_revision >= event.revision:
         # Otherwise a router may speak of a version as it was before.
-        _take_suspensions(core, event.totals)
+        _apply_suspensions(core, event.totals)
     if core.ready():
         advance(core)
 
 
-def _take_totals(core: ControlCore, totals: tuple[VersionReport, ...]) -> None:
+def _apply_totals(core: ControlCore, totals: tuple[VersionReport, ...]) -> None:
     """Give the detectors what is new in the routers' totals."""
     tallies = {}
     for report in totals:
@@ -87,18 +87,18 @@
         if tally != VersionTally():
             tallies[report.version] = tally
             _detector(core, report.version)
-    versions = core.all(Version)
+    versions = core.specs(Version)
 
     def price(version: str) -> int:
         spec = versions.get(version)
         return spec.output_price_microusd_per_ktoken if spec else 0
 
-    take_tallies(core.detectors, core.paces, tallies, price, core.now_ms)
+    apply_tallies(core.detectors, core.latency_history, tallies, price, core.now_ms)
     for version in tallies:
-        tell_latency(core, version)
+        log_latency_verdict(core, version)
 
 
-def _take_suspensions(core: ControlCore, totals: tuple[VersionReport, ...]) -> None:
+def _apply_suspensions(core: ControlCore, totals: tuple[VersionReport, ...]) -> None:
     """Routers send a suspended version no more: no further evidence will come."""
     for report in totals:
         if report.suspended and report.version not in core.withdrawn:
@@ -109,7 +109,7 @@
 def _ratings_read(core: ControlCore, event: RatingsRead) -> None:
     if core.revision < 0:
         return
-    versions = core.all(Version)
+    versions = core.specs(Version)
     for rating in event.ratings:
         if rating.version in versions:
             _detector(core, rating.version).add_rating(rating.rating)
@@ -120,14 +120,14 @@
 def advance(core: ControlCore) -> None:
     """Take every step that is due now."""
     under_way = set()
-    for name, rollout in core.all(Rollout).items():
-        progress = core.all(RolloutProgress).get(name)
+    for name, rollout in core.specs(Rollout).items():
+        progress = core.specs(RolloutProgress).get(name)
         if progress is None:
             _begin(core, name, rollout)
             under_way.add(rollout.to_version)
         elif progress.state == "running":
             under_way.add(rollout.to_version)
-            _judge(core, name, rollout, progress)
+            _evaluate(core, name, rollout, progress)
     for version, detector in sorted(core.detectors.items()):
         if detector.bad and version not in under_way:
             _withdraw(core, version, detector)
@@ -142,9 +142,9 @@
 
 def _new_detector(core: ControlCore, version: str) -> Detector:
     """A roll-out's new version is held to what the old one does."""
-    versions = core.all(Version)
+    versions = core.specs(Version)
     prior = versions[version].quality_prior if version in versions else 0.5
-    for rollout in core.all(Rollout).values():
+    for rollout in core.specs(Rollout).values():
         old = core.detectors.get(rollout.from_version)
         if rollout.to_version == version and old is not None:
             return Detector(old.quality, latency_mean=old.latency_mean)
@@ -155,29 +155,29 @@
     if core.has(Withdrawal, rollout.to_version):
         return
     core.detectors.pop(rollout.to_version, None)
-    _enter(core, name, rollout, 0)
+    _enter_stage(core, name, rollout, 0)
 
 
-def _enter(core: ControlCore, name: str, rollout: Rollout, stage: int) -> None:
+def _enter_stage(core: ControlCore, name: str, rollout: Rollout, stage: int) -> None:
     share = rollout.stages[stage].share_percent
     progress = RolloutProgress(
         stage=stage, share_percent=share, state="running", epoch=core.epoch
     )
-    _move(core, name, rollout, progress)
+    _record_progress(core, name, rollout, progress)
 
 
-def _judge(
+def _evaluate(
     core: ControlCore, name: str, rollout: Rollout, progress: RolloutProgress
 ) -> None:
     version = rollout.to_version
     detector = core.detectors.get(version)
     if core.has(Withdrawal, version):
-        _take_back(core, name, rollout, progress, "withdrawn")
+        _roll_back(core, name, rollout, progress, "withdrawn")
         return
     if detector is not None and detector.bad:
         reason = ",".join(sorted(detector.reasons))
-        _take_back(core, name, rollout, progress, reason)
-        core.put(version, Withdrawal(reason=f"rollout {name}: {reason}"))
+        _roll_back(core, name, rollout, progress, reason)
+        core.put_resource(version, Withdrawal(reason=f"rollout {name}: {reason}"))
         return
     answers = core.totals[version].answers if version in core.totals else 0
     stage_key = f"{name}/{progress.stage}"
@@ -187,13 +187,13 @@
     if answers - start < rollout.stages[progress.stage].answers_min:
         return
     if progress.stage + 1 < len(rollout.stages):
-        _enter(core, name, rollout, progress.stage + 1)
+        _enter_stage(core, name, rollout, progress.stage + 1)
     else:
         done = progress.model_copy(update={"state": "done", "epoch": core.epoch})
-        _move(core, name, rollout, done)
+        _record_progress(core, name, rollout, done)
 
 
-def _take_back(
+def _roll_back(
     core: ControlCore,
     name: str,
     rollout: Rollout,
@@ -208,14 +208,14 @@
             "epoch": core.epoch,
         }
     )
-    _move(core, name, rollout, back)
+    _record_progress(core, name, rollout, back)
 
 
-def _move(
+def _record_progress(
     core: ControlCore, name: str, rollout: Rollout, progress: RolloutProgress
 ) -> None:
-    core.put(name, progress)
-    core.log(
+    core.put_resource(name, progress)
+    core.write_log(
         RolloutMoved(
             name,
             rollout.to_version,
@@ -235,9 +235,9 @@
     reasons = ",".join(sorted(detector.reasons))
     spared = all(
         any(r != version and not core.has(Withdrawal, r) for r in cascade.rungs)
-        for cascade in core.all(Cascade).values()
+        for cascade in core.specs(Cascade).values()
         if version in cascade.rungs
     )
-    core.log(VersionBad(version, reasons, spared, core.epoch))
+    core.write_log(VersionBad(version, reasons, spared, core.epoch))
     if spared:
-        core.put(version, Withdrawal(reason=f"turned bad: {reasons}"))
+        core.put_resource(version, Withdrawal(reason=f"turned bad: {reasons}"))
--- a/ashlatch/fleet/daemon.py
+++ b/ashlatch/fleet/daemon.py
@@ -322,7 +322,7 @@
     async def _note_crashes(self) -> None:
         """Commit what gateways have told of requests that crash endpoints."""
         with self.group.lock:
-            records = self._spread.crashes.unknown_to(self.machine.state.crashes)
+            records = self._spread.crashes.missing_from(self.machine.state.crashes)
         if not records:
             return
         try:
--- a/ashlatch/fleet/following.py
+++ b/ashlatch/fleet/following.py
@@ -120,7 +120,7 @@
             self.spread.reads.position,
             gateways_digest(self.spread.gateways),
             self.own,
-            crashes=self.spread.crashes.unknown_to(state.crashes),
+            crashes=self.spread.crashes.missing_from(state.crashes),
             crashes_known=state.crashes.number,
             evacuations_known=state.evacuations.number,
         )
--- a/ashlatch/fleet/machine.py
+++ b/ashlatch/fleet/machine.py
@@ -189,7 +189,7 @@
 
 @_HANDLERS.on(NoteCrashes)
 def _note_crashes(state: FleetState, command: NoteCrashes) -> Outcome:
-    return Accepted(changed=state.crashes.note(command.records))
+    return Accepted(changed=state.crashes.apply(command.records))
 
 
 @_HANDLERS.on(SetEvacuation)
--- a/ashlatch/fleet/protocol.py
+++ b/ashlatch/fleet/protocol.py
@@ -23,7 +23,7 @@
 from ashlatch.gateway.kept import PromptRead
 from ashlatch.gateway.tally import Tally
 from ashlatch.link import Method
-from ashlatch.policy.prefill_rate import ReadingRate
+from ashlatch.policy.prefill_rate import PrefillRate
 from ashlatch.policy.quarantine import CrashRecord
 from ashlatch.raft.message import Member
 
@@ -71,7 +71,7 @@
     reads_known: tuple[int, int] = (0, 0)
     gateways_known: int = 0
     core: CoreVm | None = None
-    rates: tuple[ReadingRate, ...] = ()
+    rates: tuple[PrefillRate, ...] = ()
     crashes: tuple[CrashRecord, ...] = ()
     crashes_known: int = 0
     evacuations_known: int = 0
@@ -104,7 +104,7 @@
     list_age_ms: float = 0.0
     reads: tuple[PromptRead, ...] = ()
     reads_known: tuple[int, int] = (0, 0)
-    rates: tuple[ReadingRate, ...] = ()
+    rates: tuple[PrefillRate, ...] = ()
     crashes: tuple[CrashRecord, ...] = ()
     crashes_known: int = 0
     evacuations: Evacuations | None = None
--- a/ashlatch/fleet/spread.py
+++ b/ashlatch/fleet/spread.py
@@ -19,7 +19,7 @@
 from ashlatch.fleet.reads import ReadLog
 from ashlatch.gateway.kept import PromptRead
 from ashlatch.gateway.tally import Tallies
-from ashlatch.policy.prefill_rate import ReadingRates
+from ashlatch.policy.prefill_rate import PrefillRates
 from ashlatch.policy.quarantine import UnloggedCrashes
 
 __all__ = ["Spread", "has_news"]
@@ -49,7 +49,7 @@
         self.reads = ReadLog()
         # Gateways of one hall together see an engine read many times a second, one
         # of 39 by itself too seldom to know a rate before it needs it.
-        self._rates = ReadingRates()
+        self._rates = PrefillRates()
         self._told: list[PromptRead] = []
         self._begun_ms = monotonic_ms()
         self._listed_ms = self._begun_ms
@@ -78,7 +78,7 @@
             self._take_sessions(sessions, now_ms)
         self.tell_reads(request.reads)
         self._rates.add(request.rates)
-        if self.crashes.take(request.crashes):
+        if self.crashes.apply(request.crashes):
             self.urgent.set()
 
     def core_vms(self, addresses: Iterable[str]) -> tuple[CoreVm, ...]:
--- a/ashlatch/gateway/account.py
+++ b/ashlatch/gateway/account.py
@@ -42,7 +42,7 @@
 from ashlatch.gateway.traffic import TrafficKind
 from ashlatch.http.upstream import CONNECT_REFUSED
 from ashlatch.log import emit
-from ashlatch.policy.permission import Barrier
+from ashlatch.policy.permission import DenialReason
 
 __all__ = ["Account"]
 
@@ -100,11 +100,11 @@
             int(self._now_ms() - self._known.directory.listed_ms),
             admission.ask.prompt_tokens,
             *_foreseen(choice.forecast),
-            choice.barred.get(Barrier.LIMITED, 0),
+            choice.barred.get(DenialReason.LIMITED, 0),
             choice.state.limit.per_s,
             self._limit_age_ms(choice.state),
-            choice.barred.get(Barrier.BACKOFF, 0),
-            choice.barred.get(Barrier.LEAVING, 0),
+            choice.barred.get(DenialReason.BACKOFF, 0),
+            choice.barred.get(DenialReason.LEAVING, 0),
         )
         emit(log, sent)
         record_limited_send(self._known, choice.state, self._now_ms())
@@ -188,7 +188,7 @@
         apply_answer_limit(self._known, attempt.state, answered, self._now_ms())
 
     def _limit_age_ms(self, state: EndpointState) -> int:
-        age_ms = self._now_ms() - state.limit.heard_ms
+        age_ms = self._now_ms() - state.limit.received_ms
         return int(age_ms) if math.isfinite(age_ms) else -1
 
     def weighed(
--- a/ashlatch/gateway/admission.py
+++ b/ashlatch/gateway/admission.py
@@ -97,8 +97,8 @@
     content = content_digest(ask, organisation.name if organisation else "")
     held = quarantined(known, content)
     if held is not None:
-        crashes = known.quarantine.crashes(content)
-        held_ms = int(known.quarantine.held_ms(content, unix_ms()))
+        crashes = known.quarantine.crash_count(content)
+        held_ms = int(known.quarantine.remaining_ms(content, unix_ms()))
         text = digest_text(content)
         emit(log, RequestHeld(ask.request_id, text, crashes, held_ms))
         return held
@@ -115,7 +115,7 @@
 
 def quarantined(known: Knowledge, content: int) -> Refused | None:
     """The refusal of a content under which too many endpoints have ended."""
-    held_ms = known.quarantine.held_ms(content, unix_ms())
+    held_ms = known.quarantine.remaining_ms(content, unix_ms())
     if not held_ms:
         return None
     return Refused(503, RefusalReason.QUARANTINED, held_ms / 1000.0)
--- a/ashlatch/gateway/attempt.py
+++ b/ashlatch/gateway/attempt.py
@@ -212,7 +212,7 @@
     def _uncount(self) -> None:
         if self._counted:
             self._counted = False
-            self.state.load.finished(self._now_ms(), None)
+            self.state.load.record_finished(self._now_ms(), None)
 
     async def _connect(self) -> Upstream:
         endpoint = self.state.endpoint
@@ -227,7 +227,7 @@
 
     def _check_open(self) -> None:
         """The last check before the send: a connection may have taken seconds."""
-        barrier = self.state.permission(self._now_ms()).barrier
+        barrier = self.state.permission(self._now_ms()).denial_reason
         if barrier is not None:
             raise AttemptFailed(FailureKind.CLOSED, barrier.value)
 
--- a/ashlatch/gateway/choice.py
+++ b/ashlatch/gateway/choice.py
@@ -21,7 +21,7 @@
 from ashlatch.gateway.permission import send_permission
 from ashlatch.gateway.versions import AllowedEndpoints
 from ashlatch.policy.endpoint import Candidate
-from ashlatch.policy.permission import Barrier
+from ashlatch.policy.permission import DenialReason
 
 __all__ = [
     "Choice",
@@ -77,7 +77,7 @@
     utilisation: float
     forecast: Forecast | None
     allowed: AllowedEndpoints
-    barred: Mapping[Barrier, int] = field(default_factory=dict)
+    barred: Mapping[DenialReason, int] = field(default_factory=dict)
 
 
 def choose_endpoint(
@@ -133,12 +133,12 @@
     service: Service,
     states: Iterable[EndpointState],
     now_ms: float,
-) -> tuple[list[EndpointState], Counter[Barrier]]:
+) -> tuple[list[EndpointState], Counter[DenialReason]]:
     """The endpoints that may be sent to from here now, and what bars the others."""
     open_now = []
-    barred: Counter[Barrier] = Counter()
+    barred: Counter[DenialReason] = Counter()
     for state in states:
-        barrier = send_permission(known, service, state, now_ms).barrier
+        barrier = send_permission(known, service, state, now_ms).denial_reason
         if barrier is None:
             open_now.append(state)
         else:
--- a/ashlatch/gateway/chooser.py
+++ b/ashlatch/gateway/chooser.py
@@ -20,7 +20,7 @@
 from ashlatch.gateway.message import RefusalReason
 from ashlatch.gateway.returns import find_return
 from ashlatch.gateway.versions import AllowedEndpoints
-from ashlatch.policy.permission import Barrier
+from ashlatch.policy.permission import DenialReason
 
 __all__ = ["RequestChooser"]
 
@@ -32,8 +32,8 @@
 FIRST_SHARE = 0.35
 # Why a request is refused, by what keeps it from the endpoint that opens first.
 _REASONS = {
-    Barrier.BACKOFF: RefusalReason.ENDPOINTS_BACKOFF,
-    Barrier.LIMITED: RefusalReason.ENDPOINTS_LIMITED,
+    DenialReason.BACKOFF: RefusalReason.ENDPOINTS_BACKOFF,
+    DenialReason.LIMITED: RefusalReason.ENDPOINTS_LIMITED,
 }
 
 
@@ -60,7 +60,7 @@
             states = [state for state in states if not state.limit.limited]
         tried = frozenset(self.tried)
         allowed = self._allowed(states, now_ms)
-        apart = self._known.quarantine.crashes(self._admission.content) > 0
+        apart = self._known.quarantine.crash_count(self._admission.content) > 0
         send = Send(self._ask, model, self.slack_ms(model), apart)
         return choose_endpoint(self._known, service, allowed, tried, send, now_ms)
 
--- a/ashlatch/gateway/cold.py
+++ b/ashlatch/gateway/cold.py
@@ -11,7 +11,7 @@
 from ashlatch.catalog import Evacuations, GatewayVm, Service
 from ashlatch.gateway.directory import Directory, EndpointState
 from ashlatch.gateway.routing import RouteTable
-from ashlatch.policy.cold import ColdEndpoint, pause_ms
+from ashlatch.policy.cold import ColdEndpoint, send_interval_ms
 from ashlatch.policy.permission import NEVER_MS
 
 __all__ = ["ColdGate", "warm_up_returned"]
@@ -80,7 +80,9 @@
             cold = ColdEndpoint(
                 endpoint.instance, endpoint.hall, service.cold_requests_per_s
             )
-            self._pauses_ms[endpoint.instance] = pause_ms(cold, self.own, gateways)
+            self._pauses_ms[endpoint.instance] = send_interval_ms(
+                cold, self.own, gateways
+            )
         return self._pauses_ms[endpoint.instance]
 
 
--- a/ashlatch/gateway/crash.py
+++ b/ashlatch/gateway/crash.py
@@ -65,12 +65,12 @@
 def learn_crashes(known: Knowledge, record: CrashRecord, source: str) -> None:
     """Take what another gateway has found of a content."""
     quarantine = known.quarantine
-    content = record.content
-    held_before_ms = quarantine.held_ms(content, unix_ms())
-    quarantine.learn(record)
-    held_ms = quarantine.held_ms(content, unix_ms())
+    content = record.fingerprint
+    held_before_ms = quarantine.remaining_ms(content, unix_ms())
+    quarantine.apply(record)
+    held_ms = quarantine.remaining_ms(content, unix_ms())
     if held_ms > held_before_ms:
-        crashes = quarantine.crashes(content)
+        crashes = quarantine.crash_count(content)
         held = ContentHeld(digest_text(content), crashes, int(held_ms), source)
         emit(log, held, logging.WARNING)
         known.metrics.count("contents_held")
@@ -128,11 +128,11 @@
         known = self._known
         endpoint = state.endpoint
         now_unix_ms = unix_ms()
-        record = known.quarantine.crashed(
+        record = known.quarantine.record_crash(
             content, endpoint.instance, endpoint.started_unix_ms, now_unix_ms
         )
-        crashes = len(record.unsurvived)
-        held_ms = known.quarantine.held_ms(content, now_unix_ms)
+        crashes = len(record.counted_crashes)
+        held_ms = known.quarantine.remaining_ms(content, now_unix_ms)
         noted = CrashNoted(
             request, digest_text(content), endpoint.instance, crashes, int(held_ms)
         )
@@ -144,7 +144,7 @@
 
     def survived(self, request: str, content: int) -> None:
         """A request has run to its end: it crashes nothing."""
-        if self._known.quarantine.survived(content):
+        if self._known.quarantine.record_completed(content):
             emit(log, ContentSurvived(request, digest_text(content)))
             self._known.crashes_found()
 
--- a/ashlatch/gateway/directory.py
+++ b/ashlatch/gateway/directory.py
@@ -20,11 +20,11 @@
 from ashlatch.policy.backoff import Backoff
 from ashlatch.policy.breaker import Breaker
 from ashlatch.policy.load import EndpointLoad, LoadReport
-from ashlatch.policy.load_advertisement import ToldLoad
+from ashlatch.policy.load_advertisement import LoadAdvertisement
 from ashlatch.policy.permission import (
     ALLOWED,
     NEVER_MS,
-    Barrier,
+    DenialReason,
     Permission,
     combine,
 )
@@ -54,8 +54,8 @@
 # How many endpoints are remembered that are not listed any more.
 ABSENT_MAX = 1000
 
-_LEAVING = Permission(Barrier.LEAVING, NEVER_MS)
-_EVACUATED = Permission(Barrier.EVACUATED, NEVER_MS)
+_LEAVING = Permission(DenialReason.LEAVING, NEVER_MS)
+_EVACUATED = Permission(DenialReason.EVACUATED, NEVER_MS)
 
 
 @dataclass
@@ -87,7 +87,7 @@
     unanswered: int = 0
     awaited: set[asyncio.Timeout] = field(default_factory=set)
     workload: Workload = field(default_factory=Workload)
-    told_load: ToldLoad = field(default_factory=ToldLoad)
+    told_load: LoadAdvertisement = field(default_factory=LoadAdvertisement)
     evacuated: bool = False
     sent_ms: float = float("-inf")
     limit: RateLimit = field(default_factory=RateLimit)
@@ -131,7 +131,9 @@
         if replaced_ms <= 0.0 and now_ms >= self.backoff.until_ms:
             return ALLOWED
         backoff_ms = self.backoff.wait_ms(now_ms)
-        return combine([(Barrier.REPLACED, replaced_ms), (Barrier.BACKOFF, backoff_ms)])
+        return combine(
+            [(DenialReason.REPLACED, replaced_ms), (DenialReason.BACKOFF, backoff_ms)]
+        )
 
     def has_asked(self, now_ms: float) -> bool:
         """Whether it has asked in an answer to be sent less, or nothing."""
@@ -141,10 +143,10 @@
     def sent(self, now_ms: float) -> None:
         """A request goes there."""
         self.sent_ms = now_ms
-        self.backoff.sent(now_ms)
+        self.backoff.record_sent(now_ms)
         if self.load.in_flight == 0:
             self.progress_ms = now_ms
-        self.load.sent(now_ms)
+        self.load.record_sent(now_ms)
 
     def progressed(self, now_ms: float) -> None:
         """Something has come from there."""
@@ -167,7 +169,7 @@
 
         `now_s` is the time of the loop, which the limits are told in.
         """
-        self.breaker.gone(now_ms)
+        self.breaker.trip(now_ms)
         self.ended_ms = now_ms
         self._unproven = True
         for limit in self.awaited:
@@ -184,12 +186,12 @@
             figures.slots,
             frozenset(),
         )
-        self.load.reported(report)
+        self.load.apply_report(report)
         if figures.waiting == 0:
             # One prompt is read there at most. Without this, times to read that
             # were guessed too high, as after a start, add up to work that is not
             # there, and the largest model is not asked.
-            self.workload.nothing_waits(now_ms)
+            self.workload.clear_queue(now_ms)
 
     def requests(self, now_ms: float) -> float:
         """How many requests are estimated to be at the endpoint."""
@@ -203,7 +205,7 @@
 
     def succeeded(self) -> None:
         """An answer that counts has come."""
-        self.breaker.succeeded()
+        self.breaker.record_success()
         self.failing -= FAILURE_GAIN * self.failing
 
     def refuses(self, now_ms: float) -> bool:
@@ -214,7 +216,7 @@
         news = now_ms - self.refused_ms >= BREAKER_OPEN_MS
         if news:
             self.refused_ms = now_ms
-        self.breaker.gone(now_ms)
+        self.breaker.trip(now_ms)
         self.ended_ms = now_ms
         self._unproven = True
         if news:
@@ -228,9 +230,9 @@
         """
         self.failing = 0.0
         self.workload = Workload()
-        self.told_load = ToldLoad()
+        self.told_load = LoadAdvertisement()
         self.limit = RateLimit()
-        self.load.forget_report()
+        self.load.clear_report()
 
     def ended_lately(self, now_ms: float) -> bool:
         """Whether its process or its VM was found to have ended just now."""
@@ -240,7 +242,7 @@
         """An attempt failed by the endpoint's doing."""
         self.failing += FAILURE_GAIN * (1.0 - self.failing)
         if unreachable:
-            self.breaker.failed(now_ms)
+            self.breaker.record_failure(now_ms)
 
 
 class Directory:
--- a/ashlatch/gateway/exchange.py
+++ b/ashlatch/gateway/exchange.py
@@ -139,7 +139,7 @@
         )
         self._expected_first_ms = self._chooser.expected_ms(choice, self._model)
         self._account.sent(choice, self._model, self._why)
-        choice.state.breaker.sent(self._now_ms())
+        choice.state.breaker.record_sent(self._now_ms())
         repeatable = self._route.repeat is not Repeat.NEVER
         pool = self._known.pool
         return Attempt(
--- a/ashlatch/gateway/forecast.py
+++ b/ashlatch/gateway/forecast.py
@@ -89,14 +89,14 @@
         self._token_ms = known.pace.token_ms(service, self._model)
         self._held_ms = known.pace.held_ms(service)
         self._home = _home(send.ask, states)
-        left_ms = sum(s.workload.left_ms(now_ms) for s in states) / len(states)
+        left_ms = sum(s.workload.remaining_ms(now_ms) for s in states) / len(states)
         self._engine_weight = min(1.0 + left_ms / BUSY_MS, BUSY_MAX)
 
     def forecast(self, state: EndpointState) -> Forecast:
         """What a send to an endpoint is expected to take."""
         # Adding up what is known of a load takes longer than all of the rest.
         requests = state.requests(self._now_ms)
-        wait_ms = state.workload.left_ms(self._now_ms)
+        wait_ms = state.workload.remaining_ms(self._now_ms)
         wait_ms += self._place_wait_ms(state, requests)
         kept = self._known.kept.tokens(
             state.endpoint.instance, self._model, self._ask.prompt_parts
--- a/ashlatch/gateway/hearing.py
+++ b/ashlatch/gateway/hearing.py
@@ -144,4 +144,4 @@
     state.tell_load(figures, teller.now_ms)
     state.proved(known.cold_ms(state), teller.now_ms)
     level = load_level(news.running + news.waiting, news.slots)
-    state.told_load.heard(level, teller.now_ms)
+    state.told_load.record(level, teller.now_ms)
--- a/ashlatch/gateway/limits.py
+++ b/ashlatch/gateway/limits.py
@@ -18,7 +18,7 @@
 from ashlatch.gateway.logs import EndpointLimited
 from ashlatch.gateway.news import LimitedSend, LimitNamed
 from ashlatch.log import emit
-from ashlatch.policy.rate_limit import NO_LIMIT, RATE_MIN_PER_S, SECOND_MS, Sharers
+from ashlatch.policy.rate_limit import NO_LIMIT, RATE_MIN_PER_S, SECOND_MS, LimitSharing
 
 __all__ = [
     "LimitReport",
@@ -68,7 +68,7 @@
     """A request goes to an endpoint; the others hear of it, if it is limited."""
     if not state.limit.limited:
         return
-    state.limit.sent(_sharers(known), known.generator.random(), now_ms)
+    state.limit.record_sent(_sharers(known), known.generator.random(), now_ms)
     known.metrics.count("sends_limited")
     known.tell(LimitedSend(state.endpoint.instance))
 
@@ -86,10 +86,10 @@
         return
     if not state.limit.accepts(per_s, report.sent_ms):
         return
-    if state.limit.is_news(per_s, now_ms):
+    if state.limit.is_new(per_s, now_ms):
         age_ms = now_ms - report.sent_ms
         known.tell(LimitNamed(state.endpoint.instance, per_s, round(age_ms, 1)))
-        state.limit.told_ms = now_ms
+        state.limit.broadcast_ms = now_ms
     _learn(known, state, per_s, report.request, now_ms)
 
 
@@ -102,13 +102,13 @@
     """
     if not state.limit.accepts(news.limit_per_s, now_ms - news.age_ms):
         return
-    state.limit.told_ms = now_ms
+    state.limit.broadcast_ms = now_ms
     _learn(known, state, news.limit_per_s, source, now_ms)
 
 
 def apply_peer_send(known: Knowledge, state: EndpointState, now_ms: float) -> None:
     """Another gateway sends to an endpoint that it knows to be limited."""
-    state.limit.sent_elsewhere(_sharers(known), known.generator.random(), now_ms)
+    state.limit.record_peer_sent(_sharers(known), known.generator.random(), now_ms)
 
 
 def _learn(
@@ -135,6 +135,6 @@
     return SECOND_MS * _sharers(known).gateways / rate_per_s
 
 
-def _sharers(known: Knowledge) -> Sharers:
+def _sharers(known: Knowledge) -> LimitSharing:
     in_touch = known.core_in_touch and known.peers_in_touch
-    return Sharers(max(1, len(known.gateways)), in_touch)
+    return LimitSharing(max(1, len(known.gateways)), in_touch)
--- a/ashlatch/gateway/notices.py
+++ b/ashlatch/gateway/notices.py
@@ -34,7 +34,7 @@
     if head.backoff_ms > 0.0:
         _apply_backoff(known, state, head, now_ms)
     else:
-        state.backoff.served(sent_ms)
+        state.backoff.record_accepted(sent_ms)
     if head.leaving and mark_leaving(known, state, head.request_id):
         known.tell(EndpointAnnouncesLeaving(state.endpoint.instance))
 
@@ -60,7 +60,7 @@
 ) -> None:
     before_ms = state.backoff.wait_ms(now_ms)
     known.metrics.count("backoffs_requested")
-    if state.backoff.request(head.backoff_ms, now_ms):
+    if state.backoff.record_request(head.backoff_ms, now_ms):
         endpoint = state.endpoint
         asked = EndpointBackoff(
             endpoint.instance,
@@ -70,6 +70,6 @@
             head.request_id,
         )
         emit(log, asked)
-    if state.backoff.is_news(now_ms):
+    if state.backoff.is_new(now_ms):
         state.backoff.record_peer_request(head.backoff_ms, now_ms)
         known.tell(EndpointSheds(state.endpoint.instance, round(head.backoff_ms, 1)))
--- a/ashlatch/gateway/pace.py
+++ b/ashlatch/gateway/pace.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from ashlatch.policy.prefill_rate import ReadingRate, ReadingRates
+from ashlatch.policy.prefill_rate import PrefillRate, PrefillRates
 
 __all__ = ["Pace"]
 
@@ -69,9 +69,9 @@
 
     _estimates: dict[tuple[str, str], _Estimate] = field(default_factory=dict)
     _held: dict[str, float] = field(default_factory=dict)
-    _own: ReadingRates = field(default_factory=ReadingRates)
+    _own: PrefillRates = field(default_factory=PrefillRates)
     _told: dict[tuple[str, str], float] = field(default_factory=dict)
-    _untold: list[ReadingRate] = field(default_factory=list)
+    _untold: list[PrefillRate] = field(default_factory=list)
 
     def began(
         self,
@@ -106,22 +106,22 @@
         if waited and first_ms >= tokens * self.token_ms(service, model):
             return
         own_ms = first_ms if waited else first_ms - foreseen_ms
-        rate = ReadingRate(service, model, own_ms / tokens)
+        rate = PrefillRate(service, model, own_ms / tokens)
         self._own.add([rate])
         self._untold.append(rate)
         del self._untold[:-UNTOLD_MAX]
 
-    def take_rates(self) -> tuple[ReadingRate, ...]:
+    def take_rates(self) -> tuple[PrefillRate, ...]:
         """The rates that were seen here and not told yet."""
         rates, self._untold = self._untold, []
         return tuple(rates)
 
-    def put_back(self, rates: tuple[ReadingRate, ...]) -> None:
+    def put_back(self, rates: tuple[PrefillRate, ...]) -> None:
         """Tell again what a lost report held."""
         self._untold[:0] = rates
         del self._untold[:-UNTOLD_MAX]
 
-    def learn(self, rates: Iterable[ReadingRate]) -> None:
+    def learn(self, rates: Iterable[PrefillRate]) -> None:
         """Take estimates that are made of what many gateways have seen."""
         self._told.update({(r.service, r.model): r.token_ms for r in rates})
 
--- a/ashlatch/gateway/permission.py
+++ b/ashlatch/gateway/permission.py
@@ -13,7 +13,7 @@
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.limits import limit_wait_ms
-from ashlatch.policy.permission import ALLOWED, Barrier, Permission, combine
+from ashlatch.policy.permission import ALLOWED, DenialReason, Permission, combine
 
 __all__ = ["send_permission"]
 
@@ -28,7 +28,7 @@
         return ALLOWED
     limit_ms = limit_wait_ms(known, state, now_ms)
     cold_ms = known.cold.wait_ms(state, service, known.gateways, now_ms)
-    waits = [(Barrier.LIMITED, limit_ms), (Barrier.COLD, cold_ms)]
-    if own.barrier is not None:
-        waits.insert(0, (own.barrier, own.wait_ms))
+    waits = [(DenialReason.LIMITED, limit_ms), (DenialReason.COLD, cold_ms)]
+    if own.denial_reason is not None:
+        waits.insert(0, (own.denial_reason, own.wait_ms))
     return combine(waits)
--- a/ashlatch/gateway/reports.py
+++ b/ashlatch/gateway/reports.py
@@ -28,6 +28,6 @@
     engine that has kept it.
     """
     level = load_level(load.running + load.waiting, load.slots)
-    if state.told_load.is_news(level, now_ms):
+    if state.told_load.is_new(level, now_ms):
         instance = state.endpoint.instance
         known.tell(LoadSeen(instance, load.running, load.waiting, load.slots))
--- a/ashlatch/gateway/returns.py
+++ b/ashlatch/gateway/returns.py
@@ -16,7 +16,7 @@
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.limits import limit_step_ms
 from ashlatch.gateway.permission import send_permission
-from ashlatch.policy.permission import Barrier
+from ashlatch.policy.permission import DenialReason
 
 __all__ = ["Return", "find_return"]
 
@@ -30,14 +30,14 @@
 # the answer to the one before is known.
 BACKOFF_STEP_MS = 20.0
 # The barriers that end by themselves, at a time that is known here.
-_TIMED = frozenset({Barrier.BACKOFF, Barrier.LIMITED})
+_TIMED = frozenset({DenialReason.BACKOFF, DenialReason.LIMITED})
 
 
 @dataclass(frozen=True)
 class Return:
     """What bars the endpoint that opens first, and when to come back."""
 
-    barrier: Barrier
+    barrier: DenialReason
     after_s: float
 
 
@@ -51,17 +51,17 @@
     or none opens by itself at a time that is known.
     """
     permissions = [(send_permission(known, service, s, now_ms), s) for s in states]
-    waiting = [(p, s) for p, s in permissions if p.barrier in _TIMED]
+    waiting = [(p, s) for p, s in permissions if p.denial_reason in _TIMED]
     if not waiting or any(p.granted for p, _ in permissions):
         return None
     first, _ = min(waiting, key=lambda pair: pair[0].wait_ms)
-    assert first.barrier is not None
+    assert first.denial_reason is not None
     step_ms = BACKOFF_STEP_MS
-    if first.barrier is Barrier.LIMITED:
-        limited = [s for p, s in waiting if p.barrier is Barrier.LIMITED]
+    if first.denial_reason is DenialReason.LIMITED:
+        limited = [s for p, s in waiting if p.denial_reason is DenialReason.LIMITED]
         step_ms = limit_step_ms(known, limited)
     opens_ms = now_ms + first.wait_ms
     returns_ms = max(opens_ms, known.returns_ms.get(service.name, opens_ms))
     known.returns_ms[service.name] = min(returns_ms + step_ms, now_ms + RETURN_MAX_MS)
     after_s = (returns_ms - now_ms) / SECOND_MS
-    return Return(first.barrier, min(max(RETURN_MIN_S, after_s), RETURN_MAX_S))
+    return Return(first.denial_reason, min(max(RETURN_MIN_S, after_s), RETURN_MAX_S))
--- a/ashlatch/gateway/sync.py
+++ b/ashlatch/gateway/sync.py
@@ -43,7 +43,7 @@
 from ashlatch.gateway.tally import Tally
 from ashlatch.gateway.traffic import TrafficKind
 from ashlatch.log import emit
-from ashlatch.policy.prefill_rate import ReadingRate
+from ashlatch.policy.prefill_rate import PrefillRate
 from ashlatch.policy.quarantine import CrashRecord
 
 __all__ = ["FleetLink"]
@@ -158,7 +158,7 @@
             reads = self._known.kept.take_notes()
             rates = self._known.pace.take_rates()
             wait_ms, timeout_s = self._terms()
-            crashes = self._known.quarantine.to_tell()
+            crashes = self._known.quarantine.unconfirmed()
             request = self._question(wait_ms, tallies, reads, rates, crashes)
             late_ms = self._now_ms() + timeout_s * 1000.0 + TIMER_LATE_MS
             try:
@@ -179,7 +179,7 @@
                 await asyncio.sleep(RETRY_S)
                 continue
             woken = False
-            self._known.quarantine.told(crashes)
+            self._known.quarantine.record_reported(crashes)
             self._take(address, reply)
             if not reply.current:
                 self._lose(address, "has lost its leader")
@@ -196,7 +196,7 @@
             await self._urgent.wait()
             await asyncio.sleep(URGENT_COLLECT_S)
             self._urgent.clear()
-            crashes = self._known.quarantine.to_tell()
+            crashes = self._known.quarantine.unconfirmed()
             request = self._question(0.0, crashes=crashes)
             address = self._contact.address
             try:
@@ -204,7 +204,7 @@
             except TransportError as error:
                 emit(log, UrgentUntold(address, error.reason), logging.WARNING)
             else:
-                self._known.quarantine.told(crashes)
+                self._known.quarantine.record_reported(crashes)
 
     async def stay_near(self) -> None:
         """Go back to a core VM of the own hall when one is in touch.
@@ -253,7 +253,7 @@
         wait_ms: float,
         tallies: tuple[Tally, ...] = (),
         reads: tuple[PromptRead, ...] = (),
-        rates: tuple[ReadingRate, ...] = (),
+        rates: tuple[PrefillRate, ...] = (),
         crashes: tuple[CrashRecord, ...] = (),
     ) -> SyncRequest:
         return SyncRequest(
--- a/ashlatch/gateway/versions.py
+++ b/ashlatch/gateway/versions.py
@@ -26,7 +26,7 @@
     session_mark,
 )
 from ashlatch.policy.endpoint import rank
-from ashlatch.policy.permission import Barrier
+from ashlatch.policy.permission import DenialReason
 
 __all__ = [
     "AllowedEndpoints",
@@ -330,4 +330,4 @@
     """
     if state.cold(now_ms) or state.limit.limited:
         return False
-    return state.permission(now_ms).barrier in (None, Barrier.BACKOFF)
+    return state.permission(now_ms).denial_reason in (None, DenialReason.BACKOFF)
--- a/ashlatch/policy/backoff.py
+++ b/ashlatch/policy/backoff.py
@@ -14,12 +14,12 @@
 __all__ = ["Backoff"]
 
 # An endpoint that sheds says so within a round trip.
-TRIAL_MS = 250.0
+PROBE_MS = 250.0
 # A backoff of another process is not asked of this one: a long one may be meant for
 # that process alone.
 PEERS_MAX_MS = 5000.0
 # Others hear of a backoff again when it outlasts by this what they know.
-NEWS_MS = 500.0
+BROADCAST_MIN_MS = 500.0
 
 
 @dataclass
@@ -39,13 +39,13 @@
 
     until_ms: float = float("-inf")
     peers_until_ms: float = float("-inf")
-    _served: bool = True
-    _trial_ends_ms: float = float("-inf")
+    _accepted: bool = True
+    _probe_until_ms: float = float("-inf")
 
-    def request(self, backoff_ms: float, now_ms: float) -> bool:
+    def record_request(self, backoff_ms: float, now_ms: float) -> bool:
         """The endpoint asks for a backoff from now on; whether that prolongs it."""
         until_ms = now_ms + backoff_ms
-        self._served = False
+        self._accepted = False
         if until_ms <= self.until_ms:
             return False
         self.until_ms = until_ms
@@ -56,24 +56,24 @@
         until_ms = now_ms + min(backoff_ms, PEERS_MAX_MS)
         self.peers_until_ms = max(self.peers_until_ms, until_ms)
 
-    def is_news(self, now_ms: float) -> bool:
+    def is_new(self, now_ms: float) -> bool:
         """Whether others should hear of the backoff that has just been asked for."""
         until_ms = min(self.until_ms, now_ms + PEERS_MAX_MS)
-        return until_ms > self.peers_until_ms + NEWS_MS
+        return until_ms > self.peers_until_ms + BROADCAST_MIN_MS
 
     def wait_ms(self, now_ms: float) -> float:
         """The time until a request may be sent; 0 if it may be now."""
         return max(0.0, self.until_ms - now_ms)
 
-    def sent(self, now_ms: float) -> None:
+    def record_sent(self, now_ms: float) -> None:
         """A request goes there; after a backoff it is a trial."""
-        if not self._served and now_ms >= self.until_ms:
-            self._trial_ends_ms = now_ms + TRIAL_MS
+        if not self._accepted and now_ms >= self.until_ms:
+            self._probe_until_ms = now_ms + PROBE_MS
 
-    def served(self, sent_ms: float) -> None:
+    def record_accepted(self, sent_ms: float) -> None:
         """A request that was sent at this time has not been turned away."""
         if sent_ms >= self.until_ms:
-            self._served = True
+            self._accepted = True
 
     def may_shed(self, now_ms: float) -> bool:
         """Whether a request would probably be turned away, and should go elsewhere.
@@ -81,5 +81,5 @@
         The first one after a backoff has not been answered yet, or another process
         backs off.
         """
-        on_trial = not self._served and now_ms < self._trial_ends_ms
+        on_trial = not self._accepted and now_ms < self._probe_until_ms
         return on_trial or now_ms < self.peers_until_ms
--- a/ashlatch/policy/breaker.py
+++ b/ashlatch/policy/breaker.py
@@ -22,7 +22,7 @@
     open_ms: float
     failures: int = 0
     open_until_ms: float = float("-inf")
-    trial_until_ms: float = float("-inf")
+    probe_until_ms: float = float("-inf")
 
     @property
     def open(self) -> bool:
@@ -33,25 +33,25 @@
         """Whether a request may be sent now."""
         if not self.open:
             return True
-        return now_ms >= self.open_until_ms and now_ms >= self.trial_until_ms
+        return now_ms >= self.open_until_ms and now_ms >= self.probe_until_ms
 
-    def sent(self, now_ms: float) -> None:
+    def record_sent(self, now_ms: float) -> None:
         """A request is sent; when half open, others wait for it."""
         if self.open:
-            self.trial_until_ms = now_ms + self.open_ms
+            self.probe_until_ms = now_ms + self.open_ms
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """An answer came: close."""
         self.failures = 0
-        self.trial_until_ms = float("-inf")
+        self.probe_until_ms = float("-inf")
 
-    def failed(self, now_ms: float) -> None:
+    def record_failure(self, now_ms: float) -> None:
         """No answer came: open, after enough of them."""
         self.failures += 1
         if self.open:
             self.open_until_ms = now_ms + self.open_ms
 
-    def gone(self, now_ms: float) -> None:
+    def trip(self, now_ms: float) -> None:
         """It is known that no answer can come: open at once."""
         self.failures = max(self.failures, self.failures_max)
         self.open_until_ms = now_ms + self.open_ms
--- a/ashlatch/policy/cold.py
+++ b/ashlatch/policy/cold.py
@@ -21,15 +21,15 @@
 from ashlatch.catalog import GatewayVm
 from ashlatch.policy.endpoint import rank
 
-__all__ = ["ColdEndpoint", "pause_ms"]
+__all__ = ["ColdEndpoint", "send_interval_ms"]
 
 SECOND_MS = 1000.0
 # Requests that are sent this much more than a second apart also arrive so: each takes
 # some ms, and a new connection some more.
-DELAY_MS = 100.0
+ARRIVAL_JITTER_MS = 100.0
 # The part of an endpoint's senders that are of its own hall, where most requests come
 # from that it should answer. The others serve callers of halls that have nothing else.
-NEAR_SHARE = 0.7
+LOCAL_SHARE = 0.7
 
 
 @dataclass(frozen=True)
@@ -41,8 +41,8 @@
     requests_per_s: float
 
 
-def pause_ms(
-    endpoint: ColdEndpoint, own: GatewayVm, gateways: tuple[GatewayVm, ...]
+def send_interval_ms(
+    endpoint: ColdEndpoint, local: GatewayVm, gateways: tuple[GatewayVm, ...]
 ) -> float | None:
     """The least time between two sends of the own gateway to a cold endpoint.
 
@@ -56,15 +56,15 @@
     Left alone until they are warm, endpoints would stand idle for seconds.
     """
     count = min(int(endpoint.requests_per_s), len(gateways))
-    senders = _senders(endpoint, gateways, max(1, count))
-    if own not in senders:
+    senders = _choose_senders(endpoint, gateways, max(1, count))
+    if local not in senders:
         return None
     each = max(1, int(endpoint.requests_per_s) // len(senders))
     least_ms = SECOND_MS / endpoint.requests_per_s
-    return max(least_ms, (SECOND_MS + DELAY_MS) / each)
+    return max(least_ms, (SECOND_MS + ARRIVAL_JITTER_MS) / each)
 
 
-def _senders(
+def _choose_senders(
     endpoint: ColdEndpoint, gateways: tuple[GatewayVm, ...], count: int
 ) -> frozenset[GatewayVm]:
     """The gateways that send to an endpoint, most of them of its hall."""
@@ -72,6 +72,6 @@
     ranked = [by_address[a] for a in rank(tuple(by_address), endpoint.instance)]
     near = [gateway for gateway in ranked if gateway.hall == endpoint.hall]
     far = [gateway for gateway in ranked if gateway.hall != endpoint.hall]
-    near_count = max(round(NEAR_SHARE * count), count - len(far))
+    near_count = max(round(LOCAL_SHARE * count), count - len(far))
     chosen = near[:near_count]
     return frozenset((*chosen, *far[: count - len(chosen)]))
--- a/ashlatch/policy/detector.py
+++ b/ashlatch/policy/detector.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-__all__ = ["Compare", "Detector", "Slowness", "VersionTally"]
+__all__ = ["CompareLatency", "Detector", "Slowness", "VersionTally"]
 
 THRESHOLD = 14.0
 HEALTHY_ERROR_RATIO = 0.01
@@ -25,10 +25,10 @@
 BAD_LATENCY_RATIO = 4.0
 LATENCY_LOG_SD = 0.6
 LATENCY_GAIN = 0.01
-SUSPECTED = 0.1
+SUSPICION_MIN = 0.1
 # Some requests always go on: without them no test would come to an end.
-SPARED_RATIO_MAX = 0.9
-LATENCY_WARM_ANSWERS = 20
+DIVERTED_RATIO_MAX = 0.9
+BASELINE_ANSWERS_MIN = 20
 # Slowness that can be compared with nothing raises suspicion to this, half of the
 # threshold: half of the requests go to other versions then, which is what it can be
 # compared with next. It never withdraws a version by itself.
@@ -95,13 +95,13 @@
     shared: float
 
     @property
-    def own(self) -> float:
+    def excess(self) -> float:
         """What is the version's own doing."""
         return self.slowness - self.shared
 
 
 # Compares a version with others since a time, by its pace of calm times.
-Compare = Callable[[float, float], Slowness | None]
+CompareLatency = Callable[[float, float], Slowness | None]
 
 
 @dataclass
@@ -123,24 +123,27 @@
     latency_sum: float = 0.0
     latency_mean: float | None = None
     latency_answers: int = 0
-    slow_sum: float = 0.0
-    calm_ms: float = float("-inf")
+    baseline_sum: float = 0.0
+    normal_ms: float = float("-inf")
     slowness: Slowness | None = None
     reasons: set[str] = field(default_factory=set)
 
     def __post_init__(self) -> None:
         if self.latency_mean is not None:
-            self.latency_answers = LATENCY_WARM_ANSWERS
+            self.latency_answers = BASELINE_ANSWERS_MIN
 
     def add_tally(
-        self, tally: VersionTally, now_ms: float = 0.0, compare: Compare | None = None
+        self,
+        tally: VersionTally,
+        now_ms: float = 0.0,
+        compare: CompareLatency | None = None,
     ) -> None:
         """Learn from attempts; without `compare`, others are as fast as always."""
         step = tally.errors * _ERROR_STEP + tally.answers * _ANSWER_STEP
         self.error_sum = max(0.0, self.error_sum + step)
         if tally.timed:
             self._add_latency(tally.timed, tally.log_latency_sum, now_ms)
-            self._judge_latency(now_ms, compare)
+            self._evaluate_latency(now_ms, compare)
         if self.error_sum >= THRESHOLD:
             self.reasons.add("errors")
 
@@ -164,61 +167,61 @@
         return min(1.0, highest / THRESHOLD)
 
     @property
-    def spared_ratio(self) -> float:
+    def diverted_ratio(self) -> float:
         """The share of the requests that should go to another version now."""
-        return 1.0 if self.bad else min(SPARED_RATIO_MAX, self.suspicion)
+        return 1.0 if self.bad else min(DIVERTED_RATIO_MAX, self.suspicion)
 
     @property
     def suspected(self) -> bool:
         """Whether to look closer: rate every answer, exchange totals sooner."""
-        return self.suspicion > SUSPECTED
+        return self.suspicion > SUSPICION_MIN
 
     @property
     def looks_slow(self) -> bool:
         """Whether it is slower than in calm times, by whatever cause."""
-        return self.slow_sum >= THRESHOLD
+        return self.baseline_sum >= THRESHOLD
 
     def _add_latency(self, answers: int, log_sum: float, now_ms: float) -> None:
         """Hold answers to the version's own pace of calm times."""
         mean = log_sum / answers
         if self.latency_mean is None:
             self.latency_mean = mean
-        if self.calm_ms == -math.inf:
+        if self.normal_ms == -math.inf:
             # What came before its first answers cannot be compared with them.
-            self.calm_ms = math.nextafter(now_ms, -math.inf)
+            self.normal_ms = math.nextafter(now_ms, -math.inf)
         healthy = self.latency_mean
         self.latency_answers += answers
-        if self.latency_answers > LATENCY_WARM_ANSWERS:
-            step = answers * _slow_step(mean - healthy, LATENCY_STEP_MAX)
-            self.slow_sum = min(THRESHOLD, max(0.0, self.slow_sum + step))
+        if self.latency_answers > BASELINE_ANSWERS_MIN:
+            step = answers * _latency_step(mean - healthy, LATENCY_STEP_MAX)
+            self.baseline_sum = min(THRESHOLD, max(0.0, self.baseline_sum + step))
             gain = min(1.0, LATENCY_GAIN * answers)
         else:
             gain = answers / self.latency_answers
         # What looks bad must not become the new normal.
-        if self.slow_sum == 0.0:
+        if self.baseline_sum == 0.0:
             self.latency_mean = healthy + gain * (mean - healthy)
 
-    def _judge_latency(self, now_ms: float, compare: Compare | None) -> None:
+    def _evaluate_latency(self, now_ms: float, compare: CompareLatency | None) -> None:
         """Hold what is slow to what other versions show at the same time."""
-        if self.slow_sum == 0.0:
-            self.calm_ms = now_ms
+        if self.baseline_sum == 0.0:
+            self.normal_ms = now_ms
             self.latency_sum = 0.0
             self.slowness = None
             return
         if compare is None:
-            self.latency_sum = self.slow_sum
+            self.latency_sum = self.baseline_sum
         else:
             assert self.latency_mean is not None
-            self.slowness = compare(self.latency_mean, self.calm_ms)
-            self.latency_sum = min(UNCOMPARED_MAX, self.slow_sum)
+            self.slowness = compare(self.latency_mean, self.normal_ms)
+            self.latency_sum = min(UNCOMPARED_MAX, self.baseline_sum)
             if self.slowness is not None:
-                step = _slow_step(self.slowness.own, COMPARED_STEP_MAX)
+                step = _latency_step(self.slowness.excess, COMPARED_STEP_MAX)
                 self.latency_sum = max(0.0, self.slowness.answers * step)
         if self.latency_sum >= THRESHOLD:
             self.reasons.add("latency")
 
 
-def _slow_step(slowness: float, step_max: float) -> float:
+def _latency_step(slowness: float, step_max: float) -> float:
     """The evidence of one answer that is slower by the logarithm of a factor."""
     bad = math.log(BAD_LATENCY_RATIO)
     return min(step_max, _normal_step(slowness, 0.0, bad, LATENCY_LOG_SD))
--- a/ashlatch/policy/evidence.py
+++ b/ashlatch/policy/evidence.py
@@ -19,9 +19,9 @@
 __all__ = ["Evidence", "Failure", "Finding", "Timing"]
 
 # How soon an endpoint must answer again for its failures not to be its own.
-ALIVE_MS = 2000.0
+RECOVERY_MAX_MS = 2000.0
 # Faster is never too slow: below this, noise is most of what is measured.
-TOKEN_FLOOR_MS = 5.0
+TOKEN_MIN_MS = 5.0
 PENDING_MAX = 256
 
 
@@ -69,29 +69,33 @@
     timings: dict[str, list[Timing]] = field(default_factory=dict)
     answered_ms: dict[str, float] = field(default_factory=dict)
 
-    def answered(self, endpoint: str, version: str, now_ms: float) -> list[Finding]:
+    def record_answer(
+        self, endpoint: str, version: str, now_ms: float
+    ) -> list[Finding]:
         """An endpoint has given a whole answer of a version."""
         self.answered_ms[version] = now_ms
         own = self.failures.pop(endpoint, [])
-        fresh = [failure for failure in own if now_ms - failure.at_ms <= ALIVE_MS]
-        return [Finding(version, VersionTally(answers=1)), *_errors(fresh)]
+        fresh = [
+            failure for failure in own if now_ms - failure.at_ms <= RECOVERY_MAX_MS
+        ]
+        return [Finding(version, VersionTally(answers=1)), *_error_findings(fresh)]
 
-    def failed(self, endpoint: str, failure: Failure) -> list[Finding]:
+    def record_failure(self, endpoint: str, failure: Failure) -> list[Finding]:
         """An attempt at an endpoint has failed after it was sent."""
         pending = self.failures.setdefault(endpoint, [])
         pending.append(failure)
         del pending[:-PENDING_MAX]
         if not failure.replied:
             return []
-        return self._failing_everywhere(failure.version, failure.at_ms)
+        return self._errors_on_several_endpoints(failure.version, failure.at_ms)
 
-    def timed(self, endpoint: str, timing: Timing) -> None:
+    def record_timing(self, endpoint: str, timing: Timing) -> None:
         """An answer took so long; `reported` decides what that means."""
         pending = self.timings.setdefault(endpoint, [])
         pending.append(timing)
         del pending[:-PENDING_MAX]
 
-    def reported(self, report: LoadReport) -> list[Finding]:
+    def apply_report(self, report: LoadReport) -> list[Finding]:
         """A newer load report of an endpoint."""
         pending = self.timings.pop(report.endpoint, [])
         crowded = report.running + report.queued > report.slots
@@ -104,9 +108,11 @@
             self.timings[report.endpoint] = undecided
         if crowded:
             return []
-        return [_paced(timing) for timing in pending if timing not in undecided]
+        return [
+            _timing_finding(timing) for timing in pending if timing not in undecided
+        ]
 
-    def keep(self, endpoints: set[str], versions: set[str]) -> None:
+    def retain(self, endpoints: set[str], versions: set[str]) -> None:
         """Forget endpoints and versions that are no longer configured."""
         for pending in (self.failures, self.timings):
             for endpoint in [name for name in pending if name not in endpoints]:
@@ -114,10 +120,12 @@
         for version in [name for name in self.answered_ms if name not in versions]:
             del self.answered_ms[version]
 
-    def _failing_everywhere(self, version: str, now_ms: float) -> list[Finding]:
+    def _errors_on_several_endpoints(
+        self, version: str, now_ms: float
+    ) -> list[Finding]:
         """The errors of a version on two endpoints or more, with no answer since."""
         found = {
-            endpoint: [f for f in pending if _counts(f, version, now_ms)]
+            endpoint: [f for f in pending if _is_recent_error(f, version, now_ms)]
             for endpoint, pending in self.failures.items()
         }
         failing = {endpoint: own for endpoint, own in found.items() if own}
@@ -128,18 +136,18 @@
         for endpoint, own in failing.items():
             left = [f for f in self.failures[endpoint] if f not in own]
             self.failures[endpoint] = left
-        return _errors([failure for own in failing.values() for failure in own])
+        return _error_findings([failure for own in failing.values() for failure in own])
 
 
-def _counts(failure: Failure, version: str, now_ms: float) -> bool:
-    fresh = now_ms - failure.at_ms <= ALIVE_MS
+def _is_recent_error(failure: Failure, version: str, now_ms: float) -> bool:
+    fresh = now_ms - failure.at_ms <= RECOVERY_MAX_MS
     return fresh and failure.replied and failure.version == version
 
 
-def _errors(failures: list[Failure]) -> list[Finding]:
+def _error_findings(failures: list[Failure]) -> list[Finding]:
     return [Finding(failure.version, VersionTally(errors=1)) for failure in failures]
 
 
-def _paced(timing: Timing) -> Finding:
-    log_token_ms = math.log(max(TOKEN_FLOOR_MS, timing.token_ms))
+def _timing_finding(timing: Timing) -> Finding:
+    log_token_ms = math.log(max(TOKEN_MIN_MS, timing.token_ms))
     return Finding(timing.version, VersionTally(timed=1, log_latency_sum=log_token_ms))
--- a/ashlatch/policy/hedging.py
+++ b/ashlatch/policy/hedging.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class _Kind:
+class _AnswerKind:
     version: str
     stream: bool
 
@@ -55,19 +55,19 @@
     """
 
     samples_min: int
-    windows: dict[_Kind, _Window] = field(default_factory=dict)
+    windows: dict[_AnswerKind, _Window] = field(default_factory=dict)
 
-    def took(self, version: str, stream: bool, sign_ms: float) -> None:
+    def record_response(self, version: str, stream: bool, response_ms: float) -> None:
         """An answer has shown its first sign after so long."""
-        kind = _Kind(version, stream)
+        kind = _AnswerKind(version, stream)
         window = self.windows.setdefault(kind, _Window(_histogram()))
-        window.current.record_value(min(HIGHEST_MS, max(LOWEST_MS, int(sign_ms))))
+        window.current.record_value(min(HIGHEST_MS, max(LOWEST_MS, int(response_ms))))
         if window.current.get_total_count() >= WINDOW_SAMPLES:
             window.last, window.current = window.current, _histogram()
 
-    def after_ms(self, version: str, stream: bool) -> float | None:
+    def delay_ms(self, version: str, stream: bool) -> float | None:
         """How long to wait before a hedge; none while too little is known."""
-        window = self.windows.get(_Kind(version, stream))
+        window = self.windows.get(_AnswerKind(version, stream))
         if window is None:
             return None
         known = window.last or window.current
--- a/ashlatch/policy/limit.py
+++ b/ashlatch/policy/limit.py
@@ -17,14 +17,14 @@
 
 from ashlatch.resources import Organisation
 
-__all__ = ["Capacity", "Limits", "LimitRefusal", "OrganisationUse", "Refused"]
+__all__ = ["Capacity", "Limits", "LimitRefusal", "OrganisationUsage", "LimitReason"]
 
 SATURATED_RETRY_MS = 1000.0
 # What may stand at the endpoints under shortage: as much again as runs.
 QUEUE_FACTOR = 2.0
 
 
-class Refused(enum.Enum):
+class LimitReason(enum.Enum):
     """Why an organisation may not have more now."""
 
     RATE = "rate"
@@ -36,7 +36,7 @@
 class LimitRefusal:
     """A refusal, and when to come back."""
 
-    reason: Refused
+    reason: LimitReason
     retry_ms: float
 
 
@@ -49,7 +49,7 @@
 
 
 @dataclass
-class OrganisationUse:
+class OrganisationUsage:
     """A token bucket and a count of requests in flight, on this router."""
 
     tokens: float
@@ -65,7 +65,7 @@
     """
 
     router_share: float = 1.0
-    uses: dict[str, OrganisationUse] = field(default_factory=dict)
+    usages: dict[str, OrganisationUsage] = field(default_factory=dict)
 
     def check(
         self,
@@ -79,36 +79,36 @@
 
         `weights` are the share weights of all organisations.
         """
-        use = self._filled(name, organisation, now_ms)
+        use = self._refill(name, organisation, now_ms)
         if use.tokens < 1.0:
             rate_per_ms = organisation.rate_per_s * self.router_share / 1000.0
-            return LimitRefusal(Refused.RATE, (1.0 - use.tokens) / rate_per_ms)
+            return LimitRefusal(LimitReason.RATE, (1.0 - use.tokens) / rate_per_ms)
         allowed = max(1.0, organisation.concurrency_max * self.router_share)
         if use.in_flight >= allowed:
-            return LimitRefusal(Refused.CONCURRENCY, SATURATED_RETRY_MS)
+            return LimitRefusal(LimitReason.CONCURRENCY, SATURATED_RETRY_MS)
         if capacity.free_slots > 0 or capacity.slots <= 0:
             return None
         if use.in_flight >= self._fair_share(name, weights, capacity.slots):
-            return LimitRefusal(Refused.FAIR_SHARE, SATURATED_RETRY_MS)
+            return LimitRefusal(LimitReason.FAIR_SHARE, SATURATED_RETRY_MS)
         return None
 
-    def admitted(self, name: str) -> None:
+    def record_admitted(self, name: str) -> None:
         """A request of the organisation has been let in."""
-        use = self.uses[name]
+        use = self.usages[name]
         use.tokens -= 1.0
         use.in_flight += 1
 
-    def ended(self, name: str) -> None:
+    def record_ended(self, name: str) -> None:
         """A request of the organisation has got its final answer."""
-        self.uses[name].in_flight -= 1
+        self.usages[name].in_flight -= 1
 
-    def _filled(
+    def _refill(
         self, name: str, organisation: Organisation, now_ms: float
-    ) -> OrganisationUse:
+    ) -> OrganisationUsage:
         burst = max(1.0, organisation.burst_requests * self.router_share)
-        use = self.uses.get(name)
+        use = self.usages.get(name)
         if use is None:
-            use = self.uses[name] = OrganisationUse(burst, now_ms)
+            use = self.usages[name] = OrganisationUsage(burst, now_ms)
         earned = organisation.rate_per_s * self.router_share
         earned *= max(0.0, now_ms - use.filled_ms) / 1000.0
         use.tokens = min(burst, use.tokens + earned)
@@ -119,7 +119,7 @@
         self, name: str, weights: dict[str, float], capacity_slots: float
     ) -> float:
         """The organisation's part of the capacity among those in use now."""
-        active = {other for other, use in self.uses.items() if use.in_flight > 0}
+        active = {other for other, use in self.usages.items() if use.in_flight > 0}
         active.add(name)
         if len(active) == 1:
             return float("inf")
--- a/ashlatch/policy/load.py
+++ b/ashlatch/policy/load.py
@@ -52,7 +52,7 @@
     first_token_ms: float = 0.0
     _changes: deque[_Change] = field(default_factory=lambda: deque(maxlen=CHANGES_MAX))
 
-    def reported(self, report: LoadReport) -> None:
+    def apply_report(self, report: LoadReport) -> None:
         """Take a report, unless an older one."""
         if self.report is not None and report.at_ms < self.report.at_ms:
             return
@@ -60,21 +60,21 @@
         while self._changes and self._changes[0].at_ms <= report.at_ms:
             self._changes.popleft()
 
-    def forget_report(self) -> None:
+    def clear_report(self) -> None:
         """What was reported was of a process that has ended."""
         self.report = None
 
-    def sent(self, now_ms: float) -> None:
+    def record_sent(self, now_ms: float) -> None:
         """This router has sent a request."""
         self.in_flight += 1
         self._changes.append(_Change(now_ms, 1))
 
-    def finished(self, now_ms: float, took_ms: float | None) -> None:
+    def record_finished(self, now_ms: float, duration_ms: float | None) -> None:
         """A request has ended; with its time when it was answered."""
         self.in_flight -= 1
         self._changes.append(_Change(now_ms, -1))
-        if took_ms is not None:
-            self.service_ms += SERVICE_GAIN * (took_ms - self.service_ms)
+        if duration_ms is not None:
+            self.service_ms += SERVICE_GAIN * (duration_ms - self.service_ms)
 
     @property
     def slots(self) -> int:
@@ -89,7 +89,7 @@
         reported = self.report.running + self.report.queued
         return float(max(reported + since, self.in_flight, 0))
 
-    def has_room(self) -> bool:
+    def has_free_slot(self) -> bool:
         """Whether a new request would begin to run at once."""
         return self.requests() < self.slots
 
--- a/ashlatch/policy/load_advertisement.py
+++ b/ashlatch/policy/load_advertisement.py
@@ -12,7 +12,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["FULL", "ToldLoad", "load_level"]
+__all__ = ["FULL", "LoadAdvertisement", "load_level"]
 
 # Loads are told apart by quarters of the places: finer steps would be news with
 # nearly every answer.
@@ -22,7 +22,7 @@
 BUSY_LEVEL = 2
 # The same level is told again after this long, so that it stays known: what is
 # heard of a load is believed for 2.5 s.
-AGAIN_MS = 1000.0
+REPEAT_MS = 1000.0
 
 
 def load_level(requests: int, slots: int) -> int:
@@ -34,7 +34,7 @@
 
 
 @dataclass
-class ToldLoad:
+class LoadAdvertisement:
     """What was last told or heard of one endpoint's load::
 
     told = ToldLoad()
@@ -46,17 +46,17 @@
     _level: int = 0
     _at_ms: float = float("-inf")
 
-    def is_news(self, level: int, now_ms: float) -> bool:
+    def is_new(self, level: int, now_ms: float) -> bool:
         """Whether others should hear this; it counts as told then."""
         busy = level >= BUSY_LEVEL
         if not busy and self._level < BUSY_LEVEL:
             return False
-        if level == self._level and now_ms - self._at_ms < AGAIN_MS:
+        if level == self._level and now_ms - self._at_ms < REPEAT_MS:
             return False
-        self.heard(level, now_ms)
+        self.record(level, now_ms)
         return True
 
-    def heard(self, level: int, now_ms: float) -> None:
+    def record(self, level: int, now_ms: float) -> None:
         """Others know this level already."""
         self._level = level
         self._at_ms = now_ms
--- a/ashlatch/policy/permission.py
+++ b/ashlatch/policy/permission.py
@@ -10,13 +10,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-__all__ = ["ALLOWED", "NEVER_MS", "Barrier", "Permission", "combine"]
+__all__ = ["ALLOWED", "NEVER_MS", "DenialReason", "Permission", "combine"]
 
 # Nothing that is known here ends by itself.
 NEVER_MS = float("inf")
 
 
-class Barrier(enum.Enum):
+class DenialReason(enum.Enum):
     """Why nothing may be sent to an endpoint.
 
     `LEAVING`: it is about to end. `EVACUATED`: its hall is. `REPLACED`: another
@@ -40,19 +40,19 @@
     `wait_ms` is infinite for a barrier whose end is not known here.
     """
 
-    barrier: Barrier | None = None
+    denial_reason: DenialReason | None = None
     wait_ms: float = 0.0
 
     @property
     def granted(self) -> bool:
         """Whether a request may be sent now."""
-        return self.barrier is None
+        return self.denial_reason is None
 
 
 ALLOWED = Permission()
 
 
-def combine(waits: Iterable[tuple[Barrier, float]]) -> Permission:
+def combine(waits: Iterable[tuple[DenialReason, float]]) -> Permission:
     """The permission that several barriers leave, by how long each stands::
 
         combine([(Barrier.BACKOFF, 500.0), (Barrier.LIMITED, 0.0)])
--- a/ashlatch/policy/prefill_rate.py
+++ b/ashlatch/policy/prefill_rate.py
@@ -15,17 +15,17 @@
 
 import msgspec
 
-__all__ = ["ReadingRate", "ReadingRates"]
+__all__ = ["PrefillRate", "PrefillRates"]
 
 # The rate is a low quantile of the latest: queues and prompts of others only add to
 # it, and a few prompts were kept without the gateway knowing. For the smallest model
 # at 13 requests a second that gave 0.0146 ms a token (median of what was foreseen),
 # an average that follows each answer 0.03 to 0.04.
-RATES_KEPT = 40
+RATES_MAX = 40
 RATE_QUANTILE = 0.15
 
 
-class ReadingRate(msgspec.Struct, frozen=True, array_like=True):
+class PrefillRate(msgspec.Struct, frozen=True, array_like=True):
     """What a model of a service takes to read a token: seen once, or estimated."""
 
     service: str
@@ -34,7 +34,7 @@
 
 
 @dataclass
-class ReadingRates:
+class PrefillRates:
     """The latest rates, and an estimate of each::
 
     rates = ReadingRates()
@@ -44,11 +44,11 @@
     """
 
     _latest: dict[tuple[str, str], deque[float]] = field(
-        default_factory=lambda: defaultdict(lambda: deque(maxlen=RATES_KEPT))
+        default_factory=lambda: defaultdict(lambda: deque(maxlen=RATES_MAX))
     )
     _estimates: dict[tuple[str, str], float] = field(default_factory=dict)
 
-    def add(self, rates: Iterable[ReadingRate]) -> None:
+    def add(self, rates: Iterable[PrefillRate]) -> None:
         """Take rates that were seen."""
         for rate in rates:
             key = (rate.service, rate.model)
@@ -61,6 +61,6 @@
         """The estimate for a model; none before the first rate."""
         return self._estimates.get((service, model))
 
-    def estimates(self) -> tuple[ReadingRate, ...]:
+    def estimates(self) -> tuple[PrefillRate, ...]:
         """All estimates."""
-        return tuple(ReadingRate(*key, ms) for key, ms in self._estimates.items())
+        return tuple(PrefillRate(*key, ms) for key, ms in self._estimates.items())
--- a/ashlatch/policy/quality.py
+++ b/ashlatch/policy/quality.py
@@ -13,10 +13,10 @@
 import math
 from dataclasses import dataclass, field
 
-__all__ = ["QualityBook", "QualityEstimate"]
+__all__ = ["QualityTracker", "QualityEstimate"]
 
 PRIOR_RATINGS = 8.0
-MEMORY_RATINGS = 2000.0
+WEIGHT_MAX = 2000.0
 RATING_SD = 0.25
 
 
@@ -29,7 +29,7 @@
 
     def add(self, rating: float) -> None:
         """Learn from one rating (0 to 1)."""
-        self.weight = min(self.weight + 1.0, MEMORY_RATINGS)
+        self.weight = min(self.weight + 1.0, WEIGHT_MAX)
         self.mean += (rating - self.mean) / self.weight
 
     @property
@@ -47,7 +47,7 @@
 
 
 @dataclass
-class QualityBook:
+class QualityTracker:
     """All estimates, and how far each route is from its target.
 
     `achieved` holds the mean rating of what a route really answered.
@@ -64,7 +64,9 @@
             found = self.estimates[key] = QualityEstimate(prior)
         return found
 
-    def rated(self, route: str, version: str, prior: float, rating: float) -> None:
+    def record_rating(
+        self, route: str, version: str, prior: float, rating: float
+    ) -> None:
         """Learn from one rating of an answer."""
         self.estimate(route, version, prior).add(rating)
         achieved = self.achieved.get(route)
--- a/ashlatch/policy/quarantine.py
+++ b/ashlatch/policy/quarantine.py
@@ -29,27 +29,27 @@
     "Quarantine",
     "UnloggedCrashes",
     "endpoint_digest",
-    "merge_record",
-    "merged",
+    "apply_record",
+    "merge_records",
 ]
 
 # Crashes without a good run between them, until a content is held. A request that only
 # ran beside another one's crash is rarely there three times; and each more costs its
 # callers an engine.
-CRASHES_MAX = 3
+CRASHES_TO_QUARANTINE = 3
 # For how long it is held, doubled for each further crash: long enough that a content
 # which is sent for ever costs an engine in ten minutes at first, and one a day later.
-HOLD_MS = 600_000
-HOLD_MAX_MS = 86_400_000
+QUARANTINE_MS = 600_000
+QUARANTINE_MAX_MS = 86_400_000
 # Two reports of a crash of one endpoint within this time are of the same one: the
 # gateways see it within milliseconds, their clocks differ a little, and an endpoint
 # is back after seconds.
 SAME_CRASH_MS = 1000
 # The crashes that are remembered of a content, the newest.
-CRASHES_KEPT = 16
+CRASHES_PER_RECORD_MAX = 16
 # How often the core is told of a content at most, some times a second: a core that has
 # no room for its record does not confirm it.
-TOLD_MAX = 20
+REPORTS_MAX = 20
 # The contents that are remembered; those that are held give way last. A crash leaves
 # a few dozen suspects, and all records together are told to a gateway that starts.
 RECORDS_MAX = 512
@@ -65,9 +65,9 @@
     endpoint: int
     started_unix_ms: int
     at_unix_ms: int
-    survived: bool = False
+    completed_since: bool = False
 
-    def same(self, other: "Crash") -> bool:
+    def is_same(self, other: "Crash") -> bool:
         """Whether both are reports of one crash."""
         lives = (self.endpoint, self.started_unix_ms)
         if lives != (other.endpoint, other.started_unix_ms):
@@ -79,22 +79,22 @@
 class CrashRecord(msgspec.Struct, frozen=True, array_like=True):
     """The crashes of endpoints that ran a content; the newest are last."""
 
-    content: int
+    fingerprint: int
     crashes: tuple[Crash, ...]
 
     @property
-    def unsurvived(self) -> tuple[Crash, ...]:
+    def counted_crashes(self) -> tuple[Crash, ...]:
         """The crashes since its last good run."""
-        return tuple(c for c in self.crashes if not c.survived)
+        return tuple(c for c in self.crashes if not c.completed_since)
 
     @property
-    def held_until_unix_ms(self) -> int:
+    def quarantined_until_unix_ms(self) -> int:
         """When its quarantine ends; 0 when there are too few crashes for one."""
-        crashes = self.unsurvived
-        if len(crashes) < CRASHES_MAX:
+        crashes = self.counted_crashes
+        if len(crashes) < CRASHES_TO_QUARANTINE:
             return 0
-        hold_ms = HOLD_MS << (len(crashes) - CRASHES_MAX)
-        return crashes[-1].at_unix_ms + min(HOLD_MAX_MS, hold_ms)
+        hold_ms = QUARANTINE_MS << (len(crashes) - CRASHES_TO_QUARANTINE)
+        return crashes[-1].at_unix_ms + min(QUARANTINE_MAX_MS, hold_ms)
 
 
 def endpoint_digest(instance: str) -> int:
@@ -102,38 +102,43 @@
     return xxhash.xxh3_64_intdigest(instance.encode())
 
 
-def merged(one: CrashRecord, other: CrashRecord) -> CrashRecord:
+def merge_records(one: CrashRecord, other: CrashRecord) -> CrashRecord:
     """What both know of a content, in any order of merging.
 
     A good run after a crash stays known, whoever tells of the crash later.
     """
     crashes: list[Crash] = []
-    for crash in sorted((*one.crashes, *other.crashes), key=_order):
-        at = next((n for n, c in enumerate(crashes) if c.same(crash)), None)
+    for crash in sorted((*one.crashes, *other.crashes), key=_sort_key):
+        at = next((n for n, c in enumerate(crashes) if c.is_same(crash)), None)
         if at is None:
             crashes.append(crash)
-        elif crash.survived:
+        elif crash.completed_since:
             crashes[at] = msgspec.structs.replace(crashes[at], survived=True)
-    return CrashRecord(one.content, tuple(crashes[-CRASHES_KEPT:]))
+    return CrashRecord(one.fingerprint, tuple(crashes[-CRASHES_PER_RECORD_MAX:]))
 
 
-def _order(crash: Crash) -> tuple[int, int, int, bool]:
-    return crash.at_unix_ms, crash.endpoint, crash.started_unix_ms, crash.survived
+def _sort_key(crash: Crash) -> tuple[int, int, int, bool]:
+    return (
+        crash.at_unix_ms,
+        crash.endpoint,
+        crash.started_unix_ms,
+        crash.completed_since,
+    )
 
 
-def merge_record(records: dict[int, CrashRecord], told: CrashRecord) -> bool:
+def apply_record(records: dict[int, CrashRecord], update: CrashRecord) -> bool:
     """Take what is told of a content; whether that is news.
 
     The number of records stays bounded: the one with the fewest crashes since a good
     run gives way, the oldest of them first.
     """
-    known = records.get(told.content, CrashRecord(told.content, ()))
-    record = merged(known, told)
+    known = records.get(update.fingerprint, CrashRecord(update.fingerprint, ()))
+    record = merge_records(known, update)
     if record == known:
         return False
-    records[told.content] = record
+    records[update.fingerprint] = record
     if len(records) > RECORDS_MAX:
-        del records[min(records, key=lambda content: _weight(records[content]))]
+        del records[min(records, key=lambda content: _retention_key(records[content]))]
     return True
 
 
@@ -148,13 +153,13 @@
     numbers: dict[int, int] = {}
     number: int = 0
 
-    def note(self, told: Iterable[CrashRecord]) -> bool:
+    def apply(self, updates: Iterable[CrashRecord]) -> bool:
         """Take records; whether any of them is news."""
         before = self.number
-        for record in told:
-            if merge_record(self.records, record):
+        for record in updates:
+            if apply_record(self.records, record):
                 self.number += 1
-                self.numbers[record.content] = self.number
+                self.numbers[record.fingerprint] = self.number
         self.numbers = {content: self.numbers[content] for content in self.records}
         return self.number > before
 
@@ -164,8 +169,8 @@
 
     def covers(self, record: CrashRecord) -> bool:
         """Whether all that a record tells is known."""
-        held = self.records.get(record.content)
-        return held is not None and merged(held, record) == held
+        held = self.records.get(record.fingerprint)
+        return held is not None and merge_records(held, record) == held
 
 
 @dataclass
@@ -177,12 +182,12 @@
 
     _records: dict[int, CrashRecord] = field(default_factory=dict)
 
-    def take(self, told: Iterable[CrashRecord]) -> bool:
+    def apply(self, updates: Iterable[CrashRecord]) -> bool:
         """Take records; whether any of them is news."""
-        news = [merge_record(self._records, record) for record in told]
+        news = [apply_record(self._records, record) for record in updates]
         return any(news)
 
-    def unknown_to(self, log: CrashLog) -> tuple[CrashRecord, ...]:
+    def missing_from(self, log: CrashLog) -> tuple[CrashRecord, ...]:
         """What the log does not hold; the rest is forgotten."""
         for content, record in tuple(self._records.items()):
             if log.covers(record):
@@ -190,9 +195,9 @@
         return tuple(self._records.values())
 
 
-def _weight(record: CrashRecord) -> tuple[int, int, int]:
+def _retention_key(record: CrashRecord) -> tuple[int, int, int]:
     newest_ms = record.crashes[-1].at_unix_ms if record.crashes else 0
-    return len(record.unsurvived), newest_ms, record.content
+    return len(record.counted_crashes), newest_ms, record.fingerprint
 
 
 @dataclass
@@ -209,62 +214,62 @@
 
     _records: dict[int, CrashRecord] = field(default_factory=dict)
     # What the core has not confirmed, and how often it was told of it.
-    _untold: dict[int, int] = field(default_factory=dict)
+    _unconfirmed: dict[int, int] = field(default_factory=dict)
 
-    def crashed(
-        self, content: int, instance: str, started_unix_ms: int, now_unix_ms: int
+    def record_crash(
+        self, fingerprint: int, instance: str, started_unix_ms: int, now_unix_ms: int
     ) -> CrashRecord:
         """An endpoint has ended while it ran a content here."""
         crash = Crash(endpoint_digest(instance), started_unix_ms, now_unix_ms)
-        self._note(CrashRecord(content, (crash,)))
-        return self._records[content]
+        self._record(CrashRecord(fingerprint, (crash,)))
+        return self._records[fingerprint]
 
-    def survived(self, content: int) -> bool:
+    def record_completed(self, fingerprint: int) -> bool:
         """A content has run to its end; whether it was a suspect."""
-        record = self._records.get(content)
-        if record is None or not record.unsurvived:
+        record = self._records.get(fingerprint)
+        if record is None or not record.counted_crashes:
             return False
         crashes = tuple(
             msgspec.structs.replace(c, survived=True) for c in record.crashes
         )
-        self._note(CrashRecord(content, crashes))
+        self._record(CrashRecord(fingerprint, crashes))
         return True
 
-    def learn(self, record: CrashRecord) -> bool:
+    def apply(self, record: CrashRecord) -> bool:
         """Take what another gateway has found; whether that is news."""
-        return merge_record(self._records, record)
+        return apply_record(self._records, record)
 
-    def crashes(self, content: int) -> int:
+    def crash_count(self, fingerprint: int) -> int:
         """How many endpoints have ended under a content since its last good run."""
-        record = self._records.get(content)
-        return len(record.unsurvived) if record is not None else 0
+        record = self._records.get(fingerprint)
+        return len(record.counted_crashes) if record is not None else 0
 
-    def held_ms(self, content: int, now_unix_ms: float) -> float:
+    def remaining_ms(self, fingerprint: int, now_unix_ms: float) -> float:
         """How long a content is refused yet; 0 when it may be sent."""
-        record = self._records.get(content)
+        record = self._records.get(fingerprint)
         if record is None:
             return 0.0
-        return max(0.0, record.held_until_unix_ms - now_unix_ms)
+        return max(0.0, record.quarantined_until_unix_ms - now_unix_ms)
 
-    def to_tell(self) -> tuple[CrashRecord, ...]:
+    def unconfirmed(self) -> tuple[CrashRecord, ...]:
         """What was found here and the core has not confirmed yet."""
         # Routers ask on another thread than the one that notes.
-        found = (self._records.get(content) for content in list(self._untold))
+        found = (self._records.get(content) for content in list(self._unconfirmed))
         return tuple(record for record in found if record is not None)
 
-    def told(self, records: Iterable[CrashRecord]) -> None:
+    def record_reported(self, records: Iterable[CrashRecord]) -> None:
         """A core VM was told of these; it may be lost before it passes them on."""
         for record in records:
-            times = self._untold.pop(record.content, TOLD_MAX) + 1
-            if times < TOLD_MAX:
-                self._untold[record.content] = times
+            times = self._unconfirmed.pop(record.fingerprint, REPORTS_MAX) + 1
+            if times < REPORTS_MAX:
+                self._unconfirmed[record.fingerprint] = times
 
     def confirm(self, record: CrashRecord) -> None:
         """The core has a record in its log: what it covers is told no more."""
-        known = self._records.get(record.content)
-        if known is None or merged(record, known) == record:
-            self._untold.pop(record.content, None)
+        known = self._records.get(record.fingerprint)
+        if known is None or merge_records(record, known) == record:
+            self._unconfirmed.pop(record.fingerprint, None)
 
-    def _note(self, record: CrashRecord) -> None:
-        merge_record(self._records, record)
-        self._untold[record.content] = 0
+    def _record(self, record: CrashRecord) -> None:
+        apply_record(self._records, record)
+        self._unconfirmed[record.fingerprint] = 0
--- a/ashlatch/policy/rate_limit.py
+++ b/ashlatch/policy/rate_limit.py
@@ -16,7 +16,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["NO_LIMIT", "RateLimit", "Sharers"]
+__all__ = ["NO_LIMIT", "RateLimit", "LimitSharing"]
 
 # The rate of an endpoint that names no limit.
 NO_LIMIT = float("inf")
@@ -26,35 +26,35 @@
 RATE_MIN_PER_S = 0.25
 # What is not sent may be sent later, up to what the endpoint takes in this time: a
 # pause of callers must not lead to a burst.
-SAVED_S = 0.25
+BURST_S = 0.25
 # Sends that cross on their way between gateways are made up for by a pause, but by no
 # longer one than this: who has heard of a few sends less would send alone for good, and
 # an endpoint that takes few would be asked nothing for as many seconds.
-OWED_MAX_S = 1.5
+DEBT_MAX_S = 1.5
 # Gateways wait for a token and for a drawn part of this time, or of another token if
 # that comes sooner, so that they do not all send at the moment at which it is there: a
 # message between them takes milliseconds.
-DRAWN_MAX_S = 1.0
+JITTER_MAX_S = 1.0
 # A limit that others know is told again after this long, for gateways that have
 # started since, or when it differs by this part.
-TOLD_AGAIN_MS = 1000.0
+REBROADCAST_MS = 1000.0
 CHANGE_MIN = 0.05
 
 
 @dataclass(frozen=True)
-class Sharers:
+class LimitSharing:
     """The `gateways` that share a limit; `in_touch` if they hear of each other's sends.
 
     One that hears nothing uses its fixed part of the limit, and no more.
     """
 
     gateways: int = 1
-    in_touch: bool = True
+    connected: bool = True
 
     @property
     def share(self) -> float:
         """The part of the limit that this gateway may use."""
-        return 1.0 if self.in_touch else 1.0 / self.gateways
+        return 1.0 if self.connected else 1.0 / self.gateways
 
     @property
     def send_cost(self) -> float:
@@ -63,7 +63,7 @@
         More than one, so that who has sent lets the others go before: one that has
         missed a few messages would go first each time.
         """
-        return 2.0 - 1.0 / self.gateways if self.in_touch else 1.0
+        return 2.0 - 1.0 / self.gateways if self.connected else 1.0
 
 
 @dataclass
@@ -82,40 +82,40 @@
     """
 
     per_s: float = NO_LIMIT
-    heard_ms: float = float("-inf")
-    told_ms: float = float("-inf")
+    received_ms: float = float("-inf")
+    broadcast_ms: float = float("-inf")
     _tokens: float = 0.0
-    _filled_ms: float = 0.0
-    _drawn: float = 0.0
+    _refilled_ms: float = 0.0
+    _jitter: float = 0.0
 
     @property
     def limited(self) -> bool:
         """Whether the endpoint names a limit, as far as is known."""
         return self.per_s != NO_LIMIT
 
-    def is_news(self, per_s: float, now_ms: float) -> bool:
+    def is_new(self, per_s: float, now_ms: float) -> bool:
         """Whether others should hear of the limit that the endpoint has named."""
-        if not self.limited or now_ms - self.told_ms >= TOLD_AGAIN_MS:
+        if not self.limited or now_ms - self.broadcast_ms >= REBROADCAST_MS:
             return True
         return abs(per_s - self.per_s) > CHANGE_MIN * self.per_s
 
     def set_rate(
-        self, per_s: float, sharers: Sharers, drawn: float, now_ms: float
+        self, per_s: float, sharing: LimitSharing, jitter: float, now_ms: float
     ) -> None:
         """The endpoint names a limit, which may be another one than before."""
-        self.heard_ms = now_ms
+        self.received_ms = now_ms
         if self.limited:
-            self._fill(sharers, now_ms)
+            self._refill(sharing, now_ms)
         else:
             # It has just had more than it takes, from gateways that did not know.
             self._tokens = 0.0
-            self._filled_ms = now_ms
+            self._refilled_ms = now_ms
         changed = per_s != self.per_s
         self.per_s = per_s
         if changed:
             # What was saved or owed at another rate may take far longer at this one.
-            self._keep_within(sharers)
-            self._drawn = drawn
+            self._clamp_tokens(sharing)
+            self._jitter = jitter
 
     def clear(self) -> None:
         """The endpoint names no limit any more."""
@@ -128,59 +128,61 @@
         is believed at once; a higher one, or none, only if the present one has not been
         named since: the answer may be older than that.
         """
-        return per_s <= self.per_s or self.heard_ms < sent_ms
+        return per_s <= self.per_s or self.received_ms < sent_ms
 
-    def wait_ms(self, sharers: Sharers, now_ms: float) -> float:
+    def wait_ms(self, sharing: LimitSharing, now_ms: float) -> float:
         """The time until a request may be sent; 0 if it may be now."""
         if not self.limited:
             return 0.0
-        self._fill(sharers, now_ms)
+        self._refill(sharing, now_ms)
         # By what holds now: what was drawn apart from the others may be more than is
         # ever saved together with them.
-        needed = 1.0 + self._drawn * self._drawn_max(sharers)
+        needed = 1.0 + self._jitter * self._jitter_max(sharing)
         missing = max(0.0, needed - self._tokens)
-        return missing / self._rate_per_s(sharers) * SECOND_MS
+        return missing / self._rate_per_s(sharing) * SECOND_MS
 
-    def sent(self, sharers: Sharers, drawn: float, now_ms: float) -> None:
+    def record_sent(self, sharing: LimitSharing, jitter: float, now_ms: float) -> None:
         """A request of this gateway goes there."""
-        self._take(sharers.send_cost, sharers, drawn, now_ms)
+        self._spend(sharing.send_cost, sharing, jitter, now_ms)
 
-    def sent_elsewhere(self, sharers: Sharers, drawn: float, now_ms: float) -> None:
+    def record_peer_sent(
+        self, sharing: LimitSharing, jitter: float, now_ms: float
+    ) -> None:
         """A request of another gateway goes there."""
-        self._take(1.0, sharers, drawn, now_ms)
+        self._spend(1.0, sharing, jitter, now_ms)
 
-    def _take(
-        self, tokens: float, sharers: Sharers, drawn: float, now_ms: float
+    def _spend(
+        self, tokens: float, sharing: LimitSharing, jitter: float, now_ms: float
     ) -> None:
         if not self.limited:
             return
-        self._fill(sharers, now_ms)
+        self._refill(sharing, now_ms)
         self._tokens -= tokens
-        self._keep_within(sharers)
-        self._drawn = drawn
+        self._clamp_tokens(sharing)
+        self._jitter = jitter
 
-    def _drawn_max(self, sharers: Sharers) -> float:
+    def _jitter_max(self, sharing: LimitSharing) -> float:
         """The most tokens beyond one that are waited for.
 
         Gateways that hear nothing of each other's sends spread them over the whole
         time to their next one.
         """
-        if not sharers.in_touch:
+        if not sharing.connected:
             return 1.0
-        return min(1.0, DRAWN_MAX_S * self._rate_per_s(sharers))
+        return min(1.0, JITTER_MAX_S * self._rate_per_s(sharing))
 
-    def _fill(self, sharers: Sharers, now_ms: float) -> None:
-        elapsed_s = max(0.0, now_ms - self._filled_ms) / SECOND_MS
-        self._tokens += self._rate_per_s(sharers) * elapsed_s
-        self._filled_ms = now_ms
-        self._keep_within(sharers)
+    def _refill(self, sharing: LimitSharing, now_ms: float) -> None:
+        elapsed_s = max(0.0, now_ms - self._refilled_ms) / SECOND_MS
+        self._tokens += self._rate_per_s(sharing) * elapsed_s
+        self._refilled_ms = now_ms
+        self._clamp_tokens(sharing)
 
-    def _keep_within(self, sharers: Sharers) -> None:
+    def _clamp_tokens(self, sharing: LimitSharing) -> None:
         """Bound what is saved and what is owed."""
-        rate_per_s = self._rate_per_s(sharers)
-        most = 1.0 + self._drawn_max(sharers) + SAVED_S * rate_per_s
-        least = -OWED_MAX_S * rate_per_s
+        rate_per_s = self._rate_per_s(sharing)
+        most = 1.0 + self._jitter_max(sharing) + BURST_S * rate_per_s
+        least = -DEBT_MAX_S * rate_per_s
         self._tokens = max(least, min(most, self._tokens))
 
-    def _rate_per_s(self, sharers: Sharers) -> float:
-        return max(self.per_s, RATE_MIN_PER_S) * sharers.share
+    def _rate_per_s(self, sharing: LimitSharing) -> float:
+        return max(self.per_s, RATE_MIN_PER_S) * sharing.share
--- a/ashlatch/policy/workload.py
+++ b/ashlatch/policy/workload.py
@@ -32,17 +32,17 @@
 
     def add(self, work_ms: float, now_ms: float) -> None:
         """More work comes."""
-        if self.left_ms(now_ms) == 0.0:
+        if self.remaining_ms(now_ms) == 0.0:
             self._longest_ms = 0.0
         self._longest_ms = max(self._longest_ms, work_ms)
-        self._work_ms = min(self.left_ms(now_ms) + work_ms, WORK_MAX_MS)
+        self._work_ms = min(self.remaining_ms(now_ms) + work_ms, WORK_MAX_MS)
         self._at_ms = now_ms
 
-    def left_ms(self, now_ms: float) -> float:
+    def remaining_ms(self, now_ms: float) -> float:
         """The work that is left."""
         return max(0.0, self._work_ms - (now_ms - self._at_ms))
 
-    def nothing_waits(self, now_ms: float) -> None:
+    def clear_queue(self, now_ms: float) -> None:
         """The engine has told that no work waits: one piece is left at most."""
-        self._work_ms = min(self.left_ms(now_ms), self._longest_ms)
+        self._work_ms = min(self.remaining_ms(now_ms), self._longest_ms)
         self._at_ms = now_ms
--- a/ashlatch/router/admission.py
+++ b/ashlatch/router/admission.py
@@ -11,7 +11,7 @@
 
 from ashlatch.http import problem as problems
 from ashlatch.http.problem import Problem
-from ashlatch.policy.limit import Capacity, Refused
+from ashlatch.policy.limit import Capacity, LimitReason
 from ashlatch.router.core import HANDLERS, CachedPin, Flight, RouterCore
 from ashlatch.router.effect import ProposeClaim, ProposeClose, ScheduleClaim
 from ashlatch.router.ending import end_with_problem, give_answer, give_problem
@@ -53,7 +53,7 @@
         flight.given = True
         end_with_problem(core, flight, problem, admitted=False)
         return
-    core.limits.admitted(request.organisation)
+    core.limits.record_admitted(request.organisation)
     core.budget.earn()
     core.hedge_budget.earn()
     _begin(core, flight)
@@ -84,7 +84,7 @@
     )
     if refused is None:
         return None
-    fair = refused.reason is Refused.FAIR_SHARE
+    fair = refused.reason is LimitReason.FAIR_SHARE
     kind = problems.FAIR_SHARE if fair else problems.RATE_LIMITED
     return Problem(kind, refused.reason.value, not_run, refused.retry_ms)
 
--- a/ashlatch/router/attempt.py
+++ b/ashlatch/router/attempt.py
@@ -59,7 +59,7 @@
 def _attempt_ended(core: RouterCore, event: AttemptEnded) -> None:
     loser = core.losers.pop(event.attempt_id, None)
     if loser is not None:
-        core.endpoints.load(loser).finished(core.now_ms, None)
+        core.endpoints.load(loser).record_finished(core.now_ms, None)
         return
     flight = core.flights.get(event.request_id)
     leg = flight.leg_of(event.attempt_id) if flight else None
--- a/ashlatch/router/core.py
+++ b/ashlatch/router/core.py
@@ -19,7 +19,7 @@
 from ashlatch.policy.limit import Limits
 from ashlatch.policy.quarantine import Quarantine
 from ashlatch.policy.retry import RetryBudget
-from ashlatch.policy.slowness import Paces
+from ashlatch.policy.slowness import LatencyHistory
 from ashlatch.policy.table import NamedEndpoint
 from ashlatch.registry import Handlers
 from ashlatch.router.effect import CancelAttempt, Effect, StartAttempt
@@ -138,7 +138,7 @@
     evidence: Evidence = field(default_factory=Evidence)
     tallies: dict[str, VersionTally] = field(default_factory=dict)
     seen_totals: dict[str, VersionTally] = field(default_factory=dict)
-    paces: Paces = field(default_factory=Paces)
+    paces: LatencyHistory = field(default_factory=LatencyHistory)
     limits: Limits = field(default_factory=Limits)
     effects: list[Effect] = field(default_factory=list)
 
--- a/ashlatch/router/daemon.py
+++ b/ashlatch/router/daemon.py
@@ -215,7 +215,7 @@
             self._builder.revision,
             wait_ms,
             reports,
-            core.quarantine.to_tell(),
+            core.quarantine.unconfirmed(),
             self._crashes_known,
         )
 
--- a/ashlatch/router/ending.py
+++ b/ashlatch/router/ending.py
@@ -82,7 +82,7 @@
         )
     )
     _log_end(core, flight, answer.status, None)
-    core.limits.ended(request.organisation)
+    core.limits.record_ended(request.organisation)
     forget(core, flight)
 
 
@@ -108,7 +108,7 @@
     core.effects.append(GiveProblem(request.request_id, problem))
     _log_end(core, flight, problem.kind.status, problem)
     if admitted:
-        core.limits.ended(request.organisation)
+        core.limits.record_ended(request.organisation)
     cancelled = problem.kind is problems.DEADLINE_PASSED and flight.leg is not None
     if not cancelled or not admitted:
         forget(core, flight)
--- a/ashlatch/router/endpoints.py
+++ b/ashlatch/router/endpoints.py
@@ -16,13 +16,13 @@
 from ashlatch.policy.backoff import Backoff
 from ashlatch.policy.breaker import Breaker
 from ashlatch.policy.load import EndpointLoad
-from ashlatch.policy.permission import NEVER_MS, Barrier, Permission, combine
-from ashlatch.policy.rate_limit import RateLimit, Sharers
+from ashlatch.policy.permission import NEVER_MS, DenialReason, Permission, combine
+from ashlatch.policy.rate_limit import LimitSharing, RateLimit
 from ashlatch.settings import PolicySettings
 
 __all__ = ["EndpointBook"]
 
-_LEAVING = Permission(Barrier.LEAVING, NEVER_MS)
+_LEAVING = Permission(DenialReason.LEAVING, NEVER_MS)
 
 
 @dataclass
@@ -42,7 +42,7 @@
     backoffs: dict[str, Backoff] = field(default_factory=dict)
     leaving: set[str] = field(default_factory=set)
     listed_leaving: frozenset[str] = frozenset()
-    sharers: Sharers = Sharers(in_touch=False)
+    sharers: LimitSharing = LimitSharing(connected=False)
 
     def keep_only(self, known: Set[str]) -> None:
         """Drop what is known of other endpoints, once nothing runs there."""
@@ -96,10 +96,10 @@
         open_permission = self.open_permission(endpoint, now_ms)
         limit = self.limits.get(endpoint)
         limit_ms = limit.wait_ms(self.sharers, now_ms) if limit else 0.0
-        if open_permission.barrier is None:
-            return combine([(Barrier.LIMITED, limit_ms)])
-        waits = [(open_permission.barrier, open_permission.wait_ms)]
-        return combine([*waits, (Barrier.LIMITED, limit_ms)])
+        if open_permission.denial_reason is None:
+            return combine([(DenialReason.LIMITED, limit_ms)])
+        waits = [(open_permission.denial_reason, open_permission.wait_ms)]
+        return combine([*waits, (DenialReason.LIMITED, limit_ms)])
 
     def open_permission(self, endpoint: str, now_ms: float) -> Permission:
         """The same without its rate limit, from which a planned send has been taken."""
@@ -107,14 +107,14 @@
             return _LEAVING
         backoff = self.backoffs.get(endpoint)
         backoff_ms = backoff.wait_ms(now_ms) if backoff else 0.0
-        return combine([(Barrier.BACKOFF, backoff_ms)])
+        return combine([(DenialReason.BACKOFF, backoff_ms)])
 
     def sent(self, endpoint: str, now_ms: float) -> None:
         """A request goes to an endpoint."""
-        self.load(endpoint).sent(now_ms)
-        self.breaker(endpoint).sent(now_ms)
+        self.load(endpoint).record_sent(now_ms)
+        self.breaker(endpoint).record_sent(now_ms)
         if endpoint in self.backoffs:
-            self.backoffs[endpoint].sent(now_ms)
+            self.backoffs[endpoint].record_sent(now_ms)
         if endpoint in self.limits:
             drawn = self.generator.random()
-            self.limits[endpoint].sent(self.sharers, drawn, now_ms)
+            self.limits[endpoint].record_sent(self.sharers, drawn, now_ms)
--- a/ashlatch/router/hedge.py
+++ b/ashlatch/router/hedge.py
@@ -45,4 +45,4 @@
     plan = plan_attempt(core, flight, flight.version)
     if not isinstance(plan, Plan):
         return None
-    return plan if core.endpoints.load(plan.endpoint.name).has_room() else None
+    return plan if core.endpoints.load(plan.endpoint.name).has_free_slot() else None
--- a/ashlatch/router/knowledge.py
+++ b/ashlatch/router/knowledge.py
@@ -15,8 +15,8 @@
 from ashlatch.errors import InvariantViolated
 from ashlatch.log import LogEvent
 from ashlatch.policy.detector import VersionTally
-from ashlatch.policy.rate_limit import Sharers
-from ashlatch.policy.slowness import take_tallies
+from ashlatch.policy.rate_limit import LimitSharing
+from ashlatch.policy.slowness import apply_tallies
 from ashlatch.router.core import HANDLERS, RouterCore
 from ashlatch.router.effect import WriteLog
 from ashlatch.router.event import (
@@ -67,7 +67,7 @@
         if touched or pin.version in event.touched_versions:
             del core.pins[key]
     endpoints = {e.name for pool in table.endpoints.values() for e in pool}
-    core.evidence.keep(endpoints, set(table.versions))
+    core.evidence.retain(endpoints, set(table.versions))
     # A version that is withdrawn, or let back, is judged afresh.
     for version in list(core.planner.detectors):
         if version not in table.versions or version in event.touched_versions:
@@ -92,7 +92,7 @@
     core.lease_until_ms = max(core.lease_until_ms, event.until_ms)
     routers = max(1, event.routers)
     core.limits.router_share = 1.0 / routers
-    core.endpoints.sharers = Sharers(routers, in_touch=False)
+    core.endpoints.sharers = LimitSharing(routers, connected=False)
 
 
 @HANDLERS.on(LoadReported)
@@ -104,8 +104,8 @@
     own = {endpoint.name for endpoint in core.planner.offered(event.pool)}
     for report in event.reports:
         if report.endpoint in own:
-            core.endpoints.load(report.endpoint).reported(report)
-            core.found(core.evidence.reported(report))
+            core.endpoints.load(report.endpoint).apply_report(report)
+            core.found(core.evidence.apply_report(report))
     core.endpoints.leaving |= event.leaving & own
 
 
@@ -114,7 +114,7 @@
     spec = core.planner.table.versions.get(event.version)
     if spec is None:
         return
-    core.planner.quality.rated(
+    core.planner.quality.record_rating(
         event.route, event.version, spec.quality_prior, event.rating
     )
     detector = core.planner.detector(event.version)
@@ -134,7 +134,7 @@
             tallies[totals.version] = tally
     planner = core.planner
     were_bad = {version: planner.detector(version).bad for version in tallies}
-    take_tallies(planner.detectors, core.paces, tallies, planner.price, core.now_ms)
+    apply_tallies(planner.detectors, core.paces, tallies, planner.price, core.now_ms)
     for version, was_bad in were_bad.items():
         _log_if_new(core, version, was_bad)
 
--- a/ashlatch/router/learning.py
+++ b/ashlatch/router/learning.py
@@ -24,12 +24,14 @@
     name = leg.endpoint.name
     took_ms = core.now_ms - leg.sent_ms
     answered = isinstance(result, Answered)
-    core.endpoints.load(name).finished(core.now_ms, took_ms if answered else None)
+    core.endpoints.load(name).record_finished(
+        core.now_ms, took_ms if answered else None
+    )
     breaker = core.endpoints.breaker(name)
     if answered:
-        breaker.succeeded()
+        breaker.record_success()
     elif not isinstance(result, Full) and not flight.given:
-        breaker.failed(core.now_ms)
+        breaker.record_failure(core.now_ms)
     if answered:
         survived(core, flight)
     if isinstance(result, Broken) and result.ended:
@@ -44,7 +46,7 @@
         _learn_answer(core, flight, leg, result)
     elif isinstance(result, Broken) and not _timed_out(core, flight):
         failure = Failure(flight.version, core.now_ms, result.replied)
-        core.found(core.evidence.failed(name, failure))
+        core.found(core.evidence.record_failure(name, failure))
 
 
 def _timed_out(core: RouterCore, flight: Flight) -> bool:
@@ -57,9 +59,9 @@
     tokens = max(1, result.usage.output_tokens)
     core.planner.learn_output(flight.version, tokens)
     sign_ms = result.first_token_ms if flight.request.stream else result.took_ms
-    core.hedging.took(flight.version, flight.request.stream, sign_ms)
-    core.found(core.evidence.answered(endpoint, flight.version, core.now_ms))
+    core.hedging.record_response(flight.version, flight.request.stream, sign_ms)
+    core.found(core.evidence.record_answer(endpoint, flight.version, core.now_ms))
     if leg.had_room:
         token_ms = result.took_ms / tokens
         timing = Timing(flight.version, leg.sent_ms, core.now_ms, token_ms)
-        core.evidence.timed(endpoint, timing)
+        core.evidence.record_timing(endpoint, timing)
--- a/ashlatch/router/notices.py
+++ b/ashlatch/router/notices.py
@@ -72,7 +72,7 @@
         return
     backoff = core.endpoints.backoff(event.endpoint)
     before_ms = backoff.wait_ms(core.now_ms)
-    if backoff.request(event.backoff_ms, core.now_ms):
+    if backoff.record_request(event.backoff_ms, core.now_ms):
         asked = EndpointBackoff(
             core.config.vm, event.endpoint, int(event.backoff_ms), int(before_ms)
         )
--- a/ashlatch/router/plan.py
+++ b/ashlatch/router/plan.py
@@ -15,8 +15,8 @@
 from ashlatch.policy.detector import Detector
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES, Candidate, subset
 from ashlatch.policy.load import EndpointLoad
-from ashlatch.policy.permission import Barrier
-from ashlatch.policy.quality import QualityBook
+from ashlatch.policy.permission import DenialReason
+from ashlatch.policy.quality import QualityTracker
 from ashlatch.policy.table import NamedEndpoint, RoutingTable
 from ashlatch.policy.version import VERSION_POLICIES, Goal, Option
 from ashlatch.resources import Route
@@ -32,7 +32,7 @@
 EXPECTED_OUTPUT_TOKENS = 200
 OUTPUT_GAIN = 0.05
 
-_WHY_OUT = {Barrier.BACKOFF: WhyOut.BACKOFF, Barrier.LIMITED: WhyOut.LIMITED}
+_WHY_OUT = {DenialReason.BACKOFF: WhyOut.BACKOFF, DenialReason.LIMITED: WhyOut.LIMITED}
 
 
 @dataclass(frozen=True)
@@ -54,7 +54,7 @@
     generator: random.Random
     table: RoutingTable = RoutingTable()
     dark_pools: set[str] = field(default_factory=set)
-    quality: QualityBook = field(default_factory=QualityBook)
+    quality: QualityTracker = field(default_factory=QualityTracker)
     detectors: dict[str, Detector] = field(default_factory=dict)
     output_tokens: dict[str, float] = field(default_factory=dict)
 
@@ -211,7 +211,7 @@
             return None
         if detector.bad:
             return WhyOut.SUSPENDED
-        spared = self.generator.random() < detector.spared_ratio
+        spared = self.generator.random() < detector.diverted_ratio
         return WhyOut.SUSPECTED if spared else None
 
     def _ready_endpoints(
@@ -303,8 +303,8 @@
     ) -> WhyOut | None:
         name = endpoint.name
         load = self.endpoints.load(name)
-        barrier = self.endpoints.permission(name, now_ms).barrier
-        if barrier is Barrier.LEAVING:
+        barrier = self.endpoints.permission(name, now_ms).denial_reason
+        if barrier is DenialReason.LEAVING:
             return WhyOut.LEAVING
         if name in tried:
             return WhyOut.TRIED
--- a/ashlatch/router/sending.py
+++ b/ashlatch/router/sending.py
@@ -89,7 +89,7 @@
 
 def _plan_hedge(core: RouterCore, flight: Flight) -> None:
     request = flight.request
-    after_ms = core.hedging.after_ms(flight.version, request.stream)
+    after_ms = core.hedging.delay_ms(flight.version, request.stream)
     if after_ms is None or request.kind is not RequestKind.CHAT:
         return
     if request.repeatable and flight.leg is not None and not flight.chunks_given:
@@ -103,7 +103,7 @@
     attempt_id = f"{request.request_id}-{flight.tries}"
     core.assert_allowed(flight)
     load = core.endpoints.load(plan.endpoint.name)
-    leg = Leg(attempt_id, plan.endpoint, core.now_ms, load.has_room())
+    leg = Leg(attempt_id, plan.endpoint, core.now_ms, load.has_free_slot())
     core.endpoints.sent(plan.endpoint.name, core.now_ms)
     chosen = RouteChosen(
         request.request_id,
--- a/ashlatch/router/suspects.py
+++ b/ashlatch/router/suspects.py
@@ -65,20 +65,22 @@
 
 def held_for_ms(core: RouterCore, flight: Flight) -> float:
     """How long a request is refused yet; 0 when it may be sent."""
-    return core.quarantine.held_ms(content_of(flight.request), _unix_ms(core, flight))
+    return core.quarantine.remaining_ms(
+        content_of(flight.request), _unix_ms(core, flight)
+    )
 
 
 def crashed(core: RouterCore, flight: Flight, endpoint: str) -> None:
     """Hold the end of an endpoint against a request that was running there."""
     content = content_of(flight.request)
     unix_ms = _unix_ms(core, flight)
-    record = core.quarantine.crashed(content, endpoint, 0, unix_ms)
+    record = core.quarantine.record_crash(content, endpoint, 0, unix_ms)
     event = RequestCrashed(
         flight.request.request_id,
         digest_text(content),
         endpoint,
-        len(record.unsurvived),
-        int(core.quarantine.held_ms(content, unix_ms)),
+        len(record.counted_crashes),
+        int(core.quarantine.remaining_ms(content, unix_ms)),
     )
     core.effects.append(WriteLog(event))
     core.effects.append(TellCrashes())
@@ -86,7 +88,7 @@
 
 def survived(core: RouterCore, flight: Flight) -> None:
     """A request has run to its end: it crashes nothing."""
-    core.quarantine.survived(content_of(flight.request))
+    core.quarantine.record_completed(content_of(flight.request))
 
 
 def _unix_ms(core: RouterCore, flight: Flight) -> int:
@@ -98,5 +100,5 @@
 @HANDLERS.on(CrashesLearnt)
 def _learnt(core: RouterCore, event: CrashesLearnt) -> None:
     for record in event.records:
-        core.quarantine.learn(record)
+        core.quarantine.apply(record)
         core.quarantine.confirm(record)
--- a/ashlatch/store/daemon.py
+++ b/ashlatch/store/daemon.py
@@ -196,9 +196,9 @@
 
     async def _note_crashes(self, records: tuple[CrashRecord, ...]) -> None:
         """Commit what a router has found; it tells it again until the log has it."""
-        self._crashes.take(records)
+        self._crashes.apply(records)
         with self.first.group.lock:
-            unknown = self._crashes.unknown_to(self.first.machine.state.crashes)
+            unknown = self._crashes.missing_from(self.first.machine.state.crashes)
         if not unknown:
             return
         try:
--- a/ashlatch/store/machine.py
+++ b/ashlatch/store/machine.py
@@ -135,5 +135,5 @@
 
 @_HANDLERS.on(NoteCrashes)
 def _note_crashes(state: State, command: NoteCrashes) -> Outcome:
-    state.crashes.note(command.records)
+    state.crashes.apply(command.records)
     return Noted()
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from ashlatch.policy.quality import QualityBook
+from ashlatch.policy.quality import QualityTracker
 from ashlatch.policy.version import VERSION_POLICIES, Goal, Option, best_mix
 from bench.table import row, spread, title
 
@@ -74,7 +74,7 @@
     """All requests of one route through one policy."""
     generator = random.Random(f"{seed}/{policy}")
     chooser = VERSION_POLICIES.get(policy)()
-    book = QualityBook()
+    book = QualityTracker()
     rungs = {rung.version: rung for rung in case.rungs}
     due: list[tuple[int, str, float]] = []
     shares: Counter[str] = Counter()
@@ -82,7 +82,7 @@
     for number in range(REQUESTS):
         while due and due[0][0] <= number:
             _, version, rating = heapq.heappop(due)
-            book.rated(ROUTE, version, rungs[version].prior, rating)
+            book.record_rating(ROUTE, version, rungs[version].prior, rating)
         options = tuple(
             Option(r.version, r.price, book.estimate(ROUTE, r.version, r.prior).mean)
             for r in case.rungs
--- a/bench/exposure.py
+++ b/bench/exposure.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from ashlatch.policy.detector import Detector, VersionTally
-from ashlatch.policy.slowness import Paces, take_tallies
+from ashlatch.policy.slowness import LatencyHistory, apply_tallies
 from bench.cost import draw_rating
 from bench.table import row, spread, title
 
@@ -70,7 +70,7 @@
         The more it is suspected, the more requests go to another version.
         """
         self.now_ms += self.random.expovariate(1.0 / self.gap_ms)
-        spared = self.random.random() < self.detector.spared_ratio
+        spared = self.random.random() < self.detector.diverted_ratio
         if not spared:
             self.answer(health)
         self.learn()
@@ -137,7 +137,7 @@
         super().__init__(seed, answers_per_s, 0.2)
         self.compares = compares
         self.shared_slowdown = 1.0
-        self.paces = Paces()
+        self.paces = LatencyHistory()
         self.other = Detector(HEALTHY_QUALITY)
         self.other_answers = 0
         self.other_log_latency = 0.0
@@ -165,7 +165,7 @@
             "other": VersionTally(others, 0, others, self.other_log_latency),
         }
         detectors = {"watched": self.detector, "other": self.other}
-        take_tallies(detectors, self.paces, tallies, PRICES.__getitem__, self.now_ms)
+        apply_tallies(detectors, self.paces, tallies, PRICES.__getitem__, self.now_ms)
         self.answers = self.errors = self.other_answers = 0
         self.log_latency = self.other_log_latency = 0.0
 
--- a/bench/latency.py
+++ b/bench/latency.py
@@ -139,7 +139,7 @@
 
         def seen() -> None:
             for loads in self.loads:
-                loads[server.name].reported(report)
+                loads[server.name].apply_report(report)
 
         self.at(self.now_ms + REPORT_LAG_MS, seen)
         if self.now_ms < last_ms:
@@ -149,7 +149,7 @@
     def arrive(self, job: Job) -> None:
         server = self.choose(job)
         job.sent_ms = self.now_ms
-        self.loads[job.router][server.name].sent(self.now_ms)
+        self.loads[job.router][server.name].record_sent(self.now_ms)
         server.queue.append(job)
         self.start(server)
 
@@ -197,7 +197,7 @@
         server.running -= 1
         took_ms = self.now_ms - job.sent_ms
         self.whole_ms.append(self.now_ms - job.arrived_ms)
-        self.loads[job.router][server.name].finished(self.now_ms, took_ms)
+        self.loads[job.router][server.name].record_finished(self.now_ms, took_ms)
         self.start(server)
 
 
--- a/tests/crash_play.py
+++ b/tests/crash_play.py
@@ -161,7 +161,9 @@
         return self.outcome
 
     def _is_held(self, content: int) -> bool:
-        return any(g.quarantine.held_ms(content, self._unix_ms) for g in self.gateways)
+        return any(
+            g.quarantine.remaining_ms(content, self._unix_ms) for g in self.gateways
+        )
 
     @property
     def _unix_ms(self) -> int:
@@ -182,12 +184,12 @@
     def _send(self, request: _Request) -> None:
         known = request.known
         quarantine = known.quarantine
-        if self._holds and quarantine.held_ms(request.content, self._unix_ms):
+        if self._holds and quarantine.remaining_ms(request.content, self._unix_ms):
             self._fail(request)
             return
         assert known.table is not None
         states = list(known.directory.of_service("app"))
-        apart = self._parts and quarantine.crashes(request.content) > 0
+        apart = self._parts and quarantine.crash_count(request.content) > 0
         chosen = choose_endpoint(
             known,
             known.table.services["app"],
@@ -220,8 +222,8 @@
         self._at_engine[name].remove(request)
         state = request.known.directory.state(name)
         if state is not None:
-            state.load.finished(self.now_ms, None)
-        request.known.quarantine.survived(request.content)
+            state.load.record_finished(self.now_ms, None)
+        request.known.quarantine.record_completed(request.content)
         self.outcome.served += 1
 
     def _crash(self, name: str) -> None:
@@ -233,14 +235,14 @@
         self._at(self.now_ms + BACK_MS, self._start_engine)
         for request in running:
             quarantine = request.known.quarantine
-            record = quarantine.crashed(request.content, name, 0, self._unix_ms)
+            record = quarantine.record_crash(request.content, name, 0, self._unix_ms)
             self._at(self.now_ms + TOLD_MS, partial(self._tell, record))
         for request in running:
             self._send(request)
 
     def _tell(self, record: CrashRecord) -> None:
         for known in self.gateways:
-            known.quarantine.learn(record)
+            known.quarantine.apply(record)
 
     def _fail(self, request: _Request) -> None:
         if request.tries_left:
--- a/tests/engines.py
+++ b/tests/engines.py
@@ -256,7 +256,7 @@
         )
         assert chosen is not None and chosen.forecast is not None
         state, read_ms = chosen.state, chosen.forecast.read_ms
-        state.breaker.sent(self.now_ms)
+        state.breaker.record_sent(self.now_ms)
         if self.engines[state.endpoint.instance].crashed:
             self._meets_nobody(known, ask, load, state, tried)
             return
@@ -314,7 +314,7 @@
 
         def end() -> None:
             engine.running -= 1
-            state.load.finished(self.now_ms, None)
+            state.load.record_finished(self.now_ms, None)
             known.pace.ended("app", self.now_ms - came_ms)
             if engine.waiting:
                 engine.waiting.popleft()()
--- a/tests/limit_play.py
+++ b/tests/limit_play.py
@@ -259,7 +259,7 @@
         if limit_per_s != NO_LIMIT:
             index = int(state.endpoint.instance.partition("-")[2])
             self.named[index].append((self.now_ms / 1000.0, number))
-        state.load.finished(self.now_ms, None)
+        state.load.record_finished(self.now_ms, None)
         answered = LimitReport("r", limit_per_s, sent_ms, True)
         apply_answer_limit(known, state, answered, self.now_ms)
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -361,14 +361,14 @@
     Mutant(
         "uncompared-slowness-withdraws",
         "ashlatch/policy/detector.py",
-        "            self.latency_sum = min(UNCOMPARED_MAX, self.slow_sum)\n",
-        "            self.latency_sum = self.slow_sum\n",
+        "            self.latency_sum = min(UNCOMPARED_MAX, self.baseline_sum)\n",
+        "            self.latency_sum = self.baseline_sum\n",
         SLOWNESS,
     ),
     Mutant(
         "compared-with-other-times",
         "ashlatch/policy/detector.py",
-        "            self.calm_ms = math.nextafter(now_ms, -math.inf)\n",
+        "            self.normal_ms = math.nextafter(now_ms, -math.inf)\n",
         "            pass\n",
         SLOWNESS,
     ),
@@ -424,7 +424,7 @@
     Mutant(
         "good-run-clears-nothing",
         "ashlatch/gateway/crash.py",
-        "        if self._known.quarantine.survived(content):\n",
+        "        if self._known.quarantine.record_completed(content):\n",
         "        if False:\n",
         CRASHING,
     ),
@@ -452,14 +452,14 @@
     Mutant(
         "held-ones-give-way",
         "ashlatch/policy/quarantine.py",
-        "    return len(record.unsurvived), newest_ms, record.content\n",
-        "    return 0, newest_ms, record.content\n",
+        "    return len(record.counted_crashes), newest_ms, record.fingerprint\n",
+        "    return 0, newest_ms, record.fingerprint\n",
         QUARANTINE,
     ),
     Mutant(
         "told-once",
         "ashlatch/policy/quarantine.py",
-        "            if times < TOLD_MAX:\n",
+        "            if times < REPORTS_MAX:\n",
         "            if False:\n",
         QUARANTINE,
     ),
@@ -550,14 +550,14 @@
     Mutant(
         "all-gateways-send-to-cold-endpoints",
         "ashlatch/policy/cold.py",
-        "    if own not in senders:\n        return None\n",
+        "    if local not in senders:\n        return None\n",
         "",
         COLD,
     ),
     Mutant(
         "cold-shares-without-delay",
         "ashlatch/policy/cold.py",
-        "    return max(least_ms, (SECOND_MS + DELAY_MS) / each)\n",
+        "    return max(least_ms, (SECOND_MS + ARRIVAL_JITTER_MS) / each)\n",
         "    return max(least_ms, SECOND_MS / each / 2)\n",
         COLD,
     ),
@@ -606,7 +606,7 @@
     Mutant(
         "limit-ended-by-an-older-answer",
         "ashlatch/policy/rate_limit.py",
-        "return per_s <= self.per_s or self.heard_ms < sent_ms",
+        "return per_s <= self.per_s or self.received_ms < sent_ms",
         "return True",
         LIMITS,
     ),
@@ -634,7 +634,7 @@
     Mutant(
         "whole-limit-while-out-of-touch",
         "ashlatch/policy/rate_limit.py",
-        "return 1.0 if self.in_touch else 1.0 / self.gateways",
+        "return 1.0 if self.connected else 1.0 / self.gateways",
         "return 1.0",
         LIMITS,
     ),
@@ -648,14 +648,14 @@
     Mutant(
         "all-send-at-the-next-token",
         "ashlatch/policy/rate_limit.py",
-        "needed = 1.0 + self._drawn * self._drawn_max(sharers)",
+        "needed = 1.0 + self._jitter * self._jitter_max(sharing)",
         "needed = 1.0",
         LIMITS,
     ),
     Mutant(
         "sends-of-others-forgotten",
         "ashlatch/policy/rate_limit.py",
-        "least = -OWED_MAX_S * rate_per_s",
+        "least = -DEBT_MAX_S * rate_per_s",
         "least = 0.0",
         LIMITS,
     ),
@@ -669,15 +669,15 @@
     Mutant(
         "who-sent-goes-first",
         "ashlatch/policy/rate_limit.py",
-        "return 2.0 - 1.0 / self.gateways if self.in_touch else 1.0",
+        "return 2.0 - 1.0 / self.gateways if self.connected else 1.0",
         "return 1.0",
         LIMITS,
     ),
     Mutant(
         "never-asked-again",
         "ashlatch/policy/rate_limit.py",
-        "return max(self.per_s, RATE_MIN_PER_S) * sharers.share",
-        "return max(self.per_s, 1e-9) * sharers.share",
+        "return max(self.per_s, RATE_MIN_PER_S) * sharing.share",
+        "return max(self.per_s, 1e-9) * sharing.share",
         LIMITS,
     ),
     Mutant(
@@ -711,7 +711,7 @@
     Mutant(
         "router-sends-past-a-limit",
         "ashlatch/router/endpoints.py",
-        "return combine([(Barrier.LIMITED, limit_ms)])",
+        "return combine([(DenialReason.LIMITED, limit_ms)])",
         "return combine([])",
         ROUTER_LIMITS,
     ),
@@ -753,15 +753,15 @@
     Mutant(
         "backoff-ended-by-an-older-answer",
         "ashlatch/policy/backoff.py",
-        "        if sent_ms >= self.until_ms:\n            self._served = True\n",
+        "        if sent_ms >= self.until_ms:\n            self._accepted = True\n",
         "        self.until_ms = sent_ms\n",
         BACKOFF_POLICY,
     ),
     Mutant(
         "all-try-at-the-end-of-a-backoff",
         "ashlatch/policy/backoff.py",
-        "self._trial_ends_ms = now_ms + TRIAL_MS",
-        "self._trial_ends_ms = now_ms",
+        "self._probe_until_ms = now_ms + PROBE_MS",
+        "self._probe_until_ms = now_ms",
         BACKOFF,
     ),
     Mutant(
@@ -788,7 +788,7 @@
     Mutant(
         "another-endpoint-tested-within-a-backoff",
         "ashlatch/gateway/versions.py",
-        "in (None, Barrier.BACKOFF)",
+        "in (None, DenialReason.BACKOFF)",
         "is None",
         BACKOFF,
     ),
@@ -830,8 +830,8 @@
     Mutant(
         "return-without-the-backoff",
         "ashlatch/gateway/returns.py",
-        "_TIMED = frozenset({Barrier.BACKOFF, Barrier.LIMITED})",
-        "_TIMED = frozenset({Barrier.LIMITED})",
+        "_TIMED = frozenset({DenialReason.BACKOFF, DenialReason.LIMITED})",
+        "_TIMED = frozenset({DenialReason.LIMITED})",
         BACKOFF,
     ),
     Mutant(
--- a/tests/shed_play.py
+++ b/tests/shed_play.py
@@ -117,7 +117,7 @@
             later = partial(self._ended, asked, state, head, sent_ms)
             self.frozen[asked.gateway].append(later)
             return
-        state.load.finished(self.now_ms, None)
+        state.load.record_finished(self.now_ms, None)
         self._note(asked.gateway, state, head)
         apply_notice(asked.known, state, head, sent_ms, self.now_ms)
         if not head.not_run:
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -20,7 +20,7 @@
 from ashlatch.platform.headers import decode_answer
 from ashlatch.policy.backoff import Backoff
 from ashlatch.policy.endpoint import rank
-from ashlatch.policy.permission import Barrier
+from ashlatch.policy.permission import DenialReason
 from tests.fleet import READY_PORT, Fleet, wait_for
 from tests.gateway import ASK_STREAM, GatewayHarness, ask
 from tests.shedding import WITHIN_BACKOFF_MAX, SheddingEndpoint
@@ -102,11 +102,11 @@
         small = StandIn([stream(2, "X-Confidence: 10")])
 
         def prepare() -> None:
-            self.state("i-0").backoff.request(2000.0, self.now_ms())
+            self.state("i-0").backoff.record_request(2000.0, self.now_ms())
             self.state("i-0").backoff.until_ms -= 2000.0
 
         async def shed_soon(request: Received, writer: asyncio.StreamWriter) -> None:
-            self.state("i-0").backoff.request(2000.0, self.now_ms())
+            self.state("i-0").backoff.record_request(2000.0, self.now_ms())
             await stream(2, "X-Confidence: 10")(request, writer)
 
         small.scripts = [shed_soon]
@@ -116,7 +116,7 @@
 
     def test_a_stream_is_not_resumed_within_a_backoff(self) -> None:
         async def cut(request: Received, writer: asyncio.StreamWriter) -> None:
-            self.state("i-1").backoff.request(2000.0, self.now_ms())
+            self.state("i-1").backoff.record_request(2000.0, self.now_ms())
             writer.write(head(request, 200) + b"Transfer-Encoding: chunked\r\n\r\n")
             writer.write(chunk(event(1)))
             await writer.drain()
@@ -126,8 +126,8 @@
         third = StandIn([stream(2)])
 
         def prepare() -> None:
-            self.state("i-1").breaker.gone(self.now_ms())
-            self.state("i-2").breaker.gone(self.now_ms())
+            self.state("i-1").breaker.trip(self.now_ms())
+            self.state("i-2").breaker.trip(self.now_ms())
 
         answers = self.play(
             [first, second, third], [ask("/stream/1", ASK_STREAM, "POST")], prepare
@@ -148,11 +148,11 @@
             return await connect(address, timeout_s)
 
         async def work() -> None:
-            self.state("i-1").breaker.gone(self.now_ms())
+            self.state("i-1").breaker.trip(self.now_ms())
             await self.call(ask("/get/1"))
             # As if the second one had been chosen a moment before the first answer.
             self.state("i-0").backoff, kept = Backoff(), self.state("i-0").backoff
-            self.state("i-1").breaker.gone(self.now_ms())
+            self.state("i-1").breaker.trip(self.now_ms())
             second = asyncio.create_task(self.call(ask("/get/2")))
             await asyncio.sleep(0.1)
             self.state("i-0").backoff = kept
@@ -178,7 +178,7 @@
             test = Rollout("app", "v2", RolloutStage.LOAD_TEST, 0.0, 1, 1000.0)
             self.known.versions.learn([test])
             tested = rank(("i-0", "i-1"), "v2")[0]
-            self.state(tested).backoff.request(5000.0, self.now_ms())
+            self.state(tested).backoff.record_request(5000.0, self.now_ms())
 
         answers = self.play(workers, [ask(f"/get/{n}") for n in range(5)], prepare)
         self.assertEqual([200] * 5, [status for status, _ in answers])
@@ -214,7 +214,7 @@
             trial = Rollout("app", "v2", RolloutStage.TRIAL, 0.1, 1, 1000.0)
             self.known.versions.learn([trial])
             self.known.versions.sessions.note("app", "s1", "v2", self.now_ms())
-            self.state("i-0").backoff.request(3000.0, self.now_ms())
+            self.state("i-0").backoff.record_request(3000.0, self.now_ms())
 
         ((status, text),) = self.play(
             workers, [ask("/get/1", "Session: s1\r\n")], prepare
@@ -251,9 +251,9 @@
         other = SheddingEndpoint(sheds=False)
 
         async def work() -> None:
-            self.state("i-1").breaker.gone(self.now_ms())
+            self.state("i-1").breaker.trip(self.now_ms())
             await self.call(ask("/get/1"))
-            self.state("i-1").breaker.succeeded()
+            self.state("i-1").breaker.record_success()
             listed = tuple(state.endpoint for state in self.known.directory.all())
             for number, endpoints in enumerate((listed[1:], listed)):
                 self.known.directory.replace(
@@ -297,20 +297,26 @@
     def test_who_is_told_sends_nothing_there(self) -> None:
         news = EndpointAnnouncesLeaving("i-0")
         HEARD.call(self.known, news, Teller("10.0.0.1", 0.0))
-        self.assertEqual(Barrier.LEAVING, self.state().permission(0.0).barrier)
+        self.assertEqual(
+            DenialReason.LEAVING, self.state().permission(0.0).denial_reason
+        )
         self.assertEqual([], self.news)
 
     def test_an_answer_without_it_takes_nothing_back(self) -> None:
         self.hear(True)
         self.hear(False)
-        self.assertEqual(Barrier.LEAVING, self.state().permission(0.0).barrier)
+        self.assertEqual(
+            DenialReason.LEAVING, self.state().permission(0.0).denial_reason
+        )
 
     def test_a_list_that_lags_takes_nothing_back(self) -> None:
         self.hear(True)
         listed = (self.state().endpoint,)
         for number, endpoints in enumerate((listed, (), listed)):
             self.known.directory.replace(EndpointList(1, 2 + number, endpoints), 5.0)
-        self.assertEqual(Barrier.LEAVING, self.state().permission(1e6).barrier)
+        self.assertEqual(
+            DenialReason.LEAVING, self.state().permission(1e6).denial_reason
+        )
 
     def test_another_process_under_its_id_does_not_leave(self) -> None:
         self.hear(True)
--- a/tests/test_backoff_policy.py
+++ b/tests/test_backoff_policy.py
@@ -4,46 +4,52 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ashlatch.policy.backoff import TRIAL_MS, Backoff
-from ashlatch.policy.permission import ALLOWED, NEVER_MS, Barrier, Permission, combine
+from ashlatch.policy.backoff import PROBE_MS, Backoff
+from ashlatch.policy.permission import (
+    ALLOWED,
+    NEVER_MS,
+    DenialReason,
+    Permission,
+    combine,
+)
 
 
 class BackoffTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.backoff = Backoff()
-        self.backoff.request(3000.0, now_ms=0.0)
+        self.backoff.record_request(3000.0, now_ms=0.0)
 
     def test_it_ends(self) -> None:
         self.assertEqual(1000.0, self.backoff.wait_ms(2000.0))
         self.assertEqual(0.0, self.backoff.wait_ms(3000.0))
 
     def test_a_longer_one_prolongs_it(self) -> None:
-        self.assertTrue(self.backoff.request(3000.0, now_ms=1000.0))
+        self.assertTrue(self.backoff.record_request(3000.0, now_ms=1000.0))
         self.assertEqual(1000.0, self.backoff.wait_ms(3000.0))
 
     def test_a_shorter_one_does_not_shorten_it(self) -> None:
-        self.assertFalse(self.backoff.request(500.0, now_ms=1000.0))
+        self.assertFalse(self.backoff.record_request(500.0, now_ms=1000.0))
         self.assertEqual(2000.0, self.backoff.wait_ms(1000.0))
 
     def test_an_answer_in_between_does_not_end_it(self) -> None:
-        self.backoff.served(sent_ms=-10.0)
-        self.backoff.served(sent_ms=500.0)
+        self.backoff.record_accepted(sent_ms=-10.0)
+        self.backoff.record_accepted(sent_ms=500.0)
         self.assertEqual(1000.0, self.backoff.wait_ms(2000.0))
-        self.backoff.sent(3000.0)
+        self.backoff.record_sent(3000.0)
         self.assertTrue(self.backoff.may_shed(3001.0))
 
     def test_one_request_is_on_trial_after_it(self) -> None:
         self.assertFalse(self.backoff.may_shed(3000.0))
-        self.backoff.sent(3000.0)
-        self.assertTrue(self.backoff.may_shed(3000.0 + TRIAL_MS - 1.0))
-        self.assertFalse(self.backoff.may_shed(3000.0 + TRIAL_MS))
+        self.backoff.record_sent(3000.0)
+        self.assertTrue(self.backoff.may_shed(3000.0 + PROBE_MS - 1.0))
+        self.assertFalse(self.backoff.may_shed(3000.0 + PROBE_MS))
 
     def test_the_trial_ends_with_an_answer(self) -> None:
-        self.backoff.sent(3000.0)
-        self.backoff.served(sent_ms=3000.0)
+        self.backoff.record_sent(3000.0)
+        self.backoff.record_accepted(sent_ms=3000.0)
         self.assertFalse(self.backoff.may_shed(3010.0))
-        self.backoff.sent(3010.0)
+        self.backoff.record_sent(3010.0)
         self.assertFalse(self.backoff.may_shed(3011.0))
 
     @given(st.lists(st.tuples(st.floats(0, 1e4), st.floats(0, 1e4)), min_size=1))
@@ -52,8 +58,8 @@
     ) -> None:
         backoff = Backoff()
         for now_ms, backoff_ms in sorted(asked):
-            backoff.request(backoff_ms, now_ms)
-            backoff.served(now_ms)
+            backoff.record_request(backoff_ms, now_ms)
+            backoff.record_accepted(now_ms)
         for now_ms, backoff_ms in asked:
             last_ms = sorted(asked)[-1][0]
             left_ms = now_ms + backoff_ms - last_ms
@@ -63,12 +69,12 @@
 class CombineTest(testtools.TestCase):
     def test_nothing_stands_against_it(self) -> None:
         self.assertIs(ALLOWED, combine([]))
-        self.assertIs(ALLOWED, combine([(Barrier.BACKOFF, 0.0)]))
+        self.assertIs(ALLOWED, combine([(DenialReason.BACKOFF, 0.0)]))
 
     def test_the_longest_counts(self) -> None:
-        waits = [(Barrier.BACKOFF, 500.0), (Barrier.LIMITED, 700.0)]
-        self.assertEqual(Permission(Barrier.LIMITED, 700.0), combine(waits))
+        waits = [(DenialReason.BACKOFF, 500.0), (DenialReason.LIMITED, 700.0)]
+        self.assertEqual(Permission(DenialReason.LIMITED, 700.0), combine(waits))
 
     def test_what_does_not_end_by_itself(self) -> None:
-        waits = [(Barrier.COLD, NEVER_MS), (Barrier.BACKOFF, 700.0)]
-        self.assertEqual(Permission(Barrier.COLD, NEVER_MS), combine(waits))
+        waits = [(DenialReason.COLD, NEVER_MS), (DenialReason.BACKOFF, 700.0)]
+        self.assertEqual(Permission(DenialReason.COLD, NEVER_MS), combine(waits))
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -14,7 +14,7 @@
 from ashlatch.gateway.versions import VersionChooser, VersionReason
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES, Candidate
-from ashlatch.policy.rate_limit import Sharers
+from ashlatch.policy.rate_limit import LimitSharing
 from tests.standin import document, encoded, route
 
 
@@ -52,7 +52,7 @@
         self.learn(RolloutStage.LOAD_TEST, 1.0, 1)
         self.states.append(self.state("v2", 2))
         (tested,) = self.chooser.allowed("app", "s", "r1", self.states, 0.0).states
-        tested.limit.set_rate(5.0, Sharers(), 0.0, 0.0)
+        tested.limit.set_rate(5.0, LimitSharing(), 0.0, 0.0)
         (other,) = self.chooser.allowed("app", "s", "r1", self.states, 0.0).states
         self.assertNotEqual(tested.endpoint.instance, other.endpoint.instance)
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -29,7 +29,7 @@
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.platform.document import decode_catalog
 from ashlatch.platform.instances import decode_page
-from ashlatch.policy.cold import ColdEndpoint, pause_ms
+from ashlatch.policy.cold import ColdEndpoint, send_interval_ms
 from tests import standin
 from tests.gateway import GatewayHarness, ask
 
@@ -77,7 +77,7 @@
         arrivals_ms = []
         for own in everyone:
             known = tuple(g for g in everyone if g == own or generator.random() >= lost)
-            least_ms = pause_ms(cold, own, known)
+            least_ms = send_interval_ms(cold, own, known)
             if least_ms is None:
                 continue
             at_ms = generator.expovariate(wants_per_s / 1000.0)
@@ -123,7 +123,7 @@
             if own.hall != "a":
                 continue
             colds = [ColdEndpoint(f"i{n}", "a", RATE_PER_S) for n in range(24)]
-            pauses = [pause_ms(cold, own, everyone) for cold in colds]
+            pauses = [send_interval_ms(cold, own, everyone) for cold in colds]
             shares.append(sum(pause is not None for pause in pauses))
         self.assertTrue(min(shares) >= 3, shares)
 
@@ -131,7 +131,7 @@
         """With no gateway in the endpoint's hall, those of the others send."""
         others = tuple(g for g in gateways(60) if g.hall != "a")
         cold = ColdEndpoint("i1", "a", RATE_PER_S)
-        senders = [g for g in others if pause_ms(cold, g, others)]
+        senders = [g for g in others if send_interval_ms(cold, g, others)]
         self.assertEqual(10, len(senders))
 
 
--- a/tests/test_crash_load.py
+++ b/tests/test_crash_load.py
@@ -82,10 +82,10 @@
             first = world.gateways[0]
             for number in range(ENDS_MAX):
                 at_ms = AT_MS + 2000 * number
-                record = first.quarantine.crashed(7, f"i-{number}", 0, at_ms)
+                record = first.quarantine.record_crash(7, f"i-{number}", 0, at_ms)
             told = ContentCrashed(record)
             first.tell(told)
-            held = [g.quarantine.held_ms(7, at_ms) > 0 for g in world.gateways]
+            held = [g.quarantine.remaining_ms(7, at_ms) > 0 for g in world.gateways]
             self.assertEqual([True] * self.HALLS * self.EACH, held)
             self.assertTrue(world.datagrams < self.HALLS * self.EACH)
             self.assertTrue(len(encode(told)) < 100)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -32,7 +32,7 @@
 from ashlatch.gateway.content import content_digest
 from ashlatch.http.connection import HttpRequest
 from ashlatch.platform.headers import decode_ask
-from ashlatch.policy.quarantine import HOLD_MS
+from ashlatch.policy.quarantine import QUARANTINE_MS
 from tests import standin
 from tests.crashing import CRASHING_BODY, CrashingEngine, CrashLog
 from tests.fleet import FRONT_PORT, READY_PORT, Fleet, wait_for
@@ -90,7 +90,7 @@
         _, answer = self.play("/stream/1", 2)[1]
         self.assertIn(b"X-Ashlatch-Reason: quarantined", answer)
         wait_s = float(answer.partition(b"Retry-After: ")[2].partition(b"\r")[0])
-        self.assertTrue(HOLD_MS / 1000.0 - 5.0 < wait_s <= HOLD_MS / 1000.0)
+        self.assertTrue(QUARANTINE_MS / 1000.0 - 5.0 < wait_s <= QUARANTINE_MS / 1000.0)
 
     def test_what_may_not_be_repeated(self) -> None:
         """Each try ends one endpoint; nothing is sent again by the gateway."""
@@ -116,7 +116,7 @@
             content = content_digest(asked, "acme")
             for number in range(ENDS_MAX):
                 at_ms = unix_ms() - 5000 * number
-                self.known.quarantine.crashed(content, f"i-{number}", 0, at_ms)
+                self.known.quarantine.record_crash(content, f"i-{number}", 0, at_ms)
             self.assertEqual(503, (await self.call(ask("/get/1")))[0])
             self.assertEqual(200, (await self.call(ask("/get/2")))[0])
 
@@ -155,12 +155,12 @@
             only_bad = EndpointList(1, 2, (bad,))
             self.known.directory.replace(only_bad, 0.0)
             self.assertEqual(502, (await self.call(ask("/get/1")))[0])
-            self.assertEqual(1, len(self.known.quarantine.to_tell()))
+            self.assertEqual(1, len(self.known.quarantine.unconfirmed()))
             well = Endpoint("i-0", "app", good.address, "hall-1", "v1", 8, False)
             self.known.directory.replace(EndpointList(1, 3, (well,)), 0.0)
             self.assertEqual(200, (await self.call(ask("/get/1")))[0])
-            (record,) = self.known.quarantine.to_tell()
-            self.assertEqual((), record.unsurvived)
+            (record,) = self.known.quarantine.unconfirmed()
+            self.assertEqual((), record.counted_crashes)
 
         self.run_gateway([good], work)
 
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -26,47 +26,47 @@
     def test_an_endpoint_that_dies_is_not_the_versions_doing(self) -> None:
         for number in range(20):
             failed = failure(100.0 + number, replied=False)
-            self.assertEqual([], self.evidence.failed("e1", failed))
-        self.assertEqual([ANSWER], self.evidence.answered("e2", "v", 200.0))
+            self.assertEqual([], self.evidence.record_failure("e1", failed))
+        self.assertEqual([ANSWER], self.evidence.record_answer("e2", "v", 200.0))
         # Back after a restart: what broke then is forgotten.
-        self.assertEqual([ANSWER], self.evidence.answered("e1", "v", 9000.0))
+        self.assertEqual([ANSWER], self.evidence.record_answer("e1", "v", 9000.0))
 
     def test_a_rack_that_dies_is_not_the_versions_doing(self) -> None:
         for endpoint in ("e1", "e2", "e3"):
             failed = failure(100.0, replied=False)
-            self.assertEqual([], self.evidence.failed(endpoint, failed))
+            self.assertEqual([], self.evidence.record_failure(endpoint, failed))
 
     def test_an_endpoint_that_goes_on_answering_is_well(self) -> None:
-        self.evidence.failed("e1", failure(100.0))
-        self.evidence.failed("e1", failure(110.0, replied=False))
-        found = self.evidence.answered("e1", "w", 200.0)
+        self.evidence.record_failure("e1", failure(100.0))
+        self.evidence.record_failure("e1", failure(110.0, replied=False))
+        found = self.evidence.record_answer("e1", "w", 200.0)
         other = Finding("w", VersionTally(answers=1))
         self.assertEqual([other, ERROR, ERROR], found)
-        self.assertEqual([ANSWER], self.evidence.answered("e1", "v", 300.0))
+        self.assertEqual([ANSWER], self.evidence.record_answer("e1", "v", 300.0))
 
     def test_a_version_that_fails_everywhere_is_noticed(self) -> None:
-        self.evidence.answered("e1", "v", 50.0)
-        self.assertEqual([], self.evidence.failed("e1", failure(100.0)))
-        self.assertEqual([], self.evidence.failed("e1", failure(110.0)))
-        found = self.evidence.failed("e2", failure(120.0))
+        self.evidence.record_answer("e1", "v", 50.0)
+        self.assertEqual([], self.evidence.record_failure("e1", failure(100.0)))
+        self.assertEqual([], self.evidence.record_failure("e1", failure(110.0)))
+        found = self.evidence.record_failure("e2", failure(120.0))
         self.assertEqual([ERROR] * 3, found)
-        self.assertEqual([], self.evidence.failed("e2", failure(130.0)))
+        self.assertEqual([], self.evidence.record_failure("e2", failure(130.0)))
 
     def test_a_sick_endpoint_among_well_ones_is_not_the_versions_doing(self) -> None:
         detector = Detector(0.8)
         for number in range(200):
             at_ms = 100.0 * number
-            found = self.evidence.failed("e1", failure(at_ms))
+            found = self.evidence.record_failure("e1", failure(at_ms))
             for endpoint in ("e2", "e3"):
-                found += self.evidence.answered(endpoint, "v", at_ms + 1.0)
+                found += self.evidence.record_answer(endpoint, "v", at_ms + 1.0)
             for finding in found:
                 detector.add_tally(finding.tally)
         self.assertFalse(detector.bad)
 
     def test_what_is_not_configured_is_forgotten(self) -> None:
-        self.evidence.failed("e1", failure(100.0))
-        self.evidence.answered("e2", "v", 100.0)
-        self.evidence.keep({"e2"}, set())
+        self.evidence.record_failure("e1", failure(100.0))
+        self.evidence.record_answer("e2", "v", 100.0)
+        self.evidence.retain({"e2"}, set())
         self.assertEqual(({}, {}), (self.evidence.failures, self.evidence.answered_ms))
 
 
@@ -74,10 +74,12 @@
     def setUp(self) -> None:
         super().setUp()
         self.evidence = Evidence()
-        self.evidence.timed("e1", Timing("v", 100.0, 300.0, 20.0))
+        self.evidence.record_timing("e1", Timing("v", 100.0, 300.0, 20.0))
 
     def timed(self, *reports: LoadReport) -> int:
-        return sum(f.tally.timed for r in reports for f in self.evidence.reported(r))
+        return sum(
+            f.tally.timed for r in reports for f in self.evidence.apply_report(r)
+        )
 
     def test_it_counts_when_nothing_queued_meanwhile(self) -> None:
         self.assertEqual(0, self.timed(report(200.0, 4)))
@@ -91,7 +93,7 @@
         self.assertEqual(1, self.timed(report(50.0, 4, 9), report(300.0)))
 
     def test_what_is_fast_is_all_the_same(self) -> None:
-        self.evidence.timed("e1", Timing("v", 100.0, 300.0, 0.1))
-        self.evidence.timed("e1", Timing("v", 100.0, 300.0, 4.0))
-        _, fast, faster = self.evidence.reported(report(300.0))
+        self.evidence.record_timing("e1", Timing("v", 100.0, 300.0, 0.1))
+        self.evidence.record_timing("e1", Timing("v", 100.0, 300.0, 4.0))
+        _, fast, faster = self.evidence.apply_report(report(300.0))
         self.assertEqual(fast, faster)
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -120,13 +120,13 @@
         state.workload.add(200.0, 100.0)
         state.workload.add(300.0, 100.0)
         state.workload.add(200.0, 100.0)
-        self.assertEqual(700.0, state.workload.left_ms(100.0))
-        self.assertEqual(500.0, state.workload.left_ms(300.0))
+        self.assertEqual(700.0, state.workload.remaining_ms(100.0))
+        self.assertEqual(500.0, state.workload.remaining_ms(300.0))
         self.assertNotEqual("i-near", self.instance(SHORT, "small"))
         state.tell_load(LoadFigures(0, 1, 8), 100.0)
-        self.assertEqual(700.0, state.workload.left_ms(100.0))
+        self.assertEqual(700.0, state.workload.remaining_ms(100.0))
         state.tell_load(LoadFigures(0, 0, 8), 100.0)
-        self.assertEqual(300.0, state.workload.left_ms(100.0))
+        self.assertEqual(300.0, state.workload.remaining_ms(100.0))
 
 
 class UrgencyTest(testtools.TestCase):
@@ -147,13 +147,13 @@
     def test_bounds(self) -> None:
         work = Workload()
         work.add(1e9, 0.0)
-        self.assertEqual(WORK_MAX_MS, work.left_ms(0.0))
-        work.nothing_waits(100.0)
-        self.assertEqual(WORK_MAX_MS - 100.0, work.left_ms(100.0))
+        self.assertEqual(WORK_MAX_MS, work.remaining_ms(0.0))
+        work.clear_queue(100.0)
+        self.assertEqual(WORK_MAX_MS - 100.0, work.remaining_ms(100.0))
         work.add(300.0, 30_000.0)
         work.add(100.0, 30_000.0)
-        work.nothing_waits(30_000.0)
-        self.assertEqual(200.0, work.left_ms(30_100.0))
+        work.clear_queue(30_000.0)
+        self.assertEqual(200.0, work.remaining_ms(30_100.0))
 
 
 class PaceRateTest(testtools.TestCase):
--- a/tests/test_limit_load.py
+++ b/tests/test_limit_load.py
@@ -21,12 +21,12 @@
 )
 from ashlatch.gateway.news import LimitNamed
 from ashlatch.policy.rate_limit import (
+    BURST_S,
+    DEBT_MAX_S,
     NO_LIMIT,
-    OWED_MAX_S,
     RATE_MIN_PER_S,
-    SAVED_S,
+    LimitSharing,
     RateLimit,
-    Sharers,
 )
 from tests.limit_play import LimitWorld, Network
 from tests.limited import allowed, most_within
@@ -294,7 +294,7 @@
 
 
 class BucketTest(testtools.TestCase):
-    ALONE = Sharers()
+    ALONE = LimitSharing()
 
     def limit(self, per_s: float = 2.0) -> RateLimit:
         limit = RateLimit()
@@ -303,57 +303,57 @@
 
     def test_without_a_limit(self) -> None:
         limit = RateLimit()
-        limit.sent(self.ALONE, 0.0, 0.0)
+        limit.record_sent(self.ALONE, 0.0, 0.0)
         self.assertEqual(0.0, limit.wait_ms(self.ALONE, 0.0))
 
     def test_what_is_saved_is_bounded(self) -> None:
         limit = self.limit(8.0)
         sent = 0
         while not limit.wait_ms(self.ALONE, 60_000.0):
-            limit.sent(self.ALONE, 0.0, 60_000.0)
+            limit.record_sent(self.ALONE, 0.0, 60_000.0)
             sent += 1
-        self.assertTrue(sent <= 2 + SAVED_S * 8.0, str(sent))
+        self.assertTrue(sent <= 2 + BURST_S * 8.0, str(sent))
 
     def test_sends_that_crossed_are_made_up_for(self) -> None:
         """Three gateways sent at the same moment: two tokens are owed."""
         limit = self.limit(2.0)
         limit.wait_ms(self.ALONE, 500.0)
         for _ in range(3):
-            limit.sent_elsewhere(self.ALONE, 0.0, 500.0)
+            limit.record_peer_sent(self.ALONE, 0.0, 500.0)
         self.assertEqual(1500.0, limit.wait_ms(self.ALONE, 500.0))
 
     def test_debts_are_bounded(self) -> None:
         limit = self.limit(2.0)
         for _ in range(50):
-            limit.sent_elsewhere(self.ALONE, 0.0, 0.0)
+            limit.record_peer_sent(self.ALONE, 0.0, 0.0)
         wait_ms = limit.wait_ms(self.ALONE, 0.0)
-        self.assertEqual(OWED_MAX_S * 1000.0 + 500.0, wait_ms)
+        self.assertEqual(DEBT_MAX_S * 1000.0 + 500.0, wait_ms)
 
     def test_what_was_drawn_apart_is_reached_together(self) -> None:
         """A gateway that was cut off had to wait for more than is saved by all."""
         limit = RateLimit()
-        limit.set_rate(0.3, Sharers(7, in_touch=False), 0.99, 0.0)
-        self.assertEqual(0.0, limit.wait_ms(Sharers(7), 60_000.0))
+        limit.set_rate(0.3, LimitSharing(7, connected=False), 0.99, 0.0)
+        self.assertEqual(0.0, limit.wait_ms(LimitSharing(7), 60_000.0))
 
     def test_what_is_owed_at_another_rate(self) -> None:
         """Twenty requests that crossed before a limit fell hold nobody up after it."""
         limit = self.limit(20.0)
         for _ in range(20):
-            limit.sent_elsewhere(self.ALONE, 0.0, 0.0)
+            limit.record_peer_sent(self.ALONE, 0.0, 0.0)
         limit.set_rate(0.0, self.ALONE, 0.0, 0.0)
-        longest_ms = OWED_MAX_S * 1000.0 + 1000.0 / RATE_MIN_PER_S
+        longest_ms = DEBT_MAX_S * 1000.0 + 1000.0 / RATE_MIN_PER_S
         self.assertEqual(longest_ms, limit.wait_ms(self.ALONE, 0.0))
 
     def test_time_that_goes_back_fills_nothing(self) -> None:
         limit = self.limit()
         limit.wait_ms(self.ALONE, 1000.0)
         self.assertTrue(limit.wait_ms(self.ALONE, 0.0) == 0.0)
-        limit.sent(self.ALONE, 0.0, 0.0)
-        limit.sent(self.ALONE, 0.0, 0.0)
+        limit.record_sent(self.ALONE, 0.0, 0.0)
+        limit.record_sent(self.ALONE, 0.0, 0.0)
         self.assertTrue(limit.wait_ms(self.ALONE, 0.0) > 0.0)
 
     def test_a_part_of_its_own_without_the_others(self) -> None:
-        apart = Sharers(10, in_touch=False)
+        apart = LimitSharing(10, connected=False)
         limit = RateLimit()
         limit.set_rate(2.0, apart, 0.0, 0.0)
         self.assertEqual(5000.0, limit.wait_ms(apart, 0.0))
@@ -364,10 +364,10 @@
 
     def test_news(self) -> None:
         limit = self.limit(2.0)
-        limit.told_ms = 0.0
-        self.assertFalse(limit.is_news(2.0, 500.0))
-        self.assertTrue(limit.is_news(1.0, 500.0))
-        self.assertTrue(limit.is_news(2.0, 1000.0))
+        limit.broadcast_ms = 0.0
+        self.assertFalse(limit.is_new(2.0, 500.0))
+        self.assertTrue(limit.is_new(1.0, 500.0))
+        self.assertTrue(limit.is_new(2.0, 1000.0))
 
     def test_any_schedule(self) -> None:
         """One gateway, any rate and any times of sends."""
@@ -380,6 +380,6 @@
             for _ in range(400):
                 at_ms += drawn.choice((0.0, 1.0, 50.0, 900.0, 8000.0))
                 if not limit.wait_ms(self.ALONE, at_ms):
-                    limit.sent(self.ALONE, drawn.random(), at_ms)
+                    limit.record_sent(self.ALONE, drawn.random(), at_ms)
                     came_s.append(at_ms / 1000.0)
             self.assertTrue(most_within(came_s) <= allowed(per_s), str(seed))
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -41,7 +41,7 @@
 def busy(state: EndpointState) -> None:
     """Beliefs of each kind about an endpoint."""
     state.tell_load(LoadFigures(8, 3, 8), 0.0)
-    state.told_load.heard(4, 0.0)
+    state.told_load.record(4, 0.0)
     state.workload.add(900.0, 0.0)
     state.failed(0.0, unreachable=False)
 
@@ -66,7 +66,7 @@
         state = self.state(directory)
         self.assertEqual(["i-1"], self.ended)
         self.assertEqual((0.0, 0.0), (state.requests(0.0), state.failing))
-        self.assertEqual(0.0, state.workload.left_ms(0.0))
+        self.assertEqual(0.0, state.workload.remaining_ms(0.0))
 
     def test_the_same_life_goes_on(self) -> None:
         for again in (FIRST, UNTOLD):
@@ -120,7 +120,7 @@
             self.assertEqual(4000, known.kept.tokens("i-0", "small", PARTS))
             end(known, state)
             self.assertEqual(0, known.kept.tokens("i-0", "small", PARTS))
-            self.assertEqual(0.0, state.workload.left_ms(now_ms))
+            self.assertEqual(0.0, state.workload.remaining_ms(now_ms))
             self.assertEqual(0.0, state.load.requests())
 
         self.run_gateway([StandIn([answer()])], work)
--- a/tests/test_load_advertisement.py
+++ b/tests/test_load_advertisement.py
@@ -2,7 +2,12 @@
 
 import testtools
 
-from ashlatch.policy.load_advertisement import AGAIN_MS, FULL, ToldLoad, load_level
+from ashlatch.policy.load_advertisement import (
+    FULL,
+    REPEAT_MS,
+    LoadAdvertisement,
+    load_level,
+)
 
 
 class LoadLevelTest(testtools.TestCase):
@@ -14,24 +19,24 @@
 
 class ToldLoadTest(testtools.TestCase):
     def test_idle_endpoints_are_no_news(self) -> None:
-        told = ToldLoad()
+        told = LoadAdvertisement()
         for n in range(100):
-            self.assertFalse(told.is_news(n % 2, n * 500.0))
+            self.assertFalse(told.is_new(n % 2, n * 500.0))
 
     def test_each_level_once_in_a_while(self) -> None:
-        told = ToldLoad()
-        news = [told.is_news(FULL, n * 100.0) for n in range(25)]
+        told = LoadAdvertisement()
+        news = [told.is_new(FULL, n * 100.0) for n in range(25)]
         self.assertEqual([0, 10, 20], [n for n, said in enumerate(news) if said])
 
     def test_the_end_of_a_busy_time_is_told(self) -> None:
-        told = ToldLoad()
-        self.assertTrue(told.is_news(3, 0.0))
-        self.assertTrue(told.is_news(2, 10.0))
-        self.assertTrue(told.is_news(1, 20.0))
-        self.assertFalse(told.is_news(0, 30.0))
+        told = LoadAdvertisement()
+        self.assertTrue(told.is_new(3, 0.0))
+        self.assertTrue(told.is_new(2, 10.0))
+        self.assertTrue(told.is_new(1, 20.0))
+        self.assertFalse(told.is_new(0, 30.0))
 
     def test_what_was_heard_is_not_told_again(self) -> None:
-        told = ToldLoad()
-        told.heard(FULL, 0.0)
-        self.assertFalse(told.is_news(FULL, 10.0))
-        self.assertTrue(told.is_news(FULL, AGAIN_MS))
+        told = LoadAdvertisement()
+        told.record(FULL, 0.0)
+        self.assertFalse(told.is_new(FULL, 10.0))
+        self.assertTrue(told.is_new(FULL, REPEAT_MS))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -61,7 +61,7 @@
             await asyncio.sleep(ARRIVES_S)
             now_ms = asyncio.get_running_loop().time() * 1000.0
             states = self.hearer.directory.all()
-            left_ms = [s.workload.left_ms(now_ms) for s in states]
+            left_ms = [s.workload.remaining_ms(now_ms) for s in states]
             self.assertTrue(800.0 < left_ms[1] <= 1000.0, left_ms)
             self.assertEqual([0.0, 0.0], [left_ms[0], left_ms[2]])
             peers.tell(PromptSent("i-near", 800.0))
@@ -69,8 +69,8 @@
             now_ms = asyncio.get_running_loop().time() * 1000.0
             near = self.hearer.directory.state("i-near")
             assert near is not None
-            self.assertTrue(500.0 < near.workload.left_ms(now_ms) <= 800.0)
-            own = [s.workload.left_ms(now_ms) for s in self.teller.directory.all()]
+            self.assertTrue(500.0 < near.workload.remaining_ms(now_ms) <= 800.0)
+            own = [s.workload.remaining_ms(now_ms) for s in self.teller.directory.all()]
             self.assertEqual([0.0, 0.0, 0.0], own)
 
         self.with_sockets(work)
@@ -96,7 +96,7 @@
             for known in knowns[1:]:
                 state = known.directory.state("i-far")
                 assert state is not None
-                left_ms = state.workload.left_ms(now_ms)
+                left_ms = state.workload.remaining_ms(now_ms)
                 self.assertTrue(2000.0 < left_ms <= 3000.0, left_ms)
             carried = [c for known in knowns for c in known.traffic.carried()]
             crossed = sum(c.messages for c in carried if c.crosses)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -10,7 +10,7 @@
 from ashlatch.policy.breaker import Breaker
 from ashlatch.policy.detector import Detector, VersionTally
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES, Candidate, rank, subset
-from ashlatch.policy.limit import Capacity, Limits, Refused
+from ashlatch.policy.limit import Capacity, LimitReason, Limits
 from ashlatch.policy.load import EndpointLoad, LoadReport
 from ashlatch.policy.retry import RetryBudget
 from ashlatch.policy.split import bucket_percent
@@ -124,22 +124,22 @@
     def test_own_sends_since_the_report_are_added(self) -> None:
         load = EndpointLoad()
         for at_ms in (10.0, 20.0, 30.0):
-            load.sent(at_ms)
+            load.record_sent(at_ms)
         report = LoadReport("e", 20.0, 5, 2, 8, frozenset())
-        load.reported(report)
+        load.apply_report(report)
         self.assertEqual(8.0, load.requests())
-        load.finished(40.0, 100.0)
+        load.record_finished(40.0, 100.0)
         self.assertEqual(7.0, load.requests())
 
     def test_an_older_report_changes_nothing(self) -> None:
         load = EndpointLoad()
-        load.reported(LoadReport("e", 20.0, 5, 0, 8, frozenset()))
-        load.reported(LoadReport("e", 10.0, 50, 0, 8, frozenset()))
+        load.apply_report(LoadReport("e", 20.0, 5, 0, 8, frozenset()))
+        load.apply_report(LoadReport("e", 10.0, 50, 0, 8, frozenset()))
         self.assertEqual(5.0, load.requests())
 
 
 class LimitTest(testtools.TestCase):
-    def check(self, limits: Limits, name: str, free: float) -> Refused | None:
+    def check(self, limits: Limits, name: str, free: float) -> LimitReason | None:
         organisation = Organisation(rate_per_s=1000.0, burst_requests=1000.0)
         weights = {"big": 1.0, "small": 1.0}
         capacity = Capacity(free, 10.0)
@@ -150,10 +150,10 @@
         limits = Limits()
         for _ in range(30):
             self.assertIsNone(self.check(limits, "big", 1.0))
-            limits.admitted("big")
+            limits.record_admitted("big")
         self.assertIsNone(self.check(limits, "small", 0.0))
-        limits.admitted("small")
-        self.assertEqual(Refused.FAIR_SHARE, self.check(limits, "big", 0.0))
+        limits.record_admitted("small")
+        self.assertEqual(LimitReason.FAIR_SHARE, self.check(limits, "big", 0.0))
         self.assertIsNone(self.check(limits, "small", 0.0))
 
     def test_concurrency_is_split_among_routers(self) -> None:
@@ -161,23 +161,23 @@
         organisation = Organisation(concurrency_max=4)
         for _ in range(2):
             limits.check("org", organisation, {}, Capacity(9.0, 9.0), 0.0)
-            limits.admitted("org")
+            limits.record_admitted("org")
         refusal = limits.check("org", organisation, {}, Capacity(9.0, 9.0), 0.0)
         assert refusal is not None
-        self.assertEqual(Refused.CONCURRENCY, refusal.reason)
+        self.assertEqual(LimitReason.CONCURRENCY, refusal.reason)
 
 
 class BreakerTest(testtools.TestCase):
     def test_open_then_one_trial_then_closed(self) -> None:
         breaker = Breaker(2, 100.0)
-        breaker.failed(0.0)
+        breaker.record_failure(0.0)
         self.assertTrue(breaker.allows(0.0))
-        breaker.failed(0.0)
+        breaker.record_failure(0.0)
         self.assertFalse(breaker.allows(99.0))
         self.assertTrue(breaker.allows(100.0))
-        breaker.sent(100.0)
+        breaker.record_sent(100.0)
         self.assertFalse(breaker.allows(101.0))
-        breaker.succeeded()
+        breaker.record_success()
         self.assertTrue(breaker.allows(101.0))
 
 
@@ -210,9 +210,9 @@
     def test_evidence_goes_on_right_below_the_threshold(self) -> None:
         detector = Detector(0.8, error_sum=13.999)
         self.assertFalse(detector.bad)
-        self.assertAlmostEqual(0.9, detector.spared_ratio)
+        self.assertAlmostEqual(0.9, detector.diverted_ratio)
         detector.add_tally(VersionTally(errors=1))
-        self.assertEqual(1.0, detector.spared_ratio)
+        self.assertEqual(1.0, detector.diverted_ratio)
 
     def test_a_new_version_is_held_to_the_old_ones_latency(self) -> None:
         detector = Detector(0.8, latency_mean=3.0)
--- a/tests/test_prefill_rate.py
+++ b/tests/test_prefill_rate.py
@@ -13,13 +13,13 @@
 from ashlatch.fleet.protocol import SyncRequest
 from ashlatch.fleet.spread import Spread
 from ashlatch.gateway.pace import TOKEN_MS_PRIOR, UNTOLD_MAX, Pace
-from ashlatch.policy.prefill_rate import RATES_KEPT, ReadingRate, ReadingRates
+from ashlatch.policy.prefill_rate import RATES_MAX, PrefillRate, PrefillRates
 
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
 SMALL_MS = 0.003
 
 
-def asked(rates: tuple[ReadingRate, ...] = ()) -> SyncRequest:
+def asked(rates: tuple[PrefillRate, ...] = ()) -> SyncRequest:
     return SyncRequest("vm", (), 0, (0, 0), 0, 0.0, rates=rates)
 
 
@@ -39,7 +39,7 @@
     def test_engines_that_turn_slow_are_noticed(self) -> None:
         spread, pace = Spread(CORE), Pace()
         for token_ms in (SMALL_MS, 5 * SMALL_MS):
-            for _ in range(RATES_KEPT):
+            for _ in range(RATES_MAX):
                 pace.began("app", "small", 6000, 6000 * token_ms, 0.0)
                 spread.asked(asked(pace.take_rates()))
                 pace.learn(spread.reply(asked(), True, (), FleetState()).rates)
@@ -53,7 +53,7 @@
         pace.began("app", "small", 6000, 24.0, 0.0)
         pace.put_back(rates)
         self.assertEqual(
-            (*rates, ReadingRate("app", "small", 0.004)), pace.take_rates()
+            (*rates, PrefillRate("app", "small", 0.004)), pace.take_rates()
         )
         pace.put_back(rates * UNTOLD_MAX)
         self.assertEqual(UNTOLD_MAX, len(pace.take_rates()))
@@ -61,8 +61,8 @@
 
 class ReadingRatesTest(testtools.TestCase):
     def test_a_low_quantile_of_the_latest(self) -> None:
-        rates = ReadingRates()
+        rates = PrefillRates()
         self.assertIsNone(rates.token_ms("app", "small"))
-        rates.add(ReadingRate("app", "small", float(n)) for n in range(100))
+        rates.add(PrefillRate("app", "small", float(n)) for n in range(100))
         self.assertEqual(66.0, rates.token_ms("app", "small"))
-        self.assertEqual((ReadingRate("app", "small", 66.0),), rates.estimates())
+        self.assertEqual((PrefillRate("app", "small", 66.0),), rates.estimates())
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -8,21 +8,21 @@
 
 from ashlatch.codec import decode, encode
 from ashlatch.policy.quarantine import (
-    CRASHES_KEPT,
-    CRASHES_MAX,
-    HOLD_MAX_MS,
-    HOLD_MS,
+    CRASHES_PER_RECORD_MAX,
+    CRASHES_TO_QUARANTINE,
+    QUARANTINE_MAX_MS,
+    QUARANTINE_MS,
     RECORDS_MAX,
+    REPORTS_MAX,
     SAME_CRASH_MS,
-    TOLD_MAX,
     Crash,
     CrashLog,
     CrashRecord,
     Quarantine,
     UnloggedCrashes,
+    apply_record,
     endpoint_digest,
-    merge_record,
-    merged,
+    merge_records,
 )
 
 AT = 1_800_000_000_000
@@ -34,97 +34,97 @@
     at_ms = AT
     for number in range(times):
         at_ms = AT + 2000 * number
-        quarantine.crashed(content, f"i-{number}", 0, at_ms)
+        quarantine.record_crash(content, f"i-{number}", 0, at_ms)
     return at_ms
 
 
 class HoldTest(testtools.TestCase):
     def test_held_from_the_third_crash_on(self) -> None:
         quarantine = Quarantine()
-        for crashes in range(1, CRASHES_MAX + 1):
+        for crashes in range(1, CRASHES_TO_QUARANTINE + 1):
             at_ms = crashed(quarantine, crashes)
-            held = quarantine.held_ms(CONTENT, at_ms) > 0
-            self.assertEqual(crashes >= CRASHES_MAX, held)
+            held = quarantine.remaining_ms(CONTENT, at_ms) > 0
+            self.assertEqual(crashes >= CRASHES_TO_QUARANTINE, held)
 
     def test_the_hold_ends_and_doubles(self) -> None:
         quarantine = Quarantine()
-        at_ms = crashed(quarantine, CRASHES_MAX)
-        self.assertEqual(HOLD_MS, quarantine.held_ms(CONTENT, at_ms))
-        again_ms = at_ms + HOLD_MS
-        self.assertEqual(0.0, quarantine.held_ms(CONTENT, again_ms))
-        quarantine.crashed(CONTENT, "i-9", 0, again_ms)
-        self.assertEqual(2 * HOLD_MS, quarantine.held_ms(CONTENT, again_ms))
+        at_ms = crashed(quarantine, CRASHES_TO_QUARANTINE)
+        self.assertEqual(QUARANTINE_MS, quarantine.remaining_ms(CONTENT, at_ms))
+        again_ms = at_ms + QUARANTINE_MS
+        self.assertEqual(0.0, quarantine.remaining_ms(CONTENT, again_ms))
+        quarantine.record_crash(CONTENT, "i-9", 0, again_ms)
+        self.assertEqual(2 * QUARANTINE_MS, quarantine.remaining_ms(CONTENT, again_ms))
         self.assertTrue(crashed(quarantine, 15) < again_ms)
-        self.assertTrue(quarantine.held_ms(CONTENT, again_ms) <= HOLD_MAX_MS)
+        self.assertTrue(quarantine.remaining_ms(CONTENT, again_ms) <= QUARANTINE_MAX_MS)
 
     def test_a_good_run_ends_it(self) -> None:
         quarantine = Quarantine()
-        at_ms = crashed(quarantine, CRASHES_MAX)
-        self.assertTrue(quarantine.survived(CONTENT))
-        self.assertEqual(0, quarantine.crashes(CONTENT))
-        self.assertEqual(0.0, quarantine.held_ms(CONTENT, at_ms))
-        self.assertFalse(quarantine.survived(CONTENT))
-        self.assertFalse(quarantine.survived(CONTENT + 1))
+        at_ms = crashed(quarantine, CRASHES_TO_QUARANTINE)
+        self.assertTrue(quarantine.record_completed(CONTENT))
+        self.assertEqual(0, quarantine.crash_count(CONTENT))
+        self.assertEqual(0.0, quarantine.remaining_ms(CONTENT, at_ms))
+        self.assertFalse(quarantine.record_completed(CONTENT))
+        self.assertFalse(quarantine.record_completed(CONTENT + 1))
 
     def test_crashes_after_a_good_run_count_anew(self) -> None:
         quarantine = Quarantine()
-        crashed(quarantine, CRASHES_MAX)
-        quarantine.survived(CONTENT)
+        crashed(quarantine, CRASHES_TO_QUARANTINE)
+        quarantine.record_completed(CONTENT)
         later_ms = AT + 60_000
-        quarantine.crashed(CONTENT, "i-0", 0, later_ms)
-        self.assertEqual(1, quarantine.crashes(CONTENT))
+        quarantine.record_crash(CONTENT, "i-0", 0, later_ms)
+        self.assertEqual(1, quarantine.crash_count(CONTENT))
 
     def test_others_are_not_held(self) -> None:
         quarantine = Quarantine()
-        at_ms = crashed(quarantine, CRASHES_MAX)
-        self.assertEqual(0.0, quarantine.held_ms(CONTENT + 1, at_ms))
+        at_ms = crashed(quarantine, CRASHES_TO_QUARANTINE)
+        self.assertEqual(0.0, quarantine.remaining_ms(CONTENT + 1, at_ms))
 
 
 class SameCrashTest(testtools.TestCase):
     def test_one_crash_is_counted_once(self) -> None:
         """Two requests with one content may run at an endpoint that ends."""
         quarantine = Quarantine()
-        quarantine.crashed(CONTENT, "i-0", 0, AT)
-        quarantine.crashed(CONTENT, "i-0", 0, AT + SAME_CRASH_MS - 1)
-        self.assertEqual(1, quarantine.crashes(CONTENT))
+        quarantine.record_crash(CONTENT, "i-0", 0, AT)
+        quarantine.record_crash(CONTENT, "i-0", 0, AT + SAME_CRASH_MS - 1)
+        self.assertEqual(1, quarantine.crash_count(CONTENT))
 
     def test_an_endpoint_that_restarts_under_its_id(self) -> None:
         """Without it, a fleet of two endpoints would never reach three crashes."""
         quarantine = Quarantine()
-        for number in range(CRASHES_MAX):
-            quarantine.crashed(CONTENT, "i-0", 0, AT + 3000 * number)
-        self.assertEqual(CRASHES_MAX, quarantine.crashes(CONTENT))
+        for number in range(CRASHES_TO_QUARANTINE):
+            quarantine.record_crash(CONTENT, "i-0", 0, AT + 3000 * number)
+        self.assertEqual(CRASHES_TO_QUARANTINE, quarantine.crash_count(CONTENT))
 
     def test_a_known_start_tells_lives_apart(self) -> None:
         quarantine = Quarantine()
-        quarantine.crashed(CONTENT, "i-0", AT - 10, AT)
-        quarantine.crashed(CONTENT, "i-0", AT - 10, AT + 5000)
-        self.assertEqual(1, quarantine.crashes(CONTENT))
-        quarantine.crashed(CONTENT, "i-0", AT + 100, AT + 500)
-        self.assertEqual(2, quarantine.crashes(CONTENT))
+        quarantine.record_crash(CONTENT, "i-0", AT - 10, AT)
+        quarantine.record_crash(CONTENT, "i-0", AT - 10, AT + 5000)
+        self.assertEqual(1, quarantine.crash_count(CONTENT))
+        quarantine.record_crash(CONTENT, "i-0", AT + 100, AT + 500)
+        self.assertEqual(2, quarantine.crash_count(CONTENT))
 
 
 class MergeTest(testtools.TestCase):
     def test_gateways_that_saw_one_crash_each(self) -> None:
-        gateways = [Quarantine() for _ in range(CRASHES_MAX)]
+        gateways = [Quarantine() for _ in range(CRASHES_TO_QUARANTINE)]
         for number, gateway in enumerate(gateways):
-            gateway.crashed(CONTENT, f"i-{number}", 0, AT + 2000 * number)
+            gateway.record_crash(CONTENT, f"i-{number}", 0, AT + 2000 * number)
         told = Quarantine()
         for gateway in gateways:
-            for record in gateway.to_tell():
-                told.learn(record)
-        self.assertTrue(told.held_ms(CONTENT, AT) > 0)
+            for record in gateway.unconfirmed():
+                told.apply(record)
+        self.assertTrue(told.remaining_ms(CONTENT, AT) > 0)
 
     def test_a_good_run_stays_known(self) -> None:
         """Whoever tells of the crash later."""
         first, second = Quarantine(), Quarantine()
-        first.crashed(CONTENT, "i-0", 0, AT)
-        second.learn(*first.to_tell())
-        second.survived(CONTENT)
-        old = first.to_tell()[0]
-        self.assertFalse(second.learn(old))
-        self.assertTrue(first.learn(*second.to_tell()))
-        self.assertEqual(0, first.crashes(CONTENT))
+        first.record_crash(CONTENT, "i-0", 0, AT)
+        second.apply(*first.unconfirmed())
+        second.record_completed(CONTENT)
+        old = first.unconfirmed()[0]
+        self.assertFalse(second.apply(old))
+        self.assertTrue(first.apply(*second.unconfirmed()))
+        self.assertEqual(0, first.crash_count(CONTENT))
 
     crash = st.builds(
         Crash,
@@ -145,30 +145,30 @@
         for order in itertools.permutations(records):
             known = empty
             for record in (*order, *order):
-                known = merged(known, record)
+                known = merge_records(known, record)
             ends.add(known)
         self.assertEqual(1, len(ends))
         (end,) = ends
-        self.assertEqual(end, merged(end, end))
+        self.assertEqual(end, merge_records(end, end))
 
 
 class BoundsTest(testtools.TestCase):
     def test_records_are_bounded_and_held_ones_stay(self) -> None:
         quarantine = Quarantine()
-        at_ms = crashed(quarantine, CRASHES_MAX)
+        at_ms = crashed(quarantine, CRASHES_TO_QUARANTINE)
         for content in range(1000, 1000 + 2 * RECORDS_MAX):
-            quarantine.crashed(content, "i-0", 0, AT + 60_000 + content)
-        self.assertTrue(quarantine.held_ms(CONTENT, at_ms) > 0)
+            quarantine.record_crash(content, "i-0", 0, AT + 60_000 + content)
+        self.assertTrue(quarantine.remaining_ms(CONTENT, at_ms) > 0)
         records: dict[int, CrashRecord] = {}
         for content in range(2 * RECORDS_MAX):
             crash = Crash(1, 0, AT + content)
-            merge_record(records, CrashRecord(content, (crash,)))
+            apply_record(records, CrashRecord(content, (crash,)))
         self.assertEqual(RECORDS_MAX, len(records))
 
     def test_crashes_of_a_content_are_bounded(self) -> None:
         quarantine = Quarantine()
-        crashed(quarantine, 3 * CRASHES_KEPT)
-        self.assertEqual(CRASHES_KEPT, quarantine.crashes(CONTENT))
+        crashed(quarantine, 3 * CRASHES_PER_RECORD_MAX)
+        self.assertEqual(CRASHES_PER_RECORD_MAX, quarantine.crash_count(CONTENT))
 
 
 class CrashLogTest(testtools.TestCase):
@@ -183,61 +183,61 @@
 
     def test_who_knows_a_number_is_told_the_rest(self) -> None:
         log = CrashLog()
-        self.assertTrue(log.note([self.record(1, False), self.record(2, False)]))
+        self.assertTrue(log.apply([self.record(1, False), self.record(2, False)]))
         known = log.number
-        self.assertTrue(log.note([self.record(1, False, False)]))
-        self.assertEqual([1], [r.content for r in log.since(known)])
+        self.assertTrue(log.apply([self.record(1, False, False)]))
+        self.assertEqual([1], [r.fingerprint for r in log.since(known)])
         self.assertEqual(2, len(log.since(0)))
         self.assertEqual((), log.since(log.number))
 
     def test_what_is_known_is_no_change(self) -> None:
         log = CrashLog()
-        log.note([self.record(1, True, False)])
-        self.assertFalse(log.note([self.record(1, False, False)]))
+        log.apply([self.record(1, True, False)])
+        self.assertFalse(log.apply([self.record(1, False, False)]))
         self.assertTrue(log.covers(self.record(1, False, False)))
         self.assertFalse(log.covers(self.record(1, True, True)))
 
     def test_it_stays_bounded(self) -> None:
         log = CrashLog()
-        log.note([self.record(content, False) for content in range(2 * RECORDS_MAX)])
+        log.apply([self.record(content, False) for content in range(2 * RECORDS_MAX)])
         self.assertEqual(RECORDS_MAX, len(log.records))
         self.assertEqual(set(log.records), set(log.numbers))
         self.assertEqual(log, decode(encode(log), CrashLog))
 
     def test_what_waits_is_told_until_the_log_has_it(self) -> None:
         log, waiting = CrashLog(), UnloggedCrashes()
-        self.assertTrue(waiting.take([self.record(1, False)]))
-        self.assertFalse(waiting.take([self.record(1, False)]))
-        told = waiting.unknown_to(log)
-        self.assertEqual(told, waiting.unknown_to(log))
-        waiting.take([self.record(1, False, False)])
-        log.note(told)
-        self.assertEqual(1, len(waiting.unknown_to(log)))
-        log.note(waiting.unknown_to(log))
-        self.assertEqual((), waiting.unknown_to(log))
+        self.assertTrue(waiting.apply([self.record(1, False)]))
+        self.assertFalse(waiting.apply([self.record(1, False)]))
+        told = waiting.missing_from(log)
+        self.assertEqual(told, waiting.missing_from(log))
+        waiting.apply([self.record(1, False, False)])
+        log.apply(told)
+        self.assertEqual(1, len(waiting.missing_from(log)))
+        log.apply(waiting.missing_from(log))
+        self.assertEqual((), waiting.missing_from(log))
 
 
 class TellTest(testtools.TestCase):
     def test_told_until_confirmed(self) -> None:
         quarantine = Quarantine()
-        quarantine.crashed(CONTENT, "i-0", 0, AT)
-        told = quarantine.to_tell()
-        quarantine.told(told)
-        self.assertEqual(told, quarantine.to_tell())
+        quarantine.record_crash(CONTENT, "i-0", 0, AT)
+        told = quarantine.unconfirmed()
+        quarantine.record_reported(told)
+        self.assertEqual(told, quarantine.unconfirmed())
         quarantine.confirm(told[0])
-        self.assertEqual((), quarantine.to_tell())
+        self.assertEqual((), quarantine.unconfirmed())
 
     def test_an_older_record_confirms_nothing(self) -> None:
         quarantine = Quarantine()
-        quarantine.crashed(CONTENT, "i-0", 0, AT)
-        old = quarantine.to_tell()[0]
-        quarantine.crashed(CONTENT, "i-1", 0, AT + 2000)
+        quarantine.record_crash(CONTENT, "i-0", 0, AT)
+        old = quarantine.unconfirmed()[0]
+        quarantine.record_crash(CONTENT, "i-1", 0, AT + 2000)
         quarantine.confirm(old)
-        self.assertEqual(1, len(quarantine.to_tell()))
+        self.assertEqual(1, len(quarantine.unconfirmed()))
 
     def test_it_ends_without_a_confirmation(self) -> None:
         quarantine = Quarantine()
-        quarantine.crashed(CONTENT, "i-0", 0, AT)
-        for _ in range(TOLD_MAX):
-            quarantine.told(quarantine.to_tell())
-        self.assertEqual((), quarantine.to_tell())
+        quarantine.record_crash(CONTENT, "i-0", 0, AT)
+        for _ in range(REPORTS_MAX):
+            quarantine.record_reported(quarantine.unconfirmed())
+        self.assertEqual((), quarantine.unconfirmed())
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -31,7 +31,7 @@
 
 from ashlatch.catalog import Endpoint, EndpointList, Rollout, RolloutStage
 from ashlatch.platform.headers import decode_answer
-from ashlatch.policy.rate_limit import NO_LIMIT, Sharers
+from ashlatch.policy.rate_limit import NO_LIMIT, LimitSharing
 from tests.fleet import READY_PORT, Fleet, wait_for
 from tests.gateway import GatewayHarness, ask
 from tests.limited import LimitedEndpoint, allowed, most_within
@@ -114,7 +114,7 @@
             state = self.known.directory.state("i-1")
             assert state is not None
             # There is room again before the first endpoint has been silent for long.
-            state.limit.set_rate(5.0, Sharers(), 0.0, now_ms)
+            state.limit.set_rate(5.0, LimitSharing(), 0.0, now_ms)
 
         self.prepare = prepare  # type: ignore[method-assign]
         self.assertEqual([200], self.play([silent, limited], [ask("/get/1")]))
