--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -279,7 +279,7 @@
         for version in ("v1", "v2"):
             for stream in (True, False):
                 for _ in range(200):
-                    self.core.hedging.took(version, stream, 50.0)
+                    self.core.hedging.record_response(version, stream, 50.0)
 
     def hedged(self, **changed: Any) -> tuple[StartAttempt, StartAttempt]:
         """A request whose first attempt is slow, and its hedge."""
--- a/tests/test_router_backoff.py
+++ b/tests/test_router_backoff.py
@@ -103,8 +103,8 @@
 
     def test_a_hedge(self) -> None:
         for _ in range(200):
-            self.core.hedging.took("v1", False, 50.0)
-            self.core.hedging.took("v2", False, 50.0)
+            self.core.hedging.record_response("v1", False, 50.0)
+            self.core.hedging.record_response("v2", False, 50.0)
         due = next(e for e in self.arrive() if isinstance(e, ScheduleHedge))
         hedge = HedgeDue(due.request_id, due.attempt_id)
         self.assertIsNone(self.sent(self.step(hedge)))
--- a/tests/test_router_crashes.py
+++ b/tests/test_router_crashes.py
@@ -94,32 +94,32 @@
             if attempt is not None:
                 self.end(attempt, Broken("closed"))
         content = content_of(request())
-        self.assertEqual(0, self.core.quarantine.crashes(content))
+        self.assertEqual(0, self.core.quarantine.crash_count(content))
 
     def test_an_answer_clears(self) -> None:
         attempt = self.sent(self.attempt_of(1))
         assert attempt is not None
         again = self.sent(self.end(attempt, ENDED))
         content = content_of(request())
-        self.assertEqual(1, self.core.quarantine.crashes(content))
+        self.assertEqual(1, self.core.quarantine.crash_count(content))
         assert again is not None
         self.end(again, ANSWER)
-        self.assertEqual(0, self.core.quarantine.crashes(content))
+        self.assertEqual(0, self.core.quarantine.crash_count(content))
 
     def test_what_others_found_is_held_here(self) -> None:
         other = Quarantine()
         content = content_of(request())
         for number in range(CRASHES_MAX):
-            other.crashed(content, f"e{number}", 0, AT - 5000 * number)
-        self.step(CrashesLearnt(other.to_tell()))
+            other.record_crash(content, f"e{number}", 0, AT - 5000 * number)
+        self.step(CrashesLearnt(other.unconfirmed()))
         self.assertIsNone(self.sent(self.attempt_of(1)))
 
     def test_a_stream_is_not_resumed_any_more(self) -> None:
         other = Quarantine()
         content = content_of(request())
         for number in range(CRASHES_MAX - 1):
-            other.crashed(content, f"x{number}", 0, AT - 5000 * number)
-        self.step(CrashesLearnt(other.to_tell()))
+            other.record_crash(content, f"x{number}", 0, AT - 5000 * number)
+        self.step(CrashesLearnt(other.unconfirmed()))
         attempt = self.sent(self.attempt_of(1, stream=True))
         assert attempt is not None
         self.core.flights["q1"].chunks_given = True
@@ -130,8 +130,8 @@
         content = content_of(request(**ORDER))
         other = Quarantine()
         for number in range(CRASHES_MAX):
-            other.crashed(content, f"s{number}", 0, AT - 5000 * number)
-        self.step(CrashesLearnt(other.to_tell()))
+            other.record_crash(content, f"s{number}", 0, AT - 5000 * number)
+        self.step(CrashesLearnt(other.unconfirmed()))
         effects = self.attempt_of(1, **ORDER)
         self.assertEqual(problems.QUARANTINED, self.problem(effects).kind)
 
@@ -161,9 +161,9 @@
 class StateTest(testtools.TestCase):
     def records(self) -> tuple[CrashRecord, ...]:
         quarantine = Quarantine()
-        quarantine.crashed(7, "e1", 0, AT)
-        quarantine.crashed(8, "e1", 0, AT)
-        return quarantine.to_tell()
+        quarantine.record_crash(7, "e1", 0, AT)
+        quarantine.record_crash(8, "e1", 0, AT)
+        return quarantine.unconfirmed()
 
     def test_it_is_in_the_snapshot(self) -> None:
         machine = Machine()
--- a/tests/test_router_limits.py
+++ b/tests/test_router_limits.py
@@ -121,8 +121,8 @@
 
     def test_a_hedge(self) -> None:
         for _ in range(200):
-            self.core.hedging.took("v1", False, 50.0)
-            self.core.hedging.took("v2", False, 50.0)
+            self.core.hedging.record_response("v1", False, 50.0)
+            self.core.hedging.record_response("v2", False, 50.0)
         effects = self.arrive()
         due = next((e for e in effects if isinstance(e, ScheduleHedge)), None)
         assert due is not None
--- a/tests/test_shared_slowness.py
+++ b/tests/test_shared_slowness.py
@@ -21,7 +21,7 @@
 
 from ashlatch.control import membership, placement, rollout
 from ashlatch.control.core import ControlCore
-from ashlatch.control.event import Change, LeaseAnswered, StateRead, WriteLog
+from ashlatch.control.event import ChangeResource, LeaseAnswered, StateRead, WriteLog
 from ashlatch.control.latency import LatencyCompared
 from ashlatch.log import LogEvent
 from ashlatch.policy.detector import VersionTally
@@ -120,10 +120,10 @@
             for effect in self.core.step(self.now_ms, event):
                 if isinstance(effect, WriteLog):
                     self.events.append(effect.event)
-                if isinstance(effect, Change):
+                if isinstance(effect, ChangeResource):
                     self.take(effect)
 
-    def take(self, change: Change) -> None:
+    def take(self, change: ChangeResource) -> None:
         key = f"{change.kind}/{change.name}"
         self.resources[key] = Resource(
             change.kind, change.name, self.revision, change.spec
--- a/tests/test_shed_load.py
+++ b/tests/test_shed_load.py
@@ -38,14 +38,14 @@
 
     def test_others_are_told_when_it_outlasts_what_they_know(self) -> None:
         backoff = Backoff()
-        backoff.request(3000.0, now_ms=0.0)
-        self.assertTrue(backoff.is_news(0.0))
+        backoff.record_request(3000.0, now_ms=0.0)
+        self.assertTrue(backoff.is_new(0.0))
         backoff.record_peer_request(3000.0, now_ms=0.0)
-        self.assertFalse(backoff.is_news(0.0))
-        backoff.request(3000.0, now_ms=100.0)
-        self.assertFalse(backoff.is_news(100.0))
-        backoff.request(3000.0, now_ms=2000.0)
-        self.assertTrue(backoff.is_news(2000.0))
+        self.assertFalse(backoff.is_new(0.0))
+        backoff.record_request(3000.0, now_ms=100.0)
+        self.assertFalse(backoff.is_new(100.0))
+        backoff.record_request(3000.0, now_ms=2000.0)
+        self.assertTrue(backoff.is_new(2000.0))
 
 
 class RandomWorldsTest(testtools.TestCase):
