--- a/ashlatch/policy/quarantine.py
+++ b/ashlatch/policy/quarantine.py
@@ -113,7 +113,7 @@
         if at is None:
             crashes.append(crash)
         elif crash.completed_since:
-            crashes[at] = msgspec.structs.replace(crashes[at], survived=True)
+            crashes[at] = msgspec.structs.replace(crashes[at], completed_since=True)
     return CrashRecord(one.fingerprint, tuple(crashes[-CRASHES_PER_RECORD_MAX:]))
 
 
@@ -230,7 +230,7 @@
         if record is None or not record.counted_crashes:
             return False
         crashes = tuple(
-            msgspec.structs.replace(c, survived=True) for c in record.crashes
+            msgspec.structs.replace(c, completed_since=True) for c in record.crashes
         )
         self._record(CrashRecord(fingerprint, crashes))
         return True
--- a/ashlatch/policy/split.py
+++ b/ashlatch/policy/split.py
@@ -15,7 +15,7 @@
 BUCKETS = 10_000
 
 
-def bucket_percent(rollout: str, organisation: str, session: str) -> float:
+def bucket_percent(rollout: str, organisation: str, unit: str) -> float:
     """Where a session, or a request without one, stands in a split: 0 to 100.
 
     It does not depend on the share, so a growing share only adds sessions and
@@ -23,6 +23,6 @@
 
         bucket_percent("spring", "nairobi-stockists", "session-7") < 10.0
     """
-    text = f"{rollout}/{organisation}/{session}"
+    text = f"{rollout}/{organisation}/{unit}"
     bucket = xxhash.xxh3_64_intdigest(text.encode()) % BUCKETS
     return bucket * 100.0 / BUCKETS
