--- a/ashlatch/policy/__init__.py
+++ b/ashlatch/policy/__init__.py
@@ -2,9 +2,9 @@
 ashlatch.policy
 ~~~~~~~~~~~~~~~
 
-The decisions: which version and which endpoint answer a request, who may have
-how much, what is tried again. All of it is pure: time comes in as an argument
-and randomness from a seeded generator.
+The decision rules: which version and which endpoint answer a request, how much
+each organisation may use, and what is retried. All functions are pure: the time is
+an argument, and randomness comes from a seeded generator.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
--- a/ashlatch/policy/detector.py
+++ b/ashlatch/policy/detector.py
@@ -2,10 +2,10 @@
 ashlatch.policy.detector
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-Tells that a version has turned bad: a cumulative-sum test (Page, 1954) for
-each signal. Each test adds up the log-likelihood ratio of "bad" against
-"healthy" and never falls below zero, so it may be looked at any time; a
-healthy version passes the threshold about once in `exp(THRESHOLD)` answers.
+Detects versions that have turned bad, with a cumulative-sum test (Page, 1954) for
+each signal. Each test sums the log-likelihood ratio of "bad" against "healthy"
+and never falls below zero, so it may be evaluated at any time; a healthy version
+passes the threshold about once in `exp(THRESHOLD)` answers.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -26,17 +26,18 @@
 LATENCY_LOG_SD = 0.6
 LATENCY_GAIN = 0.01
 SUSPICION_MIN = 0.1
-# Some requests always go on: without them no test would come to an end.
+# Some requests always go to the suspected version: without new answers no test would
+# reach a decision.
 DIVERTED_RATIO_MAX = 0.9
 BASELINE_ANSWERS_MIN = 20
-# Slowness that can be compared with nothing raises suspicion to this, half of the
-# threshold: half of the requests go to other versions then, which is what it can be
-# compared with next. It never withdraws a version by itself.
+# The upper bound of the latency test while there is no other version to compare with.
+# At half of the threshold, half of the requests go to other versions, whose answers
+# then allow a comparison. This alone never withdraws a version.
 UNCOMPARED_MAX = THRESHOLD / 2
-# One answer's evidence of slowness is bounded: a burst is not a version's doing.
+# The bound on one answer's evidence of slowness: a burst is not caused by a version.
 LATENCY_STEP_MAX = 1.4
-# Beside other versions a burst is seen to be shared, so the evidence of an answer may
-# be what a version that is 4 times as slow shows in the mean.
+# The same bound in a comparison with other versions. These show a burst too, so an
+# answer may count as much as the mean answer of a version that is 4 times as slow.
 COMPARED_STEP_MAX = 2.7
 
 _ERROR_STEP = math.log(BAD_ERROR_RATIO / HEALTHY_ERROR_RATIO)
@@ -45,11 +46,11 @@
 
 @dataclass(frozen=True)
 class VersionTally:
-    """What has come of a version's attempts, over some time.
+    """The outcomes of a version's attempts over some time.
 
-    `timed` answers say something of its speed: `log_latency_sum` adds up the
-    natural logarithm of the time for each output token, in milliseconds, over
-    these.
+    `timed` counts the answers that are usable as latency samples; `log_latency_sum`
+    is the sum over these of the natural logarithm of the milliseconds per output
+    token.
     """
 
     answers: int = 0
@@ -58,7 +59,7 @@
     log_latency_sum: float = 0.0
 
     def plus(self, other: "VersionTally") -> "VersionTally":
-        """Both together."""
+        """Returns the sum of both tallies."""
         return VersionTally(
             self.answers + other.answers,
             self.errors + other.errors,
@@ -67,9 +68,9 @@
         )
 
     def since(self, earlier: "VersionTally") -> "VersionTally":
-        """What has come since an earlier total.
+        """Returns the difference to an earlier total.
 
-        Nothing when a total has fallen, as at a router's start or end.
+        It is empty when a total has decreased, as when a router starts or ends.
         """
         counts = (
             self.answers - earlier.answers,
@@ -83,11 +84,12 @@
 
 @dataclass(frozen=True)
 class Slowness:
-    """How slow a version is, and how much of that others share.
+    """A version's slowdown, and the part of it that other versions share.
 
-    Both are logarithms of a factor: of its pace of calm times, and of the other
-    versions' at the same moments. `answers` is what the comparison is worth, in
-    answers of a version whose pace is known for sure.
+    Both are logarithms of a factor against the baseline latency: of the version, and
+    of the other versions at the same time. `answers` is the effective sample size of
+    the comparison: the number of answers that would be as precise if the baseline
+    were known exactly.
     """
 
     answers: float
@@ -96,25 +98,25 @@
 
     @property
     def excess(self) -> float:
-        """What is the version's own doing."""
+        """The part of the slowdown that other versions do not share."""
         return self.slowness - self.shared
 
 
-# Compares a version with others since a time, by its pace of calm times.
+# Compares a version with others since a time, given its baseline latency.
 CompareLatency = Callable[[float, float], Slowness | None]
 
 
 @dataclass
 class Detector:
-    """The three tests of one version.
+    """The three tests of one version: errors, ratings and latency.
 
-    `quality` is its expected rating; `latency_mean`, when given, the expected
-    mean of the logarithm of the milliseconds for each output token. Without
-    it, the first answers tell.
+    `quality` is its expected rating. `latency_mean` is its baseline latency: the
+    expected mean of the logarithm of the milliseconds per output token. When it is
+    not given, the first answers set it.
 
-    `slow_sum` is the test of latency against the version's own pace of calm
-    times, `latency_sum` what is left of it beside other versions. `calm_ms` is
-    when the former last was 0.
+    `baseline_sum` is the test of latency against the version's own baseline, and
+    `latency_sum` that test after the comparison with other versions. `normal_ms` is
+    the last time at which `baseline_sum` was 0.
     """
 
     quality: float
@@ -138,7 +140,7 @@
         now_ms: float = 0.0,
         compare: CompareLatency | None = None,
     ) -> None:
-        """Learn from attempts; without `compare`, others are as fast as always."""
+        """Adds attempts; without `compare`, no slowdown counts as shared."""
         step = tally.errors * _ERROR_STEP + tally.answers * _ANSWER_STEP
         self.error_sum = max(0.0, self.error_sum + step)
         if tally.timed:
@@ -148,7 +150,7 @@
             self.reasons.add("errors")
 
     def add_rating(self, rating: float) -> None:
-        """Learn from one rating (0 to 1)."""
+        """Adds one rating (0 to 1)."""
         bad = self.quality * BAD_QUALITY_RATIO
         step = _normal_step(rating, self.quality, bad, RATING_SD)
         self.rating_sum = max(0.0, self.rating_sum + step)
@@ -162,32 +164,32 @@
 
     @property
     def suspicion(self) -> float:
-        """How near the nearest test is to its threshold, 0 to 1."""
+        """The highest test sum as a fraction of the threshold, 0 to 1."""
         highest = max(self.error_sum, self.rating_sum, self.latency_sum)
         return min(1.0, highest / THRESHOLD)
 
     @property
     def diverted_ratio(self) -> float:
-        """The share of the requests that should go to another version now."""
+        """The share of the requests that should go to another version."""
         return 1.0 if self.bad else min(DIVERTED_RATIO_MAX, self.suspicion)
 
     @property
     def suspected(self) -> bool:
-        """Whether to look closer: rate every answer, exchange totals sooner."""
+        """Whether to rate every answer and exchange totals sooner."""
         return self.suspicion > SUSPICION_MIN
 
     @property
     def looks_slow(self) -> bool:
-        """Whether it is slower than in calm times, by whatever cause."""
+        """Whether latency exceeds the version's baseline, whatever the cause."""
         return self.baseline_sum >= THRESHOLD
 
     def _add_latency(self, answers: int, log_sum: float, now_ms: float) -> None:
-        """Hold answers to the version's own pace of calm times."""
+        """Tests answers against the version's own baseline latency."""
         mean = log_sum / answers
         if self.latency_mean is None:
             self.latency_mean = mean
         if self.normal_ms == -math.inf:
-            # What came before its first answers cannot be compared with them.
+            # Other versions' earlier answers are not comparable with its first ones.
             self.normal_ms = math.nextafter(now_ms, -math.inf)
         healthy = self.latency_mean
         self.latency_answers += answers
@@ -197,12 +199,12 @@
             gain = min(1.0, LATENCY_GAIN * answers)
         else:
             gain = answers / self.latency_answers
-        # What looks bad must not become the new normal.
+        # Answers that look slow must not raise the baseline.
         if self.baseline_sum == 0.0:
             self.latency_mean = healthy + gain * (mean - healthy)
 
     def _evaluate_latency(self, now_ms: float, compare: CompareLatency | None) -> None:
-        """Hold what is slow to what other versions show at the same time."""
+        """Compares a slowdown with that of other versions at the same time."""
         if self.baseline_sum == 0.0:
             self.normal_ms = now_ms
             self.latency_sum = 0.0
@@ -222,12 +224,12 @@
 
 
 def _latency_step(slowness: float, step_max: float) -> float:
-    """The evidence of one answer that is slower by the logarithm of a factor."""
+    """Returns the evidence of one answer; `slowness` is the logarithm of a factor."""
     bad = math.log(BAD_LATENCY_RATIO)
     return min(step_max, _normal_step(slowness, 0.0, bad, LATENCY_LOG_SD))
 
 
 def _normal_step(value: float, healthy: float, bad: float, deviation: float) -> float:
-    """The log-likelihood ratio of a normal value, bad against healthy."""
+    """Returns the log-likelihood ratio, bad against healthy, of a normal variable."""
     shift = bad - healthy
     return shift * (value - (healthy + bad) / 2.0) / deviation**2
--- a/ashlatch/policy/endpoint.py
+++ b/ashlatch/policy/endpoint.py
@@ -2,7 +2,7 @@
 ashlatch.policy.endpoint
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-Which endpoint answers: variants found by name.
+The policies that choose the endpoint for a request, registered by name.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -20,9 +20,9 @@
 
 PREFIX_LOAD_BOUND = 1.25
 PREFIX_CHOICES = 2
-# Endpoints of the own hall, and those that know the prompt, are preferred up to
-# this many times the mean share of taken places, and always while they are
-# lightly used: a plain service answers as fast with half of its places taken.
+# Endpoints of the local hall, and those with the prompt in their prefix cache, are
+# preferred up to this multiple of the mean utilisation, and always while they are
+# lightly used: a service without a model is as fast with half of its slots in use.
 HALL_LOAD_BOUND = 1.5
 LIGHT_UTILISATION = 0.5
 
@@ -31,10 +31,10 @@
 class Candidate:
     """An endpoint that may answer.
 
-    `requests` is the estimated number at the endpoint now, `reported` the
-    number in the last report, `expected_ms` the expected time of a request
-    there, with the way between the halls. `local` ones are in the chooser's
-    own hall.
+    `requests` is the estimated number of requests at the endpoint now, `reported`
+    the number in the last report. `expected_ms` is the expected duration of a
+    request, including the network time between halls. `local` is whether the
+    endpoint is in the local hall.
     """
 
     endpoint: str
@@ -46,15 +46,15 @@
 
     @property
     def utilisation(self) -> float:
-        """Estimated requests for each slot."""
+        """Estimated requests per slot."""
         return self.requests / self.slots
 
 
 class EndpointPolicy:
-    """Chooses among candidates, which are never empty.
+    """Chooses among candidates, of which there is at least one.
 
-    `prefix` is a hash of the prompt's beginning, or empty; requests with
-    equal prefixes profit from meeting the same endpoint's cache.
+    `prefix` is a hash of the beginning of the prompt, or empty; requests with equal
+    prefixes are faster at an endpoint that has the prefix in its cache.
     """
 
     name: ClassVar[str] = ""
@@ -62,7 +62,7 @@
     def choose(
         self, candidates: tuple[Candidate, ...], prefix: str, generator: random.Random
     ) -> Candidate:
-        """Pick one candidate."""
+        """Returns one of the candidates."""
         raise NotImplementedError
 
 
@@ -71,40 +71,40 @@
 
 @ENDPOINT_POLICIES.add
 class Uniform(EndpointPolicy):
-    """Any endpoint with equal chance; a baseline."""
+    """Chooses uniformly at random; a baseline."""
 
     name = "random"
 
     def choose(
         self, candidates: tuple[Candidate, ...], prefix: str, generator: random.Random
     ) -> Candidate:
-        """A uniform draw."""
+        """Returns a random candidate."""
         return generator.choice(candidates)
 
 
 @ENDPOINT_POLICIES.add
 class LeastReported(EndpointPolicy):
-    """The least load in the last reports; a baseline that herds."""
+    """Chooses the least reported load; a baseline that causes herding."""
 
     name = "least_reported"
 
     def choose(
         self, candidates: tuple[Candidate, ...], prefix: str, generator: random.Random
     ) -> Candidate:
-        """The least reported load for each slot."""
+        """Returns the candidate with the fewest reported requests per slot."""
         return min(candidates, key=lambda c: c.reported / c.slots)
 
 
 @ENDPOINT_POLICIES.add
 class LeastEstimated(EndpointPolicy):
-    """The least expected time by the router's own estimate."""
+    """Chooses the least expected time by the local estimate."""
 
     name = "least_estimated"
 
     def choose(
         self, candidates: tuple[Candidate, ...], prefix: str, generator: random.Random
     ) -> Candidate:
-        """The least expected time; ties are drawn."""
+        """Returns the candidate of least expected time; ties are broken at random."""
         least_ms = min(c.expected_ms + c.utilisation for c in candidates)
         equal = [c for c in candidates if c.expected_ms + c.utilisation <= least_ms]
         return generator.choice(equal)
@@ -112,14 +112,14 @@
 
 @ENDPOINT_POLICIES.add
 class TwoChoices(EndpointPolicy):
-    """The better of two drawn endpoints (Mitzenmacher, 2001)."""
+    """Chooses the better of two random endpoints (Mitzenmacher, 2001)."""
 
     name = "two_choices"
 
     def choose(
         self, candidates: tuple[Candidate, ...], prefix: str, generator: random.Random
     ) -> Candidate:
-        """Draw two and take the one with less expected time."""
+        """Draws two candidates and returns the one with less expected time."""
         if len(candidates) == 1:
             return candidates[0]
         first, second = generator.sample(candidates, 2)
@@ -128,7 +128,7 @@
 
 @ENDPOINT_POLICIES.add
 class PrefixAffinity(EndpointPolicy):
-    """Endpoints by rendezvous hashing of the prefix, with bounded load.
+    """Chooses by rendezvous hashing of the prefix, with bounded load.
 
     Follows Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with
     Bounded Loads" (2018), with rendezvous in place of ring hashing.
@@ -142,7 +142,7 @@
     def choose(
         self, candidates: tuple[Candidate, ...], prefix: str, generator: random.Random
     ) -> Candidate:
-        """A preferred endpoint that is not loaded above the bound."""
+        """Returns a preferred endpoint whose load is below the bound."""
         if not prefix:
             return self._fallback.choose(candidates, prefix, generator)
         mean = sum(c.utilisation for c in candidates) / len(candidates)
@@ -156,10 +156,10 @@
 
 @ENDPOINT_POLICIES.add
 class HallAffinity(EndpointPolicy):
-    """Own hall while it has room, and there by bounded rendezvous hashing.
+    """Prefers the local hall, and in it bounded rendezvous hashing of the prefix.
 
-    Traffic between halls costs time and money, and a prompt whose parts an
-    engine has kept costs less to read. Both yield to load.
+    Traffic between halls costs time and money, and a prompt with a cached prefix
+    costs less prefill. Load takes precedence over both.
     """
 
     name = "hall_affinity"
@@ -167,11 +167,11 @@
     def choose(
         self, candidates: tuple[Candidate, ...], prefix: str, generator: random.Random
     ) -> Candidate:
-        """A near endpoint that knows the prefix, or the least loaded one."""
+        """Returns a local endpoint preferred for the prefix, or the least loaded."""
         mean = sum(c.utilisation for c in candidates) / len(candidates)
         bound = max(LIGHT_UTILISATION, HALL_LOAD_BOUND * mean)
-        near = tuple(c for c in candidates if c.local and c.utilisation < bound)
-        pool = near or candidates
+        local = tuple(c for c in candidates if c.local and c.utilisation < bound)
+        pool = local or candidates
         by_name = {c.endpoint: c for c in pool}
         if prefix:
             for name in rank(tuple(by_name), prefix)[:PREFIX_CHOICES]:
@@ -183,7 +183,7 @@
 
 
 def rank(names: tuple[str, ...], key: str) -> list[str]:
-    """Names by rendezvous hashing with a key, the most preferred first."""
+    """Ranks names by rendezvous hashing with a key, the most preferred first."""
     return sorted(
         names,
         key=lambda name: xxhash.xxh3_64_intdigest(f"{key}/{name}".encode()),
@@ -192,8 +192,8 @@
 
 
 def subset(names: tuple[str, ...], router: str, size: int) -> tuple[str, ...]:
-    """The endpoints that one router talks to, out of all.
+    """Returns the endpoints that one router uses, out of all.
 
-    Deterministic, and a lost endpoint changes each subset by one at most.
+    It is deterministic, and a lost endpoint changes each subset by one at most.
     """
     return tuple(rank(names, router)[:size]) if len(names) > size else names
--- a/ashlatch/policy/evidence.py
+++ b/ashlatch/policy/evidence.py
@@ -2,9 +2,9 @@
 ashlatch.policy.evidence
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-What attempts tell of a version, kept apart from what they tell of endpoints
-and of load. A VM that dies breaks many requests of a healthy version, and a
-full queue makes its answers slow; neither may have the version withdrawn.
+Separates failures and latencies that a version causes from those that endpoints or
+load cause. A VM that dies breaks many requests of a healthy version, and a full
+queue makes its answers slow; neither may cause the version to be withdrawn.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -18,16 +18,18 @@
 
 __all__ = ["Evidence", "Failure", "Finding", "Timing"]
 
-# How soon an endpoint must answer again for its failures not to be its own.
+# An endpoint that answers within this time after a failure is taken to be healthy,
+# and the failure is attributed to the version.
 RECOVERY_MAX_MS = 2000.0
-# Faster is never too slow: below this, noise is most of what is measured.
+# Shorter times count as this: measurements below it are mostly noise, and none of
+# them is too slow.
 TOKEN_MIN_MS = 5.0
 PENDING_MAX = 256
 
 
 @dataclass(frozen=True)
 class Failure:
-    """A failed attempt; `replied` when the engine itself gave an error."""
+    """A failed attempt; `replied` is whether the engine returned an error."""
 
     version: str
     at_ms: float
@@ -36,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Timing:
-    """How long a whole answer took, for each of its tokens."""
+    """The duration of a whole answer, and the time per token."""
 
     version: str
     sent_ms: float
@@ -46,7 +48,7 @@
 
 @dataclass(frozen=True)
 class Finding:
-    """Something that is now held to be the version's own doing."""
+    """Answers, errors or timings that are attributed to a version."""
 
     version: str
     tally: VersionTally
@@ -54,15 +56,15 @@
 
 @dataclass
 class Evidence:
-    """What is not decided yet, by endpoint.
+    """Failures and timings that are not attributed yet, by endpoint.
 
-    A failure is the version's own when its endpoint answers again soon after,
-    or when the version fails on a second endpoint and answers nowhere. A
-    timing counts once the endpoint's reports show that nothing queued there
+    A failure is attributed to the version when its endpoint answers again soon
+    after, or when the version fails on a second endpoint and answers nowhere. A
+    timing counts once the endpoint's reports show that no request was queued there
     meanwhile::
 
-        evidence.failed("vm-1", Failure("small-2", 1000.0, replied=True))
-        evidence.answered("vm-1", "large-1", 1200.0)   # an error of small-2
+        evidence.record_failure("vm-1", Failure("small-2", 1000.0, replied=True))
+        evidence.record_answer("vm-1", "large-1", 1200.0)  # an error of small-2
     """
 
     failures: dict[str, list[Failure]] = field(default_factory=dict)
@@ -72,16 +74,16 @@
     def record_answer(
         self, endpoint: str, version: str, now_ms: float
     ) -> list[Finding]:
-        """An endpoint has given a whole answer of a version."""
+        """Records a whole answer of a version by an endpoint."""
         self.answered_ms[version] = now_ms
-        own = self.failures.pop(endpoint, [])
+        pending = self.failures.pop(endpoint, [])
         fresh = [
-            failure for failure in own if now_ms - failure.at_ms <= RECOVERY_MAX_MS
+            failure for failure in pending if now_ms - failure.at_ms <= RECOVERY_MAX_MS
         ]
         return [Finding(version, VersionTally(answers=1)), *_error_findings(fresh)]
 
     def record_failure(self, endpoint: str, failure: Failure) -> list[Finding]:
-        """An attempt at an endpoint has failed after it was sent."""
+        """Records an attempt that failed after it was sent to an endpoint."""
         pending = self.failures.setdefault(endpoint, [])
         pending.append(failure)
         del pending[:-PENDING_MAX]
@@ -90,30 +92,30 @@
         return self._errors_on_several_endpoints(failure.version, failure.at_ms)
 
     def record_timing(self, endpoint: str, timing: Timing) -> None:
-        """An answer took so long; `reported` decides what that means."""
+        """Records a timing, which `apply_report` accepts or drops later."""
         pending = self.timings.setdefault(endpoint, [])
         pending.append(timing)
         del pending[:-PENDING_MAX]
 
     def apply_report(self, report: LoadReport) -> list[Finding]:
-        """A newer load report of an endpoint."""
+        """Applies a load report to the endpoint's pending timings."""
         pending = self.timings.pop(report.endpoint, [])
-        crowded = report.running + report.queued > report.slots
+        overloaded = report.running + report.queued > report.slots
         undecided = [
             timing
             for timing in pending
-            if (timing.sent_ms if crowded else timing.ended_ms) > report.at_ms
+            if (timing.sent_ms if overloaded else timing.ended_ms) > report.at_ms
         ]
         if undecided:
             self.timings[report.endpoint] = undecided
-        if crowded:
+        if overloaded:
             return []
         return [
             _timing_finding(timing) for timing in pending if timing not in undecided
         ]
 
     def retain(self, endpoints: set[str], versions: set[str]) -> None:
-        """Forget endpoints and versions that are no longer configured."""
+        """Drops endpoints and versions that are no longer configured."""
         for pending in (self.failures, self.timings):
             for endpoint in [name for name in pending if name not in endpoints]:
                 del pending[endpoint]
@@ -123,20 +125,22 @@
     def _errors_on_several_endpoints(
         self, version: str, now_ms: float
     ) -> list[Finding]:
-        """The errors of a version on two endpoints or more, with no answer since."""
+        """Returns errors of a version on two or more endpoints with no answer since."""
         found = {
             endpoint: [f for f in pending if _is_recent_error(f, version, now_ms)]
             for endpoint, pending in self.failures.items()
         }
-        failing = {endpoint: own for endpoint, own in found.items() if own}
-        first_ms = min(own[0].at_ms for own in failing.values())
+        failing = {endpoint: errors for endpoint, errors in found.items() if errors}
+        first_ms = min(errors[0].at_ms for errors in failing.values())
         answered_ms = self.answered_ms.get(version, float("-inf"))
         if len(failing) == 1 or answered_ms >= first_ms:
             return []
-        for endpoint, own in failing.items():
-            left = [f for f in self.failures[endpoint] if f not in own]
+        for endpoint, errors in failing.items():
+            left = [f for f in self.failures[endpoint] if f not in errors]
             self.failures[endpoint] = left
-        return _error_findings([failure for own in failing.values() for failure in own])
+        return _error_findings(
+            [error for errors in failing.values() for error in errors]
+        )
 
 
 def _is_recent_error(failure: Failure, version: str, now_ms: float) -> bool:
--- a/ashlatch/policy/hedging.py
+++ b/ashlatch/policy/hedging.py
@@ -2,8 +2,8 @@
 ashlatch.policy.hedging
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-When to ask a second endpoint: after the time within which nearly all answers
-of a version have shown their first sign (Dean and Barroso, "The Tail at
+Decides when to send a hedge to a second endpoint: after the time within which nearly
+all answers of a version have begun to respond (Dean and Barroso, "The Tail at
 Scale", 2013).
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
@@ -17,8 +17,8 @@
 __all__ = ["Hedging"]
 
 PERCENTILE = 95.0
-# Right above the percentile most answers are about to come by themselves, and
-# hedges for these would leave no budget for the ones that hang.
+# A factor on the percentile. Right above the percentile most answers are about to
+# arrive, and hedging those would use up the budget for requests that hang.
 MARGIN = 1.5
 WINDOW_SAMPLES = 1000
 LOWEST_MS = 1
@@ -34,7 +34,7 @@
 
 @dataclass
 class _Window:
-    """Times of the newest answers; the last full window counts, if any."""
+    """Response times of the newest answers; `last` is the last full window."""
 
     current: HdrHistogram
     last: HdrHistogram | None = None
@@ -46,19 +46,20 @@
 
 @dataclass
 class Hedging:
-    """How long answers take to show their first sign.
+    """Records the response times of answers.
 
-    That is the first token of a stream, and the whole of any other answer::
+    That is the time to the first token of a stream, or to the whole of any other
+    answer::
 
-        hedging.took("small-2", stream=True, sign_ms=80.0)
-        hedging.after_ms("small-2", stream=True)   # None: too little is known
+        hedging.record_response("small-2", stream=True, response_ms=80.0)
+        hedging.delay_ms("small-2", stream=True)  # None: too few answers
     """
 
     samples_min: int
     windows: dict[_AnswerKind, _Window] = field(default_factory=dict)
 
     def record_response(self, version: str, stream: bool, response_ms: float) -> None:
-        """An answer has shown its first sign after so long."""
+        """Records the response time of an answer."""
         kind = _AnswerKind(version, stream)
         window = self.windows.setdefault(kind, _Window(_histogram()))
         window.current.record_value(min(HIGHEST_MS, max(LOWEST_MS, int(response_ms))))
@@ -66,11 +67,11 @@
             window.last, window.current = window.current, _histogram()
 
     def delay_ms(self, version: str, stream: bool) -> float | None:
-        """How long to wait before a hedge; none while too little is known."""
+        """Returns the time before a hedge; None until there are enough answers."""
         window = self.windows.get(_AnswerKind(version, stream))
         if window is None:
             return None
-        known = window.last or window.current
-        if known.get_total_count() < self.samples_min:
+        histogram = window.last or window.current
+        if histogram.get_total_count() < self.samples_min:
             return None
-        return MARGIN * float(known.get_value_at_percentile(PERCENTILE))
+        return MARGIN * float(histogram.get_value_at_percentile(PERCENTILE))
--- a/ashlatch/policy/limit.py
+++ b/ashlatch/policy/limit.py
@@ -2,11 +2,11 @@
 ashlatch.policy.limit
 ~~~~~~~~~~~~~~~~~~~~~
 
-What each organisation may take: a rate and a concurrency of its own, and its
-fair share of what there is when there is not enough.
+Limits the use of each organisation: a rate, a concurrency, and a fair share of the
+capacity when there is not enough of it.
 
-The limits of an organisation hold over all routers; each router applies its
-part of them.
+The limits of an organisation apply to all routers together; each router enforces its
+share of them.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -20,12 +20,12 @@
 __all__ = ["Capacity", "Limits", "LimitRefusal", "OrganisationUsage", "LimitReason"]
 
 SATURATED_RETRY_MS = 1000.0
-# What may stand at the endpoints under shortage: as much again as runs.
+# Under shortage the endpoints may queue as many requests as they run.
 QUEUE_FACTOR = 2.0
 
 
 class LimitReason(enum.Enum):
-    """Why an organisation may not have more now."""
+    """The limit that an organisation has reached."""
 
     RATE = "rate"
     CONCURRENCY = "concurrency"
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class LimitRefusal:
-    """A refusal, and when to come back."""
+    """A refusal, and the time until a retry."""
 
     reason: LimitReason
     retry_ms: float
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class Capacity:
-    """A router's part of the endpoints' slots, and how much of it is free."""
+    """A router's share of the endpoints' slots, and how many of them are free."""
 
     free_slots: float
     slots: float
@@ -50,7 +50,7 @@
 
 @dataclass
 class OrganisationUsage:
-    """A token bucket and a count of requests in flight, on this router."""
+    """The token bucket and the requests in flight of one organisation."""
 
     tokens: float
     filled_ms: float
@@ -59,9 +59,9 @@
 
 @dataclass
 class Limits:
-    """The use of all organisations on one router.
+    """Checks the limits of all organisations on one router.
 
-    `router_share` is this router's part of every limit, 1 / live routers.
+    `router_share` is this router's share of every limit, 1 / live routers.
     """
 
     router_share: float = 1.0
@@ -75,51 +75,51 @@
         capacity: Capacity,
         now_ms: float,
     ) -> LimitRefusal | None:
-        """Whether one more request of the organisation is too much.
+        """Returns why one more request must be refused; None if it is allowed.
 
         `weights` are the share weights of all organisations.
         """
-        use = self._refill(name, organisation, now_ms)
-        if use.tokens < 1.0:
+        usage = self._refill(name, organisation, now_ms)
+        if usage.tokens < 1.0:
             rate_per_ms = organisation.rate_per_s * self.router_share / 1000.0
-            return LimitRefusal(LimitReason.RATE, (1.0 - use.tokens) / rate_per_ms)
+            return LimitRefusal(LimitReason.RATE, (1.0 - usage.tokens) / rate_per_ms)
         allowed = max(1.0, organisation.concurrency_max * self.router_share)
-        if use.in_flight >= allowed:
+        if usage.in_flight >= allowed:
             return LimitRefusal(LimitReason.CONCURRENCY, SATURATED_RETRY_MS)
         if capacity.free_slots > 0 or capacity.slots <= 0:
             return None
-        if use.in_flight >= self._fair_share(name, weights, capacity.slots):
+        if usage.in_flight >= self._fair_share(name, weights, capacity.slots):
             return LimitRefusal(LimitReason.FAIR_SHARE, SATURATED_RETRY_MS)
         return None
 
     def record_admitted(self, name: str) -> None:
-        """A request of the organisation has been let in."""
-        use = self.usages[name]
-        use.tokens -= 1.0
-        use.in_flight += 1
+        """Records an admitted request of the organisation."""
+        usage = self.usages[name]
+        usage.tokens -= 1.0
+        usage.in_flight += 1
 
     def record_ended(self, name: str) -> None:
-        """A request of the organisation has got its final answer."""
+        """Records that a request of the organisation has ended."""
         self.usages[name].in_flight -= 1
 
     def _refill(
         self, name: str, organisation: Organisation, now_ms: float
     ) -> OrganisationUsage:
         burst = max(1.0, organisation.burst_requests * self.router_share)
-        use = self.usages.get(name)
-        if use is None:
-            use = self.usages[name] = OrganisationUsage(burst, now_ms)
+        usage = self.usages.get(name)
+        if usage is None:
+            usage = self.usages[name] = OrganisationUsage(burst, now_ms)
         earned = organisation.rate_per_s * self.router_share
-        earned *= max(0.0, now_ms - use.filled_ms) / 1000.0
-        use.tokens = min(burst, use.tokens + earned)
-        use.filled_ms = now_ms
-        return use
+        earned *= max(0.0, now_ms - usage.filled_ms) / 1000.0
+        usage.tokens = min(burst, usage.tokens + earned)
+        usage.filled_ms = now_ms
+        return usage
 
     def _fair_share(
         self, name: str, weights: dict[str, float], capacity_slots: float
     ) -> float:
-        """The organisation's part of the capacity among those in use now."""
-        active = {other for other, use in self.usages.items() if use.in_flight > 0}
+        """Returns the organisation's share of the slots among the active ones."""
+        active = {other for other, usage in self.usages.items() if usage.in_flight > 0}
         active.add(name)
         if len(active) == 1:
             return float("inf")
--- a/ashlatch/policy/load.py
+++ b/ashlatch/policy/load.py
@@ -2,8 +2,8 @@
 ashlatch.policy.load
 ~~~~~~~~~~~~~~~~~~~~
 
-What a router believes of each endpoint: the newest report, which lags, plus
-what this router has itself sent and finished since the report's own time.
+Estimates the load of each endpoint: the newest report, which lags, plus the requests
+that this process itself has sent and finished since the time of that report.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -22,10 +22,10 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """The load of one endpoint at the time `at_ms` of the router's clock.
+    """The load of one endpoint at the time `at_ms` of the local clock.
 
-    `running` and `queued` are requests; `slots` is how many run at once
-    without making each other wait.
+    `running` and `queued` count requests; `slots` is how many run at once without
+    waiting for each other.
     """
 
     endpoint: str
@@ -44,7 +44,7 @@
 
 @dataclass
 class EndpointLoad:
-    """The running estimate for one endpoint."""
+    """The load estimate for one endpoint."""
 
     report: LoadReport | None = None
     in_flight: int = 0
@@ -53,7 +53,7 @@
     _changes: deque[_Change] = field(default_factory=lambda: deque(maxlen=CHANGES_MAX))
 
     def apply_report(self, report: LoadReport) -> None:
-        """Take a report, unless an older one."""
+        """Applies a report, unless it is older than the last one."""
         if self.report is not None and report.at_ms < self.report.at_ms:
             return
         self.report = report
@@ -61,16 +61,16 @@
             self._changes.popleft()
 
     def clear_report(self) -> None:
-        """What was reported was of a process that has ended."""
+        """Drops the report, as the process that it describes has ended."""
         self.report = None
 
     def record_sent(self, now_ms: float) -> None:
-        """This router has sent a request."""
+        """Records a request that was sent to the endpoint."""
         self.in_flight += 1
         self._changes.append(_Change(now_ms, 1))
 
     def record_finished(self, now_ms: float, duration_ms: float | None) -> None:
-        """A request has ended; with its time when it was answered."""
+        """Records the end of a request, with its duration if it was answered."""
         self.in_flight -= 1
         self._changes.append(_Change(now_ms, -1))
         if duration_ms is not None:
@@ -78,11 +78,11 @@
 
     @property
     def slots(self) -> int:
-        """How many requests run at once; one until a report says more."""
+        """The number of requests that run at once; 1 without a report."""
         return max(1, self.report.slots) if self.report else 1
 
     def requests(self) -> float:
-        """The estimated number of requests at the endpoint now."""
+        """Returns the estimated number of requests at the endpoint now."""
         if self.report is None:
             return float(self.in_flight)
         since = sum([change.requests for change in self._changes])
@@ -90,30 +90,30 @@
         return float(max(reported + since, self.in_flight, 0))
 
     def has_free_slot(self) -> bool:
-        """Whether a new request would begin to run at once."""
+        """Checks whether a new request would start without waiting."""
         return self.requests() < self.slots
 
     def reported_requests(self) -> float:
-        """The number that the newest report gives, as it stands."""
+        """Returns the number of requests in the newest report, uncorrected."""
         if self.report is None:
             return 0.0
         return float(self.report.running + self.report.queued)
 
     def wait_ms(self, requests: float | None = None) -> float:
-        """The expected wait before a new request begins to run.
+        """Returns the expected wait before a new request starts.
 
-        `requests` spares counting them again, when the caller just has.
+        `requests` is the result of `requests()` if the caller has it already.
         """
-        known = self.requests() if requests is None else requests
-        ahead = known + 1.0 - self.slots
+        estimated = self.requests() if requests is None else requests
+        ahead = estimated + 1.0 - self.slots
         return max(0.0, ahead) * self.service_ms / self.slots
 
     def serves(self, version: str) -> bool:
-        """Whether the newest report lists the version as loaded."""
+        """Checks whether the newest report lists the version as loaded."""
         return self.report is not None and version in self.report.versions
 
     def stale(self, now_ms: float) -> bool:
-        """Whether the newest report is too old to be believed."""
+        """Checks whether the newest report is missing or too old to use."""
         if self.report is None:
             return True
         return now_ms - self.report.at_ms > STALE_REPORT_MS
--- a/ashlatch/policy/load_advertisement.py
+++ b/ashlatch/policy/load_advertisement.py
@@ -1,10 +1,11 @@
 """
-ashlatch.policy.told_load
-~~~~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.policy.load_advertisement
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Which load of an endpoint is worth telling others. A gateway hears an endpoint's
-load with its own answers only; of 195 gateways each asks one of 78 engines once
-in half a minute, so without this a full engine looks idle to nearly all of them.
+Decides which load changes of an endpoint a gateway broadcasts. A gateway receives an
+endpoint's load only with its own answers; each of 195 gateways sends one of 78 engines
+a request once in half a minute, so without broadcasts a full engine looks idle to
+nearly all of them.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -14,40 +15,40 @@
 
 __all__ = ["FULL", "LoadAdvertisement", "load_level"]
 
-# Loads are told apart by quarters of the places: finer steps would be news with
-# nearly every answer.
+# Load levels are quarters of the slots: finer levels would change with nearly every
+# answer.
 FULL = 4
-# From half of the places on others should know, since a burst fills the rest within
-# a second.
+# The lowest level that is broadcast, half of the slots: a burst fills the other half
+# within a second.
 BUSY_LEVEL = 2
-# The same level is told again after this long, so that it stays known: what is
-# heard of a load is believed for 2.5 s.
+# An unchanged level is broadcast again after this time, as other gateways drop a
+# received load after 2.5 s.
 REPEAT_MS = 1000.0
 
 
 def load_level(requests: int, slots: int) -> int:
-    """How many quarters of an endpoint's places are taken: 4, if it is full.
+    """Returns how many quarters of an endpoint's slots are in use; 4 if it is full.
 
-    Where requests wait, more are there than places.
+    With queued requests, there are more requests than slots.
     """
     return min(FULL, FULL * requests // max(1, slots))
 
 
 @dataclass
 class LoadAdvertisement:
-    """What was last told or heard of one endpoint's load::
+    """The last level of one endpoint's load that was broadcast or received::
 
-    told = ToldLoad()
-    told.is_news(load_level(16, 16), now_ms=0.0)  # True
-    told.is_news(load_level(16, 16), now_ms=10.0)  # False
-    told.is_news(load_level(2, 16), now_ms=20.0)  # True, it is busy no more
+    advertised = LoadAdvertisement()
+    advertised.is_new(load_level(16, 16), now_ms=0.0)  # True
+    advertised.is_new(load_level(16, 16), now_ms=10.0)  # False
+    advertised.is_new(load_level(2, 16), now_ms=20.0)  # True, no longer busy
     """
 
     _level: int = 0
     _at_ms: float = float("-inf")
 
     def is_new(self, level: int, now_ms: float) -> bool:
-        """Whether others should hear this; it counts as told then."""
+        """Returns whether to broadcast a level; if so, records it as broadcast."""
         busy = level >= BUSY_LEVEL
         if not busy and self._level < BUSY_LEVEL:
             return False
@@ -57,6 +58,6 @@
         return True
 
     def record(self, level: int, now_ms: float) -> None:
-        """Others know this level already."""
+        """Records a level that the other gateways know."""
         self._level = level
         self._at_ms = now_ms
--- a/ashlatch/policy/permission.py
+++ b/ashlatch/policy/permission.py
@@ -2,8 +2,8 @@
 ashlatch.policy.permission
 ~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Whether this process may send a request to an endpoint now, and if not, from when: one
-answer from all that an endpoint says of itself and that operators order.
+Combines the conditions that an endpoint reports and that operators set into one answer:
+whether this process may send a request to the endpoint now, and if not, when.
 """
 
 import enum
@@ -12,17 +12,17 @@
 
 __all__ = ["ALLOWED", "NEVER_MS", "DenialReason", "Permission", "combine"]
 
-# Nothing that is known here ends by itself.
+# The wait for a condition without a known end.
 NEVER_MS = float("inf")
 
 
 class DenialReason(enum.Enum):
-    """Why nothing may be sent to an endpoint.
+    """Why no request may be sent to an endpoint.
 
-    `LEAVING`: it is about to end. `EVACUATED`: its hall is. `REPLACED`: another
-    endpoint was found at its address. `BACKOFF`: it has asked this process for a
-    backoff. `LIMITED`: its rate limit leaves no room. `COLD`: it has just started, and
-    others send to it, or this process has a moment ago.
+    `LEAVING`: it is about to end. `EVACUATED`: its hall is evacuated. `REPLACED`:
+    another endpoint was found at its address. `BACKOFF`: it has asked this process for
+    a backoff. `LIMITED`: its rate limit is used up. `COLD`: it has just started, and
+    other processes send to it, or this one has just done so.
     """
 
     LEAVING = "leaving"
@@ -35,9 +35,9 @@
 
 @dataclass(frozen=True)
 class Permission:
-    """Whether a request may be sent; if not, the barrier and for how long it stands.
+    """Whether a request may be sent; if not, the reason and how long it lasts.
 
-    `wait_ms` is infinite for a barrier whose end is not known here.
+    `wait_ms` is infinite for a reason without a known end.
     """
 
     denial_reason: DenialReason | None = None
@@ -53,12 +53,12 @@
 
 
 def combine(waits: Iterable[tuple[DenialReason, float]]) -> Permission:
-    """The permission that several barriers leave, by how long each stands::
+    """Combines several reasons, each with the time that it lasts, into one::
 
-        combine([(Barrier.BACKOFF, 500.0), (Barrier.LIMITED, 0.0)])
-        # Permission(Barrier.BACKOFF, 500.0)
+        combine([(DenialReason.BACKOFF, 500.0), (DenialReason.LIMITED, 0.0)])
+        # Permission(DenialReason.BACKOFF, 500.0)
 
-    The one that stands the longest counts, the first of equal ones.
+    The one that lasts longest counts, the first among equals.
     """
-    barrier, wait_ms = max(waits, key=lambda pair: pair[1], default=(None, 0.0))
-    return Permission(barrier, wait_ms) if wait_ms > 0.0 else ALLOWED
+    reason, wait_ms = max(waits, key=lambda pair: pair[1], default=(None, 0.0))
+    return Permission(reason, wait_ms) if wait_ms > 0.0 else ALLOWED
--- a/ashlatch/policy/prefill_rate.py
+++ b/ashlatch/policy/prefill_rate.py
@@ -1,9 +1,9 @@
 """
-ashlatch.policy.reading
-~~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.policy.prefill_rate
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-How long engines take to read a token of a prompt, by service and model, from the
-times to the first event of the latest answers.
+Estimates the prefill time per prompt token, by service and model, from the times to the
+first event of the latest answers.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -17,16 +17,16 @@
 
 __all__ = ["PrefillRate", "PrefillRates"]
 
-# The rate is a low quantile of the latest: queues and prompts of others only add to
-# it, and a few prompts were kept without the gateway knowing. For the smallest model
-# at 13 requests a second that gave 0.0146 ms a token (median of what was foreseen),
-# an average that follows each answer 0.03 to 0.04.
+# The estimate is a low quantile of the latest rates: queues and other prompts only add
+# to them, while a few prompts were cached without the gateway's knowledge. For the
+# smallest model at 13 requests a second the quantile gave 0.0146 ms a token (the median
+# of the predictions); a moving average gave 0.03 to 0.04.
 RATES_MAX = 40
 RATE_QUANTILE = 0.15
 
 
 class PrefillRate(msgspec.Struct, frozen=True, array_like=True):
-    """What a model of a service takes to read a token: seen once, or estimated."""
+    """The measured or estimated prefill time per token of a model."""
 
     service: str
     model: str
@@ -35,10 +35,10 @@
 
 @dataclass
 class PrefillRates:
-    """The latest rates, and an estimate of each::
+    """The latest rates of each model, and an estimate from them::
 
-    rates = ReadingRates()
-    rates.add([ReadingRate("chat", "small", 0.015)])
+    rates = PrefillRates()
+    rates.add([PrefillRate("chat", "small", 0.015)])
     rates.token_ms("chat", "small")  # 0.015
     rates.token_ms("chat", "large")  # None
     """
@@ -49,7 +49,7 @@
     _estimates: dict[tuple[str, str], float] = field(default_factory=dict)
 
     def add(self, rates: Iterable[PrefillRate]) -> None:
-        """Take rates that were seen."""
+        """Adds measured rates."""
         for rate in rates:
             key = (rate.service, rate.model)
             latest = self._latest[key]
@@ -58,9 +58,9 @@
             self._estimates[key] = ranked[int(RATE_QUANTILE * len(ranked))]
 
     def token_ms(self, service: str, model: str) -> float | None:
-        """The estimate for a model; none before the first rate."""
+        """Returns the estimate for a model; None before the first rate."""
         return self._estimates.get((service, model))
 
     def estimates(self) -> tuple[PrefillRate, ...]:
-        """All estimates."""
+        """Returns all estimates."""
         return tuple(PrefillRate(*key, ms) for key, ms in self._estimates.items())
--- a/ashlatch/policy/quality.py
+++ b/ashlatch/policy/quality.py
@@ -2,9 +2,9 @@
 ashlatch.policy.quality
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-How good the answers of a version are on a route, from ratings that are
-sampled, late and noisy: a normal posterior with a prior from the
-configuration and gradual forgetting.
+Estimates the quality of a version's answers on a route from ratings that are sampled,
+late and noisy: a normal posterior with a prior from the configuration, in which older
+ratings gradually lose weight.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -22,13 +22,13 @@
 
 @dataclass
 class QualityEstimate:
-    """A posterior over the mean rating: `weight` ratings with mean `mean`."""
+    """A posterior of the mean rating: `weight` ratings with the mean `mean`."""
 
     mean: float
     weight: float = PRIOR_RATINGS
 
     def add(self, rating: float) -> None:
-        """Learn from one rating (0 to 1)."""
+        """Updates the posterior with one rating (0 to 1)."""
         self.weight = min(self.weight + 1.0, WEIGHT_MAX)
         self.mean += (rating - self.mean) / self.weight
 
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class RouteVersion:
-    """A version as it is used on one route."""
+    """A version on one route."""
 
     route: str
     version: str
@@ -48,16 +48,16 @@
 
 @dataclass
 class QualityTracker:
-    """All estimates, and how far each route is from its target.
+    """The estimates of all versions on all routes.
 
-    `achieved` holds the mean rating of what a route really answered.
+    `achieved` holds the mean rating of the answers that each route has given.
     """
 
     estimates: dict[RouteVersion, QualityEstimate] = field(default_factory=dict)
     achieved: dict[str, QualityEstimate] = field(default_factory=dict)
 
     def estimate(self, route: str, version: str, prior: float) -> QualityEstimate:
-        """The estimate for a version on a route, made from the prior if new."""
+        """Returns the estimate for a version on a route, created from the prior."""
         key = RouteVersion(route, version)
         found = self.estimates.get(key)
         if found is None:
@@ -67,7 +67,7 @@
     def record_rating(
         self, route: str, version: str, prior: float, rating: float
     ) -> None:
-        """Learn from one rating of an answer."""
+        """Records one rating of an answer."""
         self.estimate(route, version, prior).add(rating)
         achieved = self.achieved.get(route)
         if achieved is None:
@@ -75,6 +75,6 @@
         achieved.add(rating)
 
     def shortfall(self, route: str, target: float) -> float:
-        """By how much the route's ratings miss the target; negative if better."""
+        """Returns how far the route's ratings are below the target."""
         achieved = self.achieved.get(route)
         return target - achieved.mean if achieved else 0.0
--- a/ashlatch/policy/quarantine.py
+++ b/ashlatch/policy/quarantine.py
@@ -2,15 +2,16 @@
 ashlatch.policy.quarantine
 ~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Requests that crash the endpoints that run them. What was running at an endpoint when
-its process ended is a suspect, by what it asks for and not by its id, since callers
-repeat it under other ids and at other gateways. After some such crashes without a
-good run between them it is held in quarantine: refused at once, everywhere.
+Quarantines requests that crash the endpoints that run them. The requests that ran at an
+endpoint when its process ended are suspects. They are identified by a fingerprint of
+what they ask for and not by their id, since callers repeat them under other ids and at
+other gateways. After several crashes in which the request was never completed in
+between, it is quarantined: all gateways refuse it at once.
 
-It answers a load in which a few contents come again and again and each run costs an
-engine and everything else that runs there. With seven gateways and five engines, two
-such contents ended 31 engines in 80 s without it, and a fifth of all requests was
-refused meanwhile.
+This guards against a load in which a few fingerprints are repeated and each run costs
+an engine and all other requests there. With seven gateways and five engines, two such
+fingerprints ended 31 engines in 80 s without quarantine, and a fifth of all requests
+was refused meanwhile.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -33,33 +34,34 @@
     "merge_records",
 ]
 
-# Crashes without a good run between them, until a content is held. A request that only
-# ran beside another one's crash is rarely there three times; and each more costs its
-# callers an engine.
+# The number of crashes, without a completed run in between, after which a fingerprint
+# is quarantined. A request that only ran beside the one that crashes endpoints is
+# rarely present three times, and each further crash costs callers an engine.
 CRASHES_TO_QUARANTINE = 3
-# For how long it is held, doubled for each further crash: long enough that a content
-# which is sent for ever costs an engine in ten minutes at first, and one a day later.
+# The duration of a quarantine, doubled for each further crash: a fingerprint that is
+# sent for ever costs one engine in ten minutes at first, and one a day later.
 QUARANTINE_MS = 600_000
 QUARANTINE_MAX_MS = 86_400_000
-# Two reports of a crash of one endpoint within this time are of the same one: the
-# gateways see it within milliseconds, their clocks differ a little, and an endpoint
-# is back after seconds.
+# Two reports of a crash of one endpoint within this time are of the same crash: the
+# gateways see it within milliseconds, their clocks differ slightly, and an endpoint
+# needs seconds to restart.
 SAME_CRASH_MS = 1000
-# The crashes that are remembered of a content, the newest.
+# The number of crashes that a record keeps, the newest ones.
 CRASHES_PER_RECORD_MAX = 16
-# How often the core is told of a content at most, some times a second: a core that has
-# no room for its record does not confirm it.
+# How often a record is reported to the core at most, several times a second: a core
+# without capacity for the record does not confirm it.
 REPORTS_MAX = 20
-# The contents that are remembered; those that are held give way last. A crash leaves
-# a few dozen suspects, and all records together are told to a gateway that starts.
+# The number of records that are kept; those in quarantine are dropped last. A crash
+# leaves a few dozen suspects, and all records are sent to each gateway that starts.
 RECORDS_MAX = 512
 
 
 class Crash(msgspec.Struct, frozen=True, array_like=True):
-    """The end of one endpoint's process while a content was running there.
+    """The end of one endpoint's process while a request was running there.
 
-    `endpoint` is the digest of its id, `started_unix_ms` when that process began, 0 if
-    that is not known. `survived` is set when the content has run to a good end since.
+    `endpoint` is the digest of its id, `started_unix_ms` when that process started, 0
+    if unknown. `completed_since` is whether the request has completed without a crash
+    since.
     """
 
     endpoint: int
@@ -68,44 +70,45 @@
     completed_since: bool = False
 
     def is_same(self, other: "Crash") -> bool:
-        """Whether both are reports of one crash."""
-        lives = (self.endpoint, self.started_unix_ms)
-        if lives != (other.endpoint, other.started_unix_ms):
+        """Checks whether both are reports of one crash."""
+        incarnation = (self.endpoint, self.started_unix_ms)
+        if incarnation != (other.endpoint, other.started_unix_ms):
             return False
-        apart_ms = abs(self.at_unix_ms - other.at_unix_ms)
-        return self.started_unix_ms > 0 or apart_ms < SAME_CRASH_MS
+        distance_ms = abs(self.at_unix_ms - other.at_unix_ms)
+        return self.started_unix_ms > 0 or distance_ms < SAME_CRASH_MS
 
 
 class CrashRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The crashes of endpoints that ran a content; the newest are last."""
+    """The crashes of endpoints that ran a fingerprint, oldest first."""
 
     fingerprint: int
     crashes: tuple[Crash, ...]
 
     @property
     def counted_crashes(self) -> tuple[Crash, ...]:
-        """The crashes since its last good run."""
+        """The crashes since its last completed run."""
         return tuple(c for c in self.crashes if not c.completed_since)
 
     @property
     def quarantined_until_unix_ms(self) -> int:
-        """When its quarantine ends; 0 when there are too few crashes for one."""
+        """When its quarantine ends; 0 if there are too few crashes for one."""
         crashes = self.counted_crashes
         if len(crashes) < CRASHES_TO_QUARANTINE:
             return 0
-        hold_ms = QUARANTINE_MS << (len(crashes) - CRASHES_TO_QUARANTINE)
-        return crashes[-1].at_unix_ms + min(QUARANTINE_MAX_MS, hold_ms)
+        duration_ms = QUARANTINE_MS << (len(crashes) - CRASHES_TO_QUARANTINE)
+        return crashes[-1].at_unix_ms + min(QUARANTINE_MAX_MS, duration_ms)
 
 
 def endpoint_digest(instance: str) -> int:
-    """An endpoint's id as crashes name it."""
+    """Returns the digest of an endpoint's id that crashes carry."""
     return xxhash.xxh3_64_intdigest(instance.encode())
 
 
 def merge_records(one: CrashRecord, other: CrashRecord) -> CrashRecord:
-    """What both know of a content, in any order of merging.
+    """Merges two records of a fingerprint; the order of merging does not matter.
 
-    A good run after a crash stays known, whoever tells of the crash later.
+    A completed run after a crash stays recorded, even if the crash is reported again
+    later.
     """
     crashes: list[Crash] = []
     for crash in sorted((*one.crashes, *other.crashes), key=_sort_key):
@@ -127,10 +130,10 @@
 
 
 def apply_record(records: dict[int, CrashRecord], update: CrashRecord) -> bool:
-    """Take what is told of a content; whether that is news.
+    """Merges a received record; returns whether that changes anything.
 
-    The number of records stays bounded: the one with the fewest crashes since a good
-    run gives way, the oldest of them first.
+    The number of records is bounded: the one with the fewest crashes since a completed
+    run is dropped, the oldest among equals.
     """
     known = records.get(update.fingerprint, CrashRecord(update.fingerprint, ()))
     record = merge_records(known, update)
@@ -138,15 +141,15 @@
         return False
     records[update.fingerprint] = record
     if len(records) > RECORDS_MAX:
-        del records[min(records, key=lambda content: _retention_key(records[content]))]
+        del records[min(records, key=lambda key: _retention_key(records[key]))]
     return True
 
 
 class CrashLog(msgspec.Struct):
-    """The records that are replicated, numbered by their changes.
+    """The replicated records, with numbered changes.
 
-    `number` is that of the newest change, `numbers` hold at which each content changed
-    last, so that somebody who knows a number can be told the rest.
+    `number` is that of the newest change, `numbers` holds the last change of each
+    fingerprint, so that a process can request the changes since a number.
     """
 
     records: dict[int, CrashRecord] = {}
@@ -154,44 +157,44 @@
     number: int = 0
 
     def apply(self, updates: Iterable[CrashRecord]) -> bool:
-        """Take records; whether any of them is news."""
+        """Merges records; returns whether any of them changes the log."""
         before = self.number
         for record in updates:
             if apply_record(self.records, record):
                 self.number += 1
                 self.numbers[record.fingerprint] = self.number
-        self.numbers = {content: self.numbers[content] for content in self.records}
+        self.numbers = {key: self.numbers[key] for key in self.records}
         return self.number > before
 
     def since(self, number: int) -> tuple[CrashRecord, ...]:
-        """The records that have changed since a number."""
+        """Returns the records that have changed since a number."""
         return tuple(r for c, r in self.records.items() if self.numbers[c] > number)
 
     def covers(self, record: CrashRecord) -> bool:
-        """Whether all that a record tells is known."""
-        held = self.records.get(record.fingerprint)
-        return held is not None and merge_records(held, record) == held
+        """Checks whether the log contains all crashes of a record."""
+        logged = self.records.get(record.fingerprint)
+        return logged is not None and merge_records(logged, record) == logged
 
 
 @dataclass
 class UnloggedCrashes:
-    """What was told of crashes and is not in the log yet.
+    """Reported crashes that are not in the replicated log yet.
 
-    It is told on until it is there, whoever leads meanwhile.
+    They are reported again until they are, also across changes of the leader.
     """
 
     _records: dict[int, CrashRecord] = field(default_factory=dict)
 
     def apply(self, updates: Iterable[CrashRecord]) -> bool:
-        """Take records; whether any of them is news."""
-        news = [apply_record(self._records, record) for record in updates]
-        return any(news)
+        """Merges records; returns whether any of them is new."""
+        changed = [apply_record(self._records, record) for record in updates]
+        return any(changed)
 
     def missing_from(self, log: CrashLog) -> tuple[CrashRecord, ...]:
-        """What the log does not hold; the rest is forgotten."""
-        for content, record in tuple(self._records.items()):
+        """Returns the records that the log lacks, and drops all others."""
+        for fingerprint, record in tuple(self._records.items()):
             if log.covers(record):
-                del self._records[content]
+                del self._records[fingerprint]
         return tuple(self._records.values())
 
 
@@ -202,74 +205,74 @@
 
 @dataclass
 class Quarantine:
-    """The suspects that one gateway knows of::
+    """The crash records at one gateway::
 
         quarantine = Quarantine()
-        quarantine.crashed(content, "i-1", 0, now_ms)
-        quarantine.crashes(content)  # 1: it goes apart from what it ran with
-        quarantine.held_ms(content, now_ms)  # 0.0: it is not refused
+        quarantine.record_crash(fingerprint, "i-1", 0, now_ms)
+        quarantine.crash_count(fingerprint)  # 1: from now on it is isolated
+        quarantine.remaining_ms(fingerprint, now_ms)  # 0.0: it is not refused
 
-    All times are Unix milliseconds, as the record outlives the process that made it.
+    All times are Unix milliseconds, as a record outlives the process that created it.
     """
 
     _records: dict[int, CrashRecord] = field(default_factory=dict)
-    # What the core has not confirmed, and how often it was told of it.
+    # Fingerprints that the core has not confirmed, with the number of reports to it.
     _unconfirmed: dict[int, int] = field(default_factory=dict)
 
     def record_crash(
         self, fingerprint: int, instance: str, started_unix_ms: int, now_unix_ms: int
     ) -> CrashRecord:
-        """An endpoint has ended while it ran a content here."""
+        """Records that an endpoint ended while it ran a request of this gateway."""
         crash = Crash(endpoint_digest(instance), started_unix_ms, now_unix_ms)
-        self._record(CrashRecord(fingerprint, (crash,)))
+        self._record_local(CrashRecord(fingerprint, (crash,)))
         return self._records[fingerprint]
 
     def record_completed(self, fingerprint: int) -> bool:
-        """A content has run to its end; whether it was a suspect."""
+        """Records a completed run; returns whether the fingerprint was a suspect."""
         record = self._records.get(fingerprint)
         if record is None or not record.counted_crashes:
             return False
         crashes = tuple(
             msgspec.structs.replace(c, completed_since=True) for c in record.crashes
         )
-        self._record(CrashRecord(fingerprint, crashes))
+        self._record_local(CrashRecord(fingerprint, crashes))
         return True
 
     def apply(self, record: CrashRecord) -> bool:
-        """Take what another gateway has found; whether that is news."""
+        """Merges another gateway's record; returns whether that changes anything."""
         return apply_record(self._records, record)
 
     def crash_count(self, fingerprint: int) -> int:
-        """How many endpoints have ended under a content since its last good run."""
+        """Returns the number of crashes since the last completed run."""
         record = self._records.get(fingerprint)
         return len(record.counted_crashes) if record is not None else 0
 
     def remaining_ms(self, fingerprint: int, now_unix_ms: float) -> float:
-        """How long a content is refused yet; 0 when it may be sent."""
+        """Returns the remaining time in quarantine; 0 if it may be sent."""
         record = self._records.get(fingerprint)
         if record is None:
             return 0.0
         return max(0.0, record.quarantined_until_unix_ms - now_unix_ms)
 
     def unconfirmed(self) -> tuple[CrashRecord, ...]:
-        """What was found here and the core has not confirmed yet."""
-        # Routers ask on another thread than the one that notes.
-        found = (self._records.get(content) for content in list(self._unconfirmed))
+        """Returns the local records that the core has not confirmed yet."""
+        # Routers call this on another thread than the one that records crashes.
+        found = (self._records.get(key) for key in list(self._unconfirmed))
         return tuple(record for record in found if record is not None)
 
     def record_reported(self, records: Iterable[CrashRecord]) -> None:
-        """A core VM was told of these; it may be lost before it passes them on."""
+        """Counts a report to a core VM, which may be lost before it replicates it."""
         for record in records:
             times = self._unconfirmed.pop(record.fingerprint, REPORTS_MAX) + 1
             if times < REPORTS_MAX:
                 self._unconfirmed[record.fingerprint] = times
 
     def confirm(self, record: CrashRecord) -> None:
-        """The core has a record in its log: what it covers is told no more."""
+        """Stops reporting a record that the core has in its log."""
         known = self._records.get(record.fingerprint)
         if known is None or merge_records(record, known) == record:
             self._unconfirmed.pop(record.fingerprint, None)
 
-    def _record(self, record: CrashRecord) -> None:
+    def _record_local(self, record: CrashRecord) -> None:
         apply_record(self._records, record)
         self._unconfirmed[record.fingerprint] = 0
--- a/ashlatch/policy/slowness.py
+++ b/ashlatch/policy/slowness.py
@@ -2,9 +2,9 @@
 ashlatch.policy.slowness
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-Tells a version's own slowness from one that others share. A version is held to
-its pace of calm times; how much of what is on top of that the other versions show
-at the same moments is not its own.
+Separates a slowdown of one version from one that all versions share. A version's
+latency is compared with its baseline; the part of the increase that other versions show
+at the same time is not attributed to it.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -18,12 +18,13 @@
 
 __all__ = ["LatencyHistory", "apply_tallies"]
 
-# Answers of longer ago say nothing of now.
+# Older answers do not reflect the present latency.
 WINDOW_MS = 30_000.0
-# A pace of calm times follows the latest answers, about a hundred of them.
+# A baseline is worth at most this many answers, as it follows about the last hundred.
 BASELINE_MAX = 100
-# The noise of fewer answers is as large as a slowness that matters (a factor of 4;
-# one answer's standard deviation is a factor of 1.8).
+# The least number of answers to compare with: the noise of fewer is as large as a
+# slowdown that matters (a factor of 4; the standard deviation of one answer is a factor
+# of 1.8).
 COMPARED_MIN = 3
 
 
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True)
 class _MeanLatency:
-    """The mean logarithm of the time for a token, and what it is worth in answers."""
+    """The mean logarithm of the time per token, and its effective sample size."""
 
     answers: float
     mean: float
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True)
 class _Baseline:
-    """The pace of calm times of a version, as it was known at a time."""
+    """The baseline latency of a version at one time."""
 
     at_ms: float
     latency: _MeanLatency
@@ -52,13 +53,13 @@
 
 @dataclass
 class LatencyHistory:
-    """The latest timed answers of all versions."""
+    """The latest timed answers and baselines of all versions."""
 
     _reports: dict[str, deque[_Report]] = field(default_factory=dict)
     _baselines: dict[str, deque[_Baseline]] = field(default_factory=dict)
 
     def add(self, version: str, tally: VersionTally, now_ms: float) -> None:
-        """Take what has come of a version since the last report."""
+        """Adds a version's tally since the last report."""
         if not tally.timed:
             return
         own = self._reports.setdefault(version, deque())
@@ -67,7 +68,7 @@
             own.popleft()
 
     def record_baseline(self, version: str, detector: Detector, now_ms: float) -> None:
-        """Keep what is known now of a version's pace of calm times."""
+        """Records a version's present baseline."""
         if detector.latency_mean is None:
             return
         own = self._baselines.setdefault(version, deque())
@@ -77,16 +78,16 @@
             own.popleft()
 
     def baseline(self, version: str, at_ms: float) -> _MeanLatency | None:
-        """The pace of calm times as it was known at a time, not later."""
-        known = self._baselines.get(version, ())
-        return next((b.latency for b in reversed(known) if b.at_ms <= at_ms), None)
+        """Returns the newest baseline that was recorded at or before a time."""
+        baselines = self._baselines.get(version, ())
+        return next((b.latency for b in reversed(baselines) if b.at_ms <= at_ms), None)
 
     def versions(self) -> Iterator[str]:
-        """Those that any answers were timed of."""
+        """Returns the versions with timed answers."""
         return iter(self._reports)
 
     def since(self, version: str, since_ms: float, now_ms: float) -> _MeanLatency:
-        """The pace of a version after a time, as far back as is remembered."""
+        """Returns the mean latency of a version since a time, within the window."""
         begin_ms = max(since_ms, now_ms - WINDOW_MS)
         own = [r for r in self._reports.get(version, ()) if r.at_ms > begin_ms]
         answers = sum(report.timed for report in own)
@@ -101,23 +102,23 @@
     price: Callable[[str], int],
     now_ms: float,
 ) -> None:
-    """Judge versions by what has come of all of them since the last report.
+    """Updates the detectors with the tallies of all versions since the last report.
 
-    Each version of `tallies` has a detector. `price` orders versions, 0 for one
-    that is not known.
+    Each version in `tallies` has a detector. `price` ranks versions; it is 0 for an
+    unknown one.
     """
     for version, tally in tallies.items():
         history.add(version, tally, now_ms)
     for version, tally in tallies.items():
-        others = _Comparison(version, detectors, history, price, now_ms)
-        detectors[version].add_tally(tally, now_ms, others.compare)
+        comparison = _Comparison(version, detectors, history, price, now_ms)
+        detectors[version].add_tally(tally, now_ms, comparison.compare)
     for version in tallies:
         history.record_baseline(version, detectors[version], now_ms)
 
 
 @dataclass(frozen=True)
 class _Comparison:
-    """What the other versions show at the same time."""
+    """Compares a version with the others at the same time."""
 
     version: str
     detectors: Mapping[str, Detector]
@@ -126,7 +127,7 @@
     now_ms: float
 
     def compare(self, healthy: float, since_ms: float) -> Slowness | None:
-        """How slow the version is of itself, or nothing to compare with."""
+        """Returns the version's slowdown; None without others to compare with."""
         own = self.history.since(self.version, since_ms, self.now_ms)
         shared = self._shared(since_ms) or self._shared_at_most(healthy, since_ms)
         if shared is None or not own.answers:
@@ -136,10 +137,10 @@
         return Slowness(weight, slowness, max(0.0, shared.mean))
 
     def _shared(self, since_ms: float) -> _MeanLatency | None:
-        """What other versions have on top of their pace of calm times.
+        """Returns the increase of other versions' latencies over their baselines.
 
-        That pace must have been learnt before this version turned slow: learnt
-        since, it would hide what both share.
+        The baselines must be from before this version turned slow: later ones would
+        hide a slowdown that both share.
         """
         found = []
         for other in self._others():
@@ -147,23 +148,23 @@
             baseline = self.history.baseline(other, since_ms)
             if baseline is None or detector is None or detector.bad:
                 continue
-            pace = self.history.since(other, since_ms, self.now_ms)
-            weight = _effective_answers(pace.answers, baseline.answers)
-            found.append(_MeanLatency(weight, pace.mean - baseline.mean))
+            latency = self.history.since(other, since_ms, self.now_ms)
+            weight = _effective_answers(latency.answers, baseline.answers)
+            found.append(_MeanLatency(weight, latency.mean - baseline.mean))
         return _weighted_mean(found)
 
     def _shared_at_most(self, healthy: float, since_ms: float) -> _MeanLatency | None:
-        """The most that others may share, by those that are no cheaper.
+        """Returns an upper bound of the shared slowdown, from versions no cheaper.
 
-        A costlier version is no faster in calm times, so what it has on top of
-        the calm pace of this one is at least what it has on top of its own.
+        The baseline of a costlier version is no lower, so its increase over the
+        baseline of this version is at least its increase over its own.
         """
         price = self.price(self.version)
         found = []
         for other in self._others():
             if price and self.price(other) >= price:
-                pace = self.history.since(other, since_ms, self.now_ms)
-                found.append(_MeanLatency(pace.answers, pace.mean - healthy))
+                latency = self.history.since(other, since_ms, self.now_ms)
+                found.append(_MeanLatency(latency.answers, latency.mean - healthy))
         return _weighted_mean(found)
 
     def _others(self) -> Iterator[str]:
@@ -171,16 +172,16 @@
 
 
 def _effective_answers(answers: float, others: float) -> float:
-    """What a difference of two means is worth, in answers.
+    """Returns the effective sample size of a difference of two means, in answers.
 
-    Each side adds its noise: as many answers on both sides tell as much as half of
-    them would, were the other side known for sure.
+    Each side adds its noise: equally many answers on both sides are worth half of them
+    with the other mean known exactly.
     """
     return answers * others / (answers + others) if answers and others else 0.0
 
 
 def _weighted_mean(latencies: list[_MeanLatency]) -> _MeanLatency | None:
-    answers = sum(pace.answers for pace in latencies)
+    answers = sum(latency.answers for latency in latencies)
     if answers < COMPARED_MIN:
         return None
     return _MeanLatency(answers, sum(p.answers * p.mean for p in latencies) / answers)
--- a/ashlatch/policy/split.py
+++ b/ashlatch/policy/split.py
@@ -2,7 +2,7 @@
 ashlatch.policy.split
 ~~~~~~~~~~~~~~~~~~~~~
 
-Which side of a roll-out a request stands on.
+Assigns requests to one of the two versions of a roll-out.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -16,10 +16,10 @@
 
 
 def bucket_percent(rollout: str, organisation: str, unit: str) -> float:
-    """Where a session, or a request without one, stands in a split: 0 to 100.
+    """Returns the position, 0 to 100, of a session or single request in a split.
 
-    It does not depend on the share, so a growing share only adds sessions and
-    never moves one back::
+    It does not depend on the share, so a growing share only adds sessions to the new
+    version and never moves one back::
 
         bucket_percent("spring", "nairobi-stockists", "session-7") < 10.0
     """
--- a/ashlatch/policy/table.py
+++ b/ashlatch/policy/table.py
@@ -2,8 +2,8 @@
 ashlatch.policy.table
 ~~~~~~~~~~~~~~~~~~~~~
 
-The configuration as the decisions read it: one immutable table for each
-revision, made from the resources.
+The configuration in the form that decisions use: one immutable table per revision,
+built from the resources.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class ActiveRollout:
-    """A roll-out and the share of traffic that it has reached."""
+    """A roll-out and its current share of traffic."""
 
     name: str
     from_version: str
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True)
 class RoutingTable:
-    """Everything configured, as of one revision."""
+    """The whole configuration at one revision."""
 
     revision: int = 0
     organisations: dict[str, Organisation] = field(default_factory=dict)
@@ -69,19 +69,22 @@
     leaving: frozenset[str] = frozenset()
 
     def allows(self, organisation: str, version: str) -> bool:
-        """Whether the organisation may use the version (R1)."""
+        """Checks whether the organisation may use the version (R1)."""
         spec = self.organisations.get(organisation)
-        known = self.versions.get(version)
-        if spec is None or known is None:
+        version_spec = self.versions.get(version)
+        if spec is None or version_spec is None:
             return False
-        return version in spec.allowed_versions or known.model in spec.allowed_models
+        return (
+            version in spec.allowed_versions
+            or version_spec.model in spec.allowed_models
+        )
 
     def usable(self, organisation: str, version: str) -> bool:
-        """Whether new work of the organisation may go to the version."""
+        """Checks whether new requests of the organisation may use the version."""
         return version not in self.withdrawn and self.allows(organisation, version)
 
     def rungs(self, route: str) -> tuple[str, ...]:
-        """The versions of a route, with those that roll-outs put beside them."""
+        """Returns the versions of a route; a roll-out's new one follows its old one."""
         spec = self.routes.get(route)
         cascade = self.cascades.get(spec.cascade) if spec else None
         if cascade is None:
@@ -96,7 +99,7 @@
 
 
 class TableBuilder:
-    """Keeps the resources of the newest revision and makes tables of them."""
+    """Holds the resources of the newest revision and builds tables from them."""
 
     def __init__(self) -> None:
         self._resources: dict[ResourceId, Resource] = {}
@@ -108,7 +111,7 @@
         resources: tuple[Resource, ...],
         deleted: tuple[ResourceId, ...],
     ) -> RoutingTable:
-        """Apply the changes up to a revision, which never goes back (R10)."""
+        """Applies the changes up to a revision, which never decreases (R10)."""
         if revision < self.revision:
             raise InvariantViolated("R10", f"{revision} after {self.revision}")
         for key in deleted:
@@ -142,7 +145,7 @@
     def _leaving(
         self, endpoints: dict[str, tuple[NamedEndpoint, ...]]
     ) -> frozenset[str]:
-        """The endpoints that get no new work, for themselves or by their hall."""
+        """Returns endpoints that are leaving or in an evacuated hall: no new work."""
         evacuated = frozenset(self._all(Evacuation))
         return frozenset(
             e.name
--- a/ashlatch/policy/version.py
+++ b/ashlatch/policy/version.py
@@ -2,8 +2,8 @@
 ashlatch.policy.version
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-Which version answers: variants found by name. `cheapest_good` is what
-routers use; `costliest` and `cheapest` are baselines.
+The policies that choose the version for a request, registered by name. Routers use
+`cheapest_good`; `costliest` and `cheapest` are baselines.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True)
 class Option:
-    """A version that may answer, in the order of the cascade.
+    """A version that may answer; options are in the order of the cascade.
 
-    `price` is what the route wants little of: its weighted cost and latency.
+    `price` is the sum that the route minimises: its weighted cost and latency.
     """
 
     version: str
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Goal:
-    """What a route wants: the mean rating, and by how much it now misses it."""
+    """A route's target for the mean rating, and how far the route is below it."""
 
     quality_target: float
     shortfall: float = 0.0
@@ -45,16 +45,16 @@
 
 @dataclass(frozen=True)
 class Choice:
-    """The version chosen, and why, for the log."""
+    """The chosen version, and the reason, for the log."""
 
     version: str
     reason: str
 
 
 class VersionPolicy:
-    """Chooses among the options that are left after all rules.
+    """Chooses among the options that all rules allow.
 
-    Subclasses override `choose`; the options are never empty.
+    Subclasses override `choose`; there is at least one option.
     """
 
     name: ClassVar[str] = ""
@@ -62,7 +62,7 @@
     def choose(
         self, options: tuple[Option, ...], goal: Goal, generator: random.Random
     ) -> Choice:
-        """Pick one option."""
+        """Returns one of the options."""
         raise NotImplementedError
 
 
@@ -71,38 +71,38 @@
 
 @VERSION_POLICIES.add
 class Costliest(VersionPolicy):
-    """Always the last rung: the baseline of most quality and most cost."""
+    """Chooses the last rung: the baseline of highest quality and cost."""
 
     name = "costliest"
 
     def choose(
         self, options: tuple[Option, ...], goal: Goal, generator: random.Random
     ) -> Choice:
-        """The last option."""
+        """Returns the last option."""
         return Choice(options[-1].version, "last_rung")
 
 
 @VERSION_POLICIES.add
 class Cheapest(VersionPolicy):
-    """Always the cheapest option, whatever its quality."""
+    """Chooses the cheapest option, whatever its quality."""
 
     name = "cheapest"
 
     def choose(
         self, options: tuple[Option, ...], goal: Goal, generator: random.Random
     ) -> Choice:
-        """The option of least price."""
+        """Returns the option of least price."""
         return Choice(min(options, key=lambda o: o.price).version, "least_price")
 
 
 @VERSION_POLICIES.add
 class CheapestGood(VersionPolicy):
-    """The mix of versions that meets the quality target at the least price.
+    """Chooses from the mix of versions that meets the target at the least price.
 
     A mix of two options is enough: the best mix lies on an edge of the
     convex hull of (price, quality). The target is raised by the measured
-    shortfall, which corrects errors in the estimates, and a small share of
-    requests tries another option, which keeps the estimates fresh.
+    shortfall, which corrects errors in the estimates. A small share of the requests
+    uses a random option, which keeps the estimates up to date.
     """
 
     name = "cheapest_good"
@@ -110,7 +110,7 @@
     def choose(
         self, options: tuple[Option, ...], goal: Goal, generator: random.Random
     ) -> Choice:
-        """Draw from the best mix, or explore."""
+        """Draws from the best mix, or explores."""
         if len(options) > 1 and generator.random() < EXPLORE_RATIO:
             return Choice(generator.choice(options).version, "explore")
         correction = SHORTFALL_GAIN * goal.shortfall
@@ -123,7 +123,7 @@
 
 @dataclass(frozen=True)
 class Mix:
-    """A share of the requests goes to `first`, the rest to `second`."""
+    """A mix in which `share` of the requests use `first`, the rest `second`."""
 
     first: Option
     second: Option
@@ -132,9 +132,9 @@
 
 
 def best_mix(options: tuple[Option, ...], target: float) -> Mix:
-    """The cheapest mix whose mean quality reaches the target.
+    """Returns the cheapest mix whose mean quality reaches the target.
 
-    When none does, the option of the highest quality, alone::
+    If there is none, it is the option of the highest quality alone::
 
         best_mix((Option("small", 1.0, 0.6), Option("large", 9.0, 0.8)), 0.7)
         # half of the requests to each
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -123,7 +123,7 @@
     Mutant(
         "load-blames-version",
         "ashlatch/policy/evidence.py",
-        "(timing.sent_ms if crowded else timing.ended_ms)",
+        "(timing.sent_ms if overloaded else timing.ended_ms)",
         "timing.ended_ms",
         EVIDENCE,
     ),
