--- a/ashlatch/policy/endpoint.py
+++ b/ashlatch/policy/endpoint.py
@@ -170,8 +170,8 @@
         """Returns a local endpoint preferred for the prefix, or the least loaded."""
         mean = sum(c.utilisation for c in candidates) / len(candidates)
         bound = max(LIGHT_UTILISATION, HALL_LOAD_BOUND * mean)
-        local = tuple(c for c in candidates if c.local and c.utilisation < bound)
-        pool = local or candidates
+        preferred = tuple(c for c in candidates if c.local and c.utilisation < bound)
+        pool = preferred or candidates
         by_name = {c.endpoint: c for c in pool}
         if prefix:
             for name in rank(tuple(by_name), prefix)[:PREFIX_CHOICES]:
--- a/ashlatch/policy/quarantine.py
+++ b/ashlatch/policy/quarantine.py
@@ -135,9 +135,9 @@
     The number of records is bounded: the one with the fewest crashes since a completed
     run is dropped, the oldest among equals.
     """
-    known = records.get(update.fingerprint, CrashRecord(update.fingerprint, ()))
-    record = merge_records(known, update)
-    if record == known:
+    existing = records.get(update.fingerprint, CrashRecord(update.fingerprint, ()))
+    record = merge_records(existing, update)
+    if record == existing:
         return False
     records[update.fingerprint] = record
     if len(records) > RECORDS_MAX:
@@ -269,8 +269,8 @@
 
     def confirm(self, record: CrashRecord) -> None:
         """Stops reporting a record that the core has in its log."""
-        known = self._records.get(record.fingerprint)
-        if known is None or merge_records(record, known) == record:
+        existing = self._records.get(record.fingerprint)
+        if existing is None or merge_records(record, existing) == record:
             self._unconfirmed.pop(record.fingerprint, None)
 
     def _record_local(self, record: CrashRecord) -> None:
--- a/ashlatch/policy/rate_limit.py
+++ b/ashlatch/policy/rate_limit.py
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class LimitSharing:
-    """The `gateways` that share a limit; `connected` if they receive each other's sends.
+    """The gateways that share a limit; `connected` if they receive others' sends.
 
     A gateway that receives none uses only its fixed share of the limit.
     """
@@ -108,14 +108,13 @@
         if self.limited:
             self._refill(sharing, now_ms)
         else:
-            # It has just got more requests than it accepts, as gateways did not know the
-            # limit.
+            # It has just got too many requests, as gateways did not know the limit.
             self._tokens = 0.0
             self._refilled_ms = now_ms
         changed = per_s != self.per_s
         self.per_s = per_s
         if changed:
-            # Tokens or debt from another rate may take far longer to use up at this one.
+            # Tokens or debt from another rate may last far longer at this one.
             self._clamp_tokens(sharing)
             self._jitter = jitter
 
--- a/ashlatch/policy/slowness.py
+++ b/ashlatch/policy/slowness.py
@@ -62,20 +62,22 @@
         """Adds a version's tally since the last report."""
         if not tally.timed:
             return
-        own = self._reports.setdefault(version, deque())
-        own.append(_Report(now_ms, tally.timed, tally.log_latency_sum))
-        while now_ms - own[0].at_ms > WINDOW_MS:
-            own.popleft()
+        reports = self._reports.setdefault(version, deque())
+        reports.append(_Report(now_ms, tally.timed, tally.log_latency_sum))
+        while now_ms - reports[0].at_ms > WINDOW_MS:
+            reports.popleft()
 
     def record_baseline(self, version: str, detector: Detector, now_ms: float) -> None:
         """Records a version's present baseline."""
         if detector.latency_mean is None:
             return
-        own = self._baselines.setdefault(version, deque())
+        baselines = self._baselines.setdefault(version, deque())
         answers = min(detector.latency_answers, BASELINE_MAX)
-        own.append(_Baseline(now_ms, _MeanLatency(answers, detector.latency_mean)))
-        while len(own) > 1 and now_ms - own[1].at_ms > WINDOW_MS:
-            own.popleft()
+        baselines.append(
+            _Baseline(now_ms, _MeanLatency(answers, detector.latency_mean))
+        )
+        while len(baselines) > 1 and now_ms - baselines[1].at_ms > WINDOW_MS:
+            baselines.popleft()
 
     def baseline(self, version: str, at_ms: float) -> _MeanLatency | None:
         """Returns the newest baseline that was recorded at or before a time."""
@@ -89,9 +91,9 @@
     def since(self, version: str, since_ms: float, now_ms: float) -> _MeanLatency:
         """Returns the mean latency of a version since a time, within the window."""
         begin_ms = max(since_ms, now_ms - WINDOW_MS)
-        own = [r for r in self._reports.get(version, ()) if r.at_ms > begin_ms]
-        answers = sum(report.timed for report in own)
-        log_sum = sum(report.log_sum for report in own)
+        reports = [r for r in self._reports.get(version, ()) if r.at_ms > begin_ms]
+        answers = sum(report.timed for report in reports)
+        log_sum = sum(report.log_sum for report in reports)
         return _MeanLatency(answers, log_sum / answers if answers else 0.0)
 
 
@@ -128,12 +130,12 @@
 
     def compare(self, healthy: float, since_ms: float) -> Slowness | None:
         """Returns the version's slowdown; None without others to compare with."""
-        own = self.history.since(self.version, since_ms, self.now_ms)
+        latency = self.history.since(self.version, since_ms, self.now_ms)
         shared = self._shared(since_ms) or self._shared_at_most(healthy, since_ms)
-        if shared is None or not own.answers:
+        if shared is None or not latency.answers:
             return None
-        slowness = own.mean - healthy
-        weight = _effective_answers(own.answers, shared.answers)
+        slowness = latency.mean - healthy
+        weight = _effective_answers(latency.answers, shared.answers)
         return Slowness(weight, slowness, max(0.0, shared.mean))
 
     def _shared(self, since_ms: float) -> _MeanLatency | None:
--- a/ashlatch/policy/table.py
+++ b/ashlatch/policy/table.py
@@ -93,8 +93,8 @@
         for rollout in self.rollouts:
             listed = rollout.from_version in rungs
             if listed and rollout.to_version not in rungs:
-                place = rungs.index(rollout.from_version) + 1
-                rungs.insert(place, rollout.to_version)
+                position = rungs.index(rollout.from_version) + 1
+                rungs.insert(position, rollout.to_version)
         return tuple(rungs)
 
 
