--- a/ashlatch/control/api.py
+++ b/ashlatch/control/api.py
@@ -2,9 +2,9 @@
 ashlatch.control.api
 ~~~~~~~~~~~~~~~~~~~~
 
-The operators' resource API: JSON over HTTP. A change names the revision that
-it was made against (`If-Match`, or `If-None-Match: *` for a new resource) and
-a change id (`Ashlatch-Change-Id`), under which it may be sent again.
+The operators' resource API: JSON over HTTP. A change carries the revision that it is
+based on (`If-Match`, or `If-None-Match: *` for a new resource) and a change id
+(`Ashlatch-Change-Id`), with which it may be sent again.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -86,11 +86,11 @@
         self.metrics = Metrics()
 
     def drain(self) -> None:
-        """Refuse all that comes from now on."""
+        """Refuses all requests from now on."""
         self._draining = True
 
     def answer(self, http: Request) -> Response:
-        """Answer one request."""
+        """Answers one request."""
         if http.path == "/healthz":
             return Response("ok\n")
         if http.path == "/readyz":
@@ -105,16 +105,16 @@
         except _RequestRefused as refused:
             return problem_response(refused.problem)
         except NoLeader:
-            # A change may still take effect; its id finds out.
+            # A change may still take effect; a repeat with its id returns the outcome.
             not_run = True if http.method == "GET" else None
             problem = Problem(problems.STATE_UNAVAILABLE, "", not_run, RETRY_MS)
             return problem_response(problem)
 
     def _authenticate(self, http: Request) -> str:
-        given = http.headers.get("Authorization", "")
-        hashed = hashlib.sha256(given.removeprefix(BEARER).encode()).hexdigest()
-        operator = self._operators.get(hashed)
-        if operator is None or not given.startswith(BEARER):
+        header = http.headers.get("Authorization", "")
+        token_sha256 = hashlib.sha256(header.removeprefix(BEARER).encode()).hexdigest()
+        operator = self._operators.get(token_sha256)
+        if operator is None or not header.startswith(BEARER):
             raise _RequestRefused(Problem(problems.UNAUTHENTICATED))
         return operator
 
@@ -139,12 +139,12 @@
                 return self._remove_member(member_id)
         raise _RequestRefused(Problem(problems.NOT_FOUND, f"{http.method} {http.path}"))
 
-    # Reading.
+    # Reads.
 
     def _list(self, kind: str) -> Response:
         reply = self._client.read(ReadRequest(kind)).result()
-        found = [_resource_document(resource) for resource in reply.resources]
-        return _json_response({"revision": reply.revision, "resources": found})
+        documents = [_resource_document(resource) for resource in reply.resources]
+        return _json_response({"revision": reply.revision, "resources": documents})
 
     def _get(self, kind: str, name: str) -> Response:
         reply = self._client.read(ReadRequest(kind, name)).result()
@@ -164,7 +164,7 @@
         return _json_response(document)
 
     def _watch(self, http: Request) -> Response:
-        """One JSON line for each change after a revision, until closed."""
+        """Streams one JSON line for each change after a revision, until closed."""
         try:
             after = int(http.args.get("after", "0"))
         except ValueError as error:
@@ -195,7 +195,7 @@
             else:
                 yield b"\n"
 
-    # Changing.
+    # Changes.
 
     def _put(self, http: Request, operator: str, kind: str, name: str) -> Response:
         body = http.get_data()
@@ -260,8 +260,8 @@
             }
             return _json_response(document)
         case RevisionConflict(current):
-            shown = _resource_document(current) if current else None
-            problem = Problem(problems.REVISION_CONFLICT, extra={"current": shown})
+            found = _resource_document(current) if current else None
+            problem = Problem(problems.REVISION_CONFLICT, extra={"current": found})
             return problem_response(problem)
         case ChangeIdReused(change_id):
             return problem_response(Problem(problems.KEY_REUSED, change_id))
@@ -279,11 +279,11 @@
 def _if_revision(http: Request) -> int:
     if http.headers.get("If-None-Match") == "*":
         return 0
-    given = http.headers.get("If-Match", "")
-    text = given.strip('"')
+    header = http.headers.get("If-Match", "")
+    text = header.strip('"')
     if not text.isdecimal():
         rule = 'must be a revision in quotes, or give "If-None-Match: *"'
-        raise _RequestRefused(_invalid_field("If-Match", given, rule))
+        raise _RequestRefused(_invalid_field("If-Match", header, rule))
     return int(text)
 
 
--- a/ashlatch/control/core.py
+++ b/ashlatch/control/core.py
@@ -2,9 +2,9 @@
 ashlatch.control.core
 ~~~~~~~~~~~~~~~~~~~~~
 
-The reducer of a control process. Only the active one acts; all that it must
-remember is in the replicated state, so that the next active one goes on where
-it stopped. The controllers are in `membership`, `rollout` and `placement`.
+The reducer of a control process. Only the active process acts. All that has to
+persist is in the replicated state, so that the next active process continues where the
+last one stopped. The controllers are in `membership`, `rollout` and `placement`.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class ControlLeaseChanged(LogEvent):
-    """This process has become, or is no longer, the active one."""
+    """This process has become the active one, or has ceased to be."""
 
     event: ClassVar[str] = "control_lease"
     holder: str
@@ -52,8 +52,9 @@
 class ControlCore:
     """The whole state of a control process.
 
-    `order_settle_ms` is the longest that an order of an earlier active
-    process can be under way; engines that check no fence get no order before.
+    `order_settle_ms` is the longest time for which an order of an earlier active
+    process can be in flight. Engines that do not check the fence get no order before
+    it has passed.
     """
 
     holder: str
@@ -76,22 +77,22 @@
     effects: list[Effect] = field(default_factory=list)
 
     def step(self, now_ms: float, event: Event) -> list[Effect]:
-        """Handle one event and return what must be done, in order."""
+        """Handles one event and returns its effects, in order."""
         self.now_ms = max(self.now_ms, now_ms)
         HANDLERS.call(self, event)
         effects, self.effects = self.effects, []
         return effects
 
     def active(self, now_ms: float) -> bool:
-        """Whether this process holds the control lease."""
+        """Checks whether this process holds the control lease."""
         return now_ms < self.active_until_ms
 
     def ready(self) -> bool:
-        """Whether to act: active, and the state has been read since."""
+        """Checks whether to act: active, and the state has been read since."""
         return self.active(self.now_ms) and self.revision >= 0
 
     def specs(self, kind: type[K]) -> dict[str, K]:
-        """The specs of all resources of a kind, by name."""
+        """Returns the specs of all resources of a kind, by name."""
         found: dict[str, K] = {}
         for key, resource in sorted(self.resources.items()):
             if key.kind == kind.name:
@@ -101,22 +102,22 @@
         return found
 
     def has(self, kind: type[Spec], name: str) -> bool:
-        """Whether there is such a resource."""
+        """Checks whether a resource exists."""
         return ResourceId(kind.name, name) in self.resources
 
     def put_resource(self, name: str, spec: Spec) -> None:
-        """Change a resource, unless it is so already."""
+        """Creates or changes a resource, unless it already has this spec."""
         current = self.resources.get(ResourceId(spec.name, name))
-        content = canonical(spec)
-        if current is not None and current.spec == content:
+        encoded = canonical(spec)
+        if current is not None and current.spec == encoded:
             return
         revision = current.revision if current else 0
         self.effects.append(
-            ChangeResource(spec.name, name, revision, content, self.epoch)
+            ChangeResource(spec.name, name, revision, encoded, self.epoch)
         )
 
     def remove_resource(self, kind: type[Spec], name: str) -> None:
-        """Delete a resource, if it is there."""
+        """Deletes a resource, if it exists."""
         current = self.resources.get(ResourceId(kind.name, name))
         if current is not None:
             self.effects.append(
@@ -124,7 +125,7 @@
             )
 
     def write_log(self, event: LogEvent) -> None:
-        """Write a log line."""
+        """Adds a log event to the effects."""
         self.effects.append(WriteLog(event))
 
 
--- a/ashlatch/control/daemon.py
+++ b/ashlatch/control/daemon.py
@@ -2,8 +2,8 @@
 ashlatch.control.daemon
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-The control process: the resource API, and the loops that inform the core and
-perform its effects.
+The control process: the resource API, and the loops that send events to the reducer
+and perform its effects.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True)
 class SourceUnreadable(LogEvent):
-    """Something that the controllers need could not be read."""
+    """An input of the controllers could not be read."""
 
     event: ClassVar[str] = "source_unreadable"
     vm: str
@@ -81,7 +81,7 @@
 
 
 class ControlDaemon:
-    """One control process; any number may run, one of them is active."""
+    """A control process; any number may run, but only one is active."""
 
     def __init__(
         self, settings: ControlSettings, failed: Callable[[BaseException], None]
@@ -106,7 +106,7 @@
         )
 
     def start(self) -> None:
-        """Serve operators, and ask for the control lease."""
+        """Starts serving operators and polling for the control lease."""
         self.rpc.keep(self._poll_lease(), self._failed)
         settings, repeat = self.settings, self._periodic.start
         repeat("state", self._read_state, settings.control_poll_ms)
@@ -118,7 +118,7 @@
         self._server.start()
 
     def stop(self) -> None:
-        """End what is open; the lease runs out by itself."""
+        """Stops all activity; the lease is left to expire."""
         self.api.drain()
         self._periodic.stop()
         self._server.stop()
@@ -126,14 +126,14 @@
         self.rpc.stop()
 
     def post(self, event: Event) -> None:
-        """Hand an event to the core and perform what it asks for."""
+        """Passes an event to the reducer and performs its effects."""
         with self._lock:
             effects = self.core.step(monotonic_ms(), event)
         for effect in effects:
             EFFECTS.call(self, effect)
 
     def send(self, order: Order) -> None:
-        """Send an order on this thread, if the lease still holds."""
+        """Sends an order on this thread, if the lease is still held."""
         done = False
         free = order.kind is OrderKind.UNLOAD or weights_free(
             self.settings.weight_store_url, order.version, ORDER_TIMEOUT_MS
@@ -143,7 +143,7 @@
         self.post(OrderEnded(order, done))
 
     def submit_order(self, order: Order) -> None:
-        """Send an order on the pool."""
+        """Sends an order on the thread pool."""
         self._orders.submit(self.send, order)
 
     def _lease_status(self) -> tuple[str, bool]:
@@ -187,7 +187,7 @@
         )
 
     def _merge(self, reply: ReadReply) -> None:
-        """Keep the resources in step; only changes are read each time."""
+        """Applies a reply, which contains only the changes, to the resources."""
         for key in reply.deleted:
             self._resources.pop(key, None)
         for resource in reply.resources:
@@ -237,10 +237,10 @@
 @EFFECTS.on(ChangeResource)
 def _put_resource(daemon: ControlDaemon, effect: ChangeResource) -> None:
     spec = parse(effect.kind, effect.spec)
-    content = digest(effect.spec)
+    spec_digest = digest(effect.spec)
     daemon.client.propose(
         PutResource(
-            f"control/{effect.kind}/{effect.name}/{effect.if_revision}/{content}",
+            f"control/{effect.kind}/{effect.name}/{effect.if_revision}/{spec_digest}",
             OPERATOR_NAME,
             effect.kind,
             effect.name,
--- a/ashlatch/control/event.py
+++ b/ashlatch/control/event.py
@@ -2,7 +2,7 @@
 ashlatch.control.event
 ~~~~~~~~~~~~~~~~~~~~~~
 
-Events that a control process's core takes, and the effects that it returns.
+The events that a control process's reducer handles, and the effects that it returns.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class LeaseAnswered:
-    """The state has said who is active; `until_ms` when it is this process."""
+    """The reply to a lease poll; `until_ms` counts if this process is the holder."""
 
     holder: str
     epoch: int
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class StateRead:
-    """All resources and the totals of all routers, as of a revision."""
+    """All resources and the totals of all routers, at one revision."""
 
     revision: int
     in_force_revision: int
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True)
 class PoolRead:
-    """What the endpoints of a pool have loaded."""
+    """The versions that the endpoints of a pool have loaded."""
 
     pool: str
     loaded: tuple[LoadedVersions, ...]
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True)
 class VersionRating:
-    """One rating of an answer of a version."""
+    """A rating of one answer of a version."""
 
     version: str
     rating: float
@@ -94,7 +94,7 @@
 
 
 class OrderKind(enum.Enum):
-    """What an engine is ordered to do."""
+    """The action that an engine is ordered to take."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -102,9 +102,9 @@
 
 @dataclass(frozen=True)
 class Order:
-    """An order to one engine. The same id is carried out once.
+    """A fenced command to one engine, which runs each id once.
 
-    Engines that check the fence refuse an epoch below the highest they know.
+    Engines that check the fence refuse an epoch below the highest one received.
     """
 
     order_id: str
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True)
 class OrderEnded:
-    """An order was carried out, or not."""
+    """An order has ended; `done` is whether the engine carried it out."""
 
     order: Order
     done: bool
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True)
 class ChangeResource:
-    """Put a resource, as the active control process of this epoch."""
+    """Creates or changes a resource as the active process of an epoch."""
 
     kind: str
     name: str
@@ -139,7 +139,7 @@
 
 @dataclass(frozen=True)
 class RemoveResource:
-    """Delete a resource, as the active control process of this epoch."""
+    """Deletes a resource as the active process of an epoch."""
 
     kind: str
     name: str
@@ -149,14 +149,14 @@
 
 @dataclass(frozen=True)
 class SendOrder:
-    """Send an order, if the lease still holds right before."""
+    """Sends an order, if the lease is still held right before."""
 
     order: Order
 
 
 @dataclass(frozen=True)
 class WriteLog:
-    """Write a log line."""
+    """Writes a log event."""
 
     event: LogEvent
 
--- a/ashlatch/control/latency.py
+++ b/ashlatch/control/latency.py
@@ -2,7 +2,7 @@
 ashlatch.control.latency
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-Says in the log what a version's slowness was compared with, and what follows.
+Logs how a version's slowdown compares with that of other versions, and the verdict.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -25,11 +25,11 @@
 
 @dataclass(frozen=True)
 class LatencyCompared(LogEvent):
-    """A version is slower than in calm times, and others were asked at that time.
+    """A version is slower than its baseline, and was compared with others.
 
-    `slowdown` is its factor, `others_slowdown` that of the other versions at the
-    same moments; `answers` is what the comparison is worth. The `verdict` is
-    `own`, and the version is withdrawn, or `shared`.
+    `slowdown` is its factor, `others_slowdown` that of the other versions at the same
+    time; `answers` is the effective sample size. The `verdict` is `own`, and the
+    version is withdrawn, or `shared`.
     """
 
     event: ClassVar[str] = "latency_compared"
@@ -43,9 +43,9 @@
 
 @dataclass(frozen=True)
 class LatencyNotCompared(LogEvent):
-    """A version is slower than in calm times, and no other was asked meanwhile.
+    """A version is slower than its baseline, with no other to compare with.
 
-    That withdraws nothing.
+    It is not withdrawn for that.
     """
 
     event: ClassVar[str] = "latency_not_compared"
@@ -54,7 +54,7 @@
 
 
 def log_latency_verdict(core: ControlCore, version: str) -> None:
-    """Log the verdict on a version's slowness, when it is another than before."""
+    """Logs the verdict on a version's slowdown, if it has changed."""
     detector = core.detectors[version]
     verdict = _verdict(detector)
     if verdict and verdict != core.latency_verdicts.get(version):
@@ -63,7 +63,7 @@
 
 
 def _verdict(detector: Detector) -> str:
-    """What follows from a version's slowness; empty when it does not look slow."""
+    """Returns the verdict on a version's slowdown; empty if it is not slow."""
     if not detector.looks_slow:
         return ""
     if detector.slowness is None:
--- a/ashlatch/control/membership.py
+++ b/ashlatch/control/membership.py
@@ -2,9 +2,9 @@
 ashlatch.control.membership
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Keeps the `endpoint` resources in step with the platform's list of VMs. The
-list lags: a VM that is gone from it is first marked as leaving, and its
-endpoint is removed only later.
+Reconciles the `endpoint` resources with the platform's list of VMs. The list lags: a
+VM that is missing from it is first marked as leaving, and its endpoint is removed only
+after `REMOVE_AFTER_MS`.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class EndpointChanged(LogEvent):
-    """An endpoint came, is leaving, or is forgotten."""
+    """An endpoint was added or changed, is leaving or missing, or was removed."""
 
     event: ClassVar[str] = "endpoint_changed"
     endpoint: str
@@ -40,7 +40,7 @@
     if not core.ready():
         return
     pools = core.specs(Pool)
-    known = core.specs(Endpoint)
+    endpoints = core.specs(Endpoint)
     listed = set()
     for vm in event.vms:
         if vm.pool not in pools:
@@ -50,10 +50,10 @@
         spec = Endpoint(
             pool=vm.pool, url=vm.url, vm=vm.vm, hall=vm.hall, leaving=vm.leaving
         )
-        if known.get(vm.vm) != spec:
+        if endpoints.get(vm.vm) != spec:
             _log_change(core, vm.vm, spec, "leaving" if spec.leaving else "live")
             core.put_resource(vm.vm, spec)
-    for name, spec in known.items():
+    for name, spec in endpoints.items():
         if name not in listed:
             _handle_missing(core, name, spec)
 
--- a/ashlatch/control/placement.py
+++ b/ashlatch/control/placement.py
@@ -2,9 +2,9 @@
 ashlatch.control.placement
 ~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Orders engines to load what their pool should serve and to unload what is
-withdrawn. One order at a time for each endpoint; an order is given again only
-when it has ended, under the same id while the epoch is the same.
+Orders engines to load the versions that their pool should serve and to unload withdrawn
+ones. An endpoint has one order at a time. An order is repeated only after it has ended,
+and with the same id while the epoch is the same.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class OrderGiven(LogEvent):
-    """A placement decision."""
+    """A placement order was issued."""
 
     event: ClassVar[str] = "order_given"
     order: str
@@ -77,7 +77,7 @@
 @HANDLERS.on(OrderEnded)
 def _order_ended(core: ControlCore, event: OrderEnded) -> None:
     core.orders.pop(event.order.endpoint, None)
-    # The pool's report lags; without a pause the order would be given again.
+    # The pool's report lags; without a pause the order would be issued again.
     core.next_order_ms[event.order.endpoint] = core.now_ms + NEXT_ORDER_MS
     core.write_log(OrderOutcome(event.order.order_id, event.order.endpoint, event.done))
 
@@ -102,7 +102,7 @@
     order = Order(order_id, core.epoch, kind, version, endpoint.vm, endpoint.url)
     core.orders[endpoint.vm] = order
     core.effects.append(SendOrder(order))
-    given = OrderGiven(
+    issued = OrderGiven(
         order_id, kind.value, version, endpoint.vm, endpoint.pool, core.epoch, reason
     )
-    core.write_log(given)
+    core.write_log(issued)
--- a/ashlatch/control/rollout.py
+++ b/ashlatch/control/rollout.py
@@ -2,8 +2,8 @@
 ashlatch.control.rollout
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-Moves roll-outs from stage to stage, takes them back when the new version is
-bad, and withdraws a version that turns bad at full traffic.
+Advances roll-outs from stage to stage, rolls them back when the new version is bad, and
+withdraws a version that turns bad at full traffic.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class RolloutMoved(LogEvent):
-    """A roll-out began a stage, is done, or was taken back."""
+    """A roll-out entered a stage, is done, or was rolled back."""
 
     event: ClassVar[str] = "rollout_moved"
     rollout: str
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class VersionBad(LogEvent):
-    """A version has turned bad; `withdrawn` unless nothing else could serve."""
+    """A version has turned bad; it is withdrawn unless no other could serve."""
 
     event: ClassVar[str] = "version_bad"
     version: str
@@ -64,26 +64,26 @@
     core.resources = {ResourceId(r.kind, r.name): r for r in event.resources}
     withdrawn = frozenset(core.specs(Withdrawal))
     for version in core.withdrawn - withdrawn:
-        # An operator has let it back: it is judged afresh.
+        # An operator has reinstated it: its tests start anew.
         core.detectors.pop(version, None)
     core.withdrawn = withdrawn
     _apply_totals(core, event.totals)
     if event.in_force_revision >= event.revision:
-        # Otherwise a router may speak of a version as it was before.
+        # Otherwise a router's report may be based on an older state of the version.
         _apply_suspensions(core, event.totals)
     if core.ready():
         advance(core)
 
 
 def _apply_totals(core: ControlCore, totals: tuple[VersionReport, ...]) -> None:
-    """Give the detectors what is new in the routers' totals."""
+    """Adds the increases of the routers' totals to the detectors."""
     tallies = {}
     for report in totals:
-        seen = core.totals.get(report.version)
+        previous = core.totals.get(report.version)
         core.totals[report.version] = report
-        if seen is None:
+        if previous is None:
             continue
-        tally = report.tally.since(seen.tally)
+        tally = report.tally.since(previous.tally)
         if tally != VersionTally():
             tallies[report.version] = tally
             _detector(core, report.version)
@@ -99,7 +99,7 @@
 
 
 def _apply_suspensions(core: ControlCore, totals: tuple[VersionReport, ...]) -> None:
-    """Routers send a suspended version no more: no further evidence will come."""
+    """Marks suspended versions as bad: without requests, no evidence will follow."""
     for report in totals:
         if report.suspended and report.version not in core.withdrawn:
             _detector(core, report.version).reasons.add("routers")
@@ -118,18 +118,18 @@
 
 
 def advance(core: ControlCore) -> None:
-    """Take every step that is due now."""
-    under_way = set()
+    """Takes every roll-out step and withdrawal that is due."""
+    rolling_out = set()
     for name, rollout in core.specs(Rollout).items():
         progress = core.specs(RolloutProgress).get(name)
         if progress is None:
             _begin(core, name, rollout)
-            under_way.add(rollout.to_version)
+            rolling_out.add(rollout.to_version)
         elif progress.state == "running":
-            under_way.add(rollout.to_version)
+            rolling_out.add(rollout.to_version)
             _evaluate(core, name, rollout, progress)
     for version, detector in sorted(core.detectors.items()):
-        if detector.bad and version not in under_way:
+        if detector.bad and version not in rolling_out:
             _withdraw(core, version, detector)
 
 
@@ -141,7 +141,7 @@
 
 
 def _new_detector(core: ControlCore, version: str) -> Detector:
-    """A roll-out's new version is held to what the old one does."""
+    """Creates a detector; a roll-out's new version starts from the old one's."""
     versions = core.specs(Version)
     prior = versions[version].quality_prior if version in versions else 0.5
     for rollout in core.specs(Rollout).values():
@@ -200,7 +200,7 @@
     progress: RolloutProgress,
     reason: str,
 ) -> None:
-    back = progress.model_copy(
+    rolled_back = progress.model_copy(
         update={
             "state": "rolled_back",
             "share_percent": 0.0,
@@ -208,7 +208,7 @@
             "epoch": core.epoch,
         }
     )
-    _record_progress(core, name, rollout, back)
+    _record_progress(core, name, rollout, rolled_back)
 
 
 def _record_progress(
@@ -229,15 +229,15 @@
 
 
 def _withdraw(core: ControlCore, version: str, detector: Detector) -> None:
-    """Withdraw a bad version, if every cascade keeps another rung."""
+    """Withdraws a bad version, if every cascade keeps another rung."""
     if core.has(Withdrawal, version) or not core.has(Version, version):
         return
     reasons = ",".join(sorted(detector.reasons))
-    spared = all(
+    replaceable = all(
         any(r != version and not core.has(Withdrawal, r) for r in cascade.rungs)
         for cascade in core.specs(Cascade).values()
         if version in cascade.rungs
     )
-    core.write_log(VersionBad(version, reasons, spared, core.epoch))
-    if spared:
+    core.write_log(VersionBad(version, reasons, replaceable, core.epoch))
+    if replaceable:
         core.put_resource(version, Withdrawal(reason=f"turned bad: {reasons}"))
