--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -34,7 +34,7 @@
 from ashlatch.store.protocol import RouterPoll, RouterReply, VersionReport
 from bench.router import memory_mb, processor_s
 from bench.table import row, title
-from tests.lean import lean
+from tests.small_system import start_small_system
 
 _HANDLERS_OF = (membership, placement, rollout)
 
@@ -175,7 +175,7 @@
     title("Daemons at rest: processor time, by how often they look")
     for load_ms, held_ms in PERIODS:
         extra = {"load_poll_ms": load_ms, "poll_wait_ms": held_ms}
-        with lean(routers=1, router_extra=extra) as found:
+        with start_small_system(routers=1, router_extra=extra) as found:
             system = found.system
             daemons = [*system.routers, *system.states, *system.controls]
             leader = system.leader()
--- a/bench/hedge.py
+++ b/bench/hedge.py
@@ -7,7 +7,7 @@
 
 from bench.table import percentile, row, title
 from tests.chat import chat, chat_stream
-from tests.lean import KEY, ROUTE, Lean, lean
+from tests.small_system import KEY, ROUTE, SmallSystem, start_small_system
 
 RATE_PER_S = 20.0
 WARM_CALLS = 150
@@ -18,7 +18,7 @@
 MODES = {"without": 0.0, "with": 0.05}
 
 
-def ask(found: Lean, stream: bool) -> float:
+def ask(found: SmallSystem, stream: bool) -> float:
     """One call: the time to its first token, or to the whole answer."""
     url = found.system.routers[0].url
     began_s = time.monotonic()
@@ -31,7 +31,7 @@
     return (time.monotonic() - began_s) * 1000.0
 
 
-def paced(found: Lean, stream: bool, count: int) -> list[float]:
+def paced(found: SmallSystem, stream: bool, count: int) -> list[float]:
     began_s = time.monotonic()
 
     def one(number: int) -> float:
@@ -42,7 +42,7 @@
         return list(pool.map(one, range(count)))
 
 
-def runs(found: Lean) -> int:
+def runs(found: SmallSystem) -> int:
     return sum(len(engine.get("runs")) for engine in found.engines)
 
 
@@ -53,7 +53,9 @@
     )
     for name, ratio in MODES.items():
         extra = {"policy": {"hedge_ratio": ratio}}
-        with lean(routers=1, engine_arguments=ENGINE, router_extra=extra) as found:
+        with start_small_system(
+            routers=1, engine_arguments=ENGINE, router_extra=extra
+        ) as found:
             for stream in (False, True):
                 paced(found, stream, WARM_CALLS)
                 for engine in found.engines:
--- a/bench/router.py
+++ b/bench/router.py
@@ -7,7 +7,7 @@
 
 from bench.table import percentile, row, title
 from tests.chat import Stream, chat, chat_stream
-from tests.lean import KEY, ROUTE, Lean, lean
+from tests.small_system import KEY, ROUTE, SmallSystem, start_small_system
 from tests.system import Daemon
 
 RATE_PER_S = 50.0
@@ -28,7 +28,7 @@
     return daemon.process.processor_s()
 
 
-def call(found: Lean, kind: str, number: int) -> None:
+def call(found: SmallSystem, kind: str, number: int) -> None:
     url = found.system.routers[0].url
     version = "quote-large-1"
     if kind == "direct":
@@ -44,7 +44,7 @@
     assert reply.status == 200, reply
 
 
-def paced(found: Lean, kind: str) -> list[float]:
+def paced(found: SmallSystem, kind: str) -> list[float]:
     """Times of calls that begin at a fixed rate, whatever the answers do."""
     began_s = time.monotonic()
     took_ms: list[float] = []
@@ -68,7 +68,7 @@
 
 def requests() -> None:
     title(f"Whole answers at {RATE_PER_S:.0f} a second, {CALLS} calls each, one router")
-    with lean(routers=1, engine_arguments=FAST) as found:
+    with start_small_system(routers=1, engine_arguments=FAST) as found:
         daemons = [*found.system.routers, *found.system.states, *found.system.controls]
         for daemon in daemons:
             row(f"at rest {daemon.process.name}", memory_mb=memory_mb(daemon))
@@ -92,7 +92,7 @@
 
 def chunks() -> None:
     title(f"Streams of 200 chunks, {STREAMS} at once")
-    with lean(routers=1, engine_arguments=CHUNKED) as found:
+    with start_small_system(routers=1, engine_arguments=CHUNKED) as found:
         engine, router = found.engines[0].url, found.system.routers[0]
         targets = {"direct": (engine, "quote-large-1"), "routed": (router.url, ROUTE)}
         for name, (url, model) in targets.items():
--- a/bench/state.py
+++ b/bench/state.py
@@ -23,7 +23,7 @@
 from ashlatch.store.protocol import ReadRequest, RouterPoll, RouterReply
 from bench.router import memory_mb, processor_s
 from bench.table import percentile, row, spread, title
-from tests.lean import Lean, lean
+from tests.small_system import SmallSystem, start_small_system
 from tests.system import Daemon, System, running, wait_until
 
 COMMITS = 400
@@ -117,11 +117,13 @@
 
 def in_force() -> None:
     title(f"From a change's sending to in force on 3 routers, {CHANGES} changes")
-    with lean(routers=3) as found:
+    with start_small_system(routers=3) as found:
         took = []
         for number in range(CHANGES):
             began_s = time.perf_counter()
-            revision = found.put_surely(f"m-{number}", 0, f"c-{number}", "")
+            revision = found.put_model_until_answered(
+                f"m-{number}", 0, f"c-{number}", ""
+            )
             accepted_s = time.perf_counter()
             wait_until(
                 lambda r=revision: found.system.status()["in_force_revision"] >= r,  # type: ignore[misc]
@@ -139,7 +141,7 @@
         kills(found)
 
 
-def kills(found: Lean) -> None:
+def kills(found: SmallSystem) -> None:
     title(f"From a leader's kill to the next accepted change, {KILLS} kills")
     took = []
     for number in range(KILLS):
@@ -147,7 +149,7 @@
         leader = found.system.leader()
         leader.process.kill()
         began_s = time.perf_counter()
-        found.put_surely(f"k-{number}", 0, f"k-{number}", "")
+        found.put_model_until_answered(f"k-{number}", 0, f"k-{number}", "")
         took.append((time.perf_counter() - began_s) * 1000.0)
         leader.process.start()
     row("unavailable", ms=spread(took))
--- a/tests/lean.py
+++ b/tests/small_system.py
@@ -20,7 +20,7 @@
 
 
 @dataclass
-class Lean:
+class SmallSystem:
     """The system with its engines and workers at hand."""
 
     system: System
@@ -34,7 +34,7 @@
         named = {"Idempotency_Key": key, **named}
         return service(url, KEY, ORDERS, "orders", document, **named)
 
-    def order_again(self, key: str) -> HttpReply:
+    def repeat_order(self, key: str) -> HttpReply:
         """An order that was answered before, asked as a caller within its limits is.
 
         An organisation that asks for hundreds of answers in a row passes its rate,
@@ -48,7 +48,7 @@
         """A question, which may be repeated."""
         return chat(self.system.routers[router].url, KEY, ROUTE, "how much", **named)
 
-    def ran(self, key: str) -> int:
+    def run_count(self, key: str) -> int:
         """How often an order was run, over all workers."""
         return sum(worker.get("ran").get(key, 0) for worker in self.workers)
 
@@ -56,12 +56,12 @@
         """How many requests the engines are working on."""
         return sum(engine.get("load")["running"] for engine in self.engines)
 
-    def bills(self) -> int:
+    def bill_count(self) -> int:
         """How many bills the organisation has."""
         accounts = self.system.status()["accounts"]
         return int(accounts.get(ORGANISATION, {"bills": 0})["bills"])
 
-    def put(
+    def put_model(
         self, name: str, revision: int, change: str, control: int = 0, text: str = ""
     ) -> HttpReply:
         """Put a model as an operator, without asking again."""
@@ -76,13 +76,15 @@
             control,
         )
 
-    def put_surely(self, name: str, revision: int, change: str, text: str) -> int:
+    def put_model_until_answered(
+        self, name: str, revision: int, change: str, text: str
+    ) -> int:
         """Put a model, and send the change again until it is answered."""
 
         def attempt() -> int:
             control = attempt_number[0] % len(self.system.controls)
             attempt_number[0] += 1
-            reply = self.put(name, revision, change, control, text)
+            reply = self.put_model(name, revision, change, control, text)
             return int(reply.json["revision"]) if reply.status == 200 else 0
 
         attempt_number = [0]
@@ -108,16 +110,16 @@
 
 
 @contextlib.contextmanager
-def lean(
+def start_small_system(
     routers: int = 2,
     controls: int = 1,
     engine_arguments: tuple[str, ...] = (),
     **extra: Any,
-) -> Iterator[Lean]:
+) -> Iterator[SmallSystem]:
     """A system that serves; three state members, all voters."""
     with running(**extra) as system:
         system.start_platform()
-        found = Lean(system)
+        found = SmallSystem(system)
         for place in range(2):
             hall = KENYA.halls[place]
             arguments = ("--versions", KENYA.versions, "--quality", KENYA.quality)
@@ -138,27 +140,27 @@
         yield found
 
 
-class Load:
+class OrderLoad:
     """Callers that send orders, and send each again until it is answered.
 
     `answers` holds the first 200 for each key, `unknown` the keys whose
     outcome was told as unknown, `wrong` whatever breaks a rule.
     """
 
-    def __init__(self, found: Lean, threads: int, prefix: str = "order") -> None:
-        self._lean = found
+    def __init__(self, found: SmallSystem, threads: int, prefix: str = "order") -> None:
+        self._system = found
         self._prefix = prefix
         self._stop = threading.Event()
         self._lock = threading.Lock()
         self.answers: dict[str, bytes] = {}
         self.unknown: set[str] = set()
-        self.tries = 0
+        self.attempts = 0
         self.threads = [
             threading.Thread(target=self._run, args=(place,))
             for place in range(threads)
         ]
 
-    def __enter__(self) -> "Load":
+    def __enter__(self) -> "OrderLoad":
         for thread in self.threads:
             thread.start()
         return self
@@ -180,12 +182,12 @@
             number += 1
 
     def _order(self, key: str, router: int) -> None:
-        count = len(self._lean.system.routers)
+        count = len(self._system.system.routers)
         for attempt in range(400):
             with self._lock:
-                self.tries += 1
+                self.attempts += 1
             try:
-                reply = self._lean.order(key, (router + attempt) % count)
+                reply = self._system.order(key, (router + attempt) % count)
             except OSError:
                 time.sleep(0.02)
                 continue
@@ -219,7 +221,7 @@
                 with contextlib.suppress(OSError):
                     end.shutdown(socket.SHUT_RDWR)
 
-    def heal(self) -> None:
+    def restore(self) -> None:
         self._cut = False
 
     def _accept(self) -> None:
--- a/tests/test_backoff_policy.py
+++ b/tests/test_backoff_policy.py
@@ -20,15 +20,15 @@
         self.backoff = Backoff()
         self.backoff.record_request(3000.0, now_ms=0.0)
 
-    def test_it_ends(self) -> None:
+    def test_a_backoff_ends(self) -> None:
         self.assertEqual(1000.0, self.backoff.wait_ms(2000.0))
         self.assertEqual(0.0, self.backoff.wait_ms(3000.0))
 
-    def test_a_longer_one_prolongs_it(self) -> None:
+    def test_a_later_end_prolongs_it(self) -> None:
         self.assertTrue(self.backoff.record_request(3000.0, now_ms=1000.0))
         self.assertEqual(1000.0, self.backoff.wait_ms(3000.0))
 
-    def test_a_shorter_one_does_not_shorten_it(self) -> None:
+    def test_an_earlier_end_does_not_shorten_it(self) -> None:
         self.assertFalse(self.backoff.record_request(500.0, now_ms=1000.0))
         self.assertEqual(2000.0, self.backoff.wait_ms(1000.0))
 
@@ -39,13 +39,13 @@
         self.backoff.record_sent(3000.0)
         self.assertTrue(self.backoff.may_shed(3001.0))
 
-    def test_one_request_is_on_trial_after_it(self) -> None:
+    def test_one_probe_request_follows_it(self) -> None:
         self.assertFalse(self.backoff.may_shed(3000.0))
         self.backoff.record_sent(3000.0)
         self.assertTrue(self.backoff.may_shed(3000.0 + PROBE_MS - 1.0))
         self.assertFalse(self.backoff.may_shed(3000.0 + PROBE_MS))
 
-    def test_the_trial_ends_with_an_answer(self) -> None:
+    def test_the_probe_ends_with_an_answer(self) -> None:
         self.backoff.record_sent(3000.0)
         self.backoff.record_accepted(sent_ms=3000.0)
         self.assertFalse(self.backoff.may_shed(3010.0))
@@ -53,7 +53,7 @@
         self.assertFalse(self.backoff.may_shed(3011.0))
 
     @given(st.lists(st.tuples(st.floats(0, 1e4), st.floats(0, 1e4)), min_size=1))
-    def test_none_that_was_asked_for_is_cut_short(
+    def test_no_requested_backoff_is_shortened(
         self, asked: list[tuple[float, float]]
     ) -> None:
         backoff = Backoff()
@@ -67,14 +67,14 @@
 
 
 class CombineTest(testtools.TestCase):
-    def test_nothing_stands_against_it(self) -> None:
+    def test_no_reason_allows(self) -> None:
         self.assertIs(ALLOWED, combine([]))
         self.assertIs(ALLOWED, combine([(DenialReason.BACKOFF, 0.0)]))
 
-    def test_the_longest_counts(self) -> None:
+    def test_the_longest_wait_counts(self) -> None:
         waits = [(DenialReason.BACKOFF, 500.0), (DenialReason.LIMITED, 700.0)]
         self.assertEqual(Permission(DenialReason.LIMITED, 700.0), combine(waits))
 
-    def test_what_does_not_end_by_itself(self) -> None:
+    def test_a_reason_without_an_end_counts(self) -> None:
         waits = [(DenialReason.COLD, NEVER_MS), (DenialReason.BACKOFF, 700.0)]
         self.assertEqual(Permission(DenialReason.COLD, NEVER_MS), combine(waits))
--- a/tests/test_control_failures.py
+++ b/tests/test_control_failures.py
@@ -10,16 +10,16 @@
 import testtools
 
 from tests.chat import chat_stream
-from tests.lean import KEY, ROUTE, Lean, lean
+from tests.small_system import KEY, ROUTE, SmallSystem, start_small_system
 from tests.system import Fake, wait_until
 
 # Answers that take long enough for a busy machine not to slow them fourfold.
-CALM = ("--token-ms", "10")
+STEADY = ("--token-ms", "10")
 STAGES = ("--stages", "10,50,100", "--answers-min", "15")
 OLD, NEW, LARGE = "quote-small-1", "quote-small-2", "quote-large-1"
 
 
-def progress(found: Lean, name: str) -> dict[str, Any]:
+def progress(found: SmallSystem, name: str) -> dict[str, Any]:
     for control in range(len(found.system.controls)):
         try:
             path = f"/v1/resources/rollout-progress/{name}"
@@ -32,20 +32,20 @@
     return {"stage": -1, "state": "none"}
 
 
-def withdrawn(found: Lean) -> set[str]:
+def withdrawn(found: SmallSystem) -> set[str]:
     reply = found.system.operate("GET", "/v1/resources/withdrawal")
     return {r["name"] for r in reply.json["resources"]}
 
 
 @dataclass(frozen=True)
-class Seen:
+class TimedAnswer:
     """An answer: when it was asked for, and the version that gave it."""
 
-    asked_s: float
+    sent_s: float
     version: str
 
 
-def wait_in_force(found: Lean) -> float:
+def wait_in_force(found: SmallSystem) -> float:
     """Wait until all that is accepted now is in force; the time when it was."""
     revision = found.system.status()["revision"]
     wait_until(
@@ -54,18 +54,18 @@
     return time.monotonic()
 
 
-class Asking:
+class Callers:
     """Callers that ask as fast as they get answers, until a time."""
 
-    def __init__(self, found: Lean, callers: int = 6) -> None:
-        self._found = found
+    def __init__(self, found: SmallSystem, callers: int = 6) -> None:
+        self._system = found
         self._pool = concurrent.futures.ThreadPoolExecutor(callers)
         self._callers = callers
         self._stop = False
-        self.versions: list[Seen] = []
+        self.answers: list[TimedAnswer] = []
         self.failures = 0
 
-    def __enter__(self) -> "Asking":
+    def __enter__(self) -> "Callers":
         self._calls = [self._pool.submit(self._ask, c) for c in range(self._callers)]
         return self
 
@@ -76,29 +76,29 @@
         self._pool.shutdown()
 
     def _ask(self, number: int) -> None:
-        count = len(self._found.system.routers)
+        count = len(self._system.system.routers)
         while not self._stop:
             asked_s = time.monotonic()
-            reply = self._found.ask(number % count)
+            reply = self._system.ask(number % count)
             number += 1
             if reply.status == 200:
                 version = reply.headers["ashlatch-version"]
-                self.versions.append(Seen(asked_s, version))
+                self.answers.append(TimedAnswer(asked_s, version))
             else:
                 self.failures += 1
                 time.sleep(0.02)
 
-    def asked_after(self, since_s: float, count: int) -> list[str]:
+    def versions_after(self, since_s: float, count: int) -> list[str]:
         """The versions of so many answers, at least, asked for after a time."""
 
         def later() -> list[str]:
-            return [s.version for s in list(self.versions) if s.asked_s > since_s]
+            return [s.version for s in list(self.answers) if s.sent_s > since_s]
 
         wait_until(lambda: len(later()) >= count, f"{count} answers")
         return later()
 
 
-def target(found: Lean, quality: float) -> None:
+def set_quality_target(found: SmallSystem, quality: float) -> None:
     """Let the route want so little quality that the small model answers."""
     reply = found.system.operate("GET", "/v1/resources/route/draft-quotation").json
     spec = {**reply["spec"], "quality_target": quality}
@@ -106,33 +106,33 @@
 
 
 class RolloutTest(testtools.TestCase):
-    def test_a_killed_control_is_followed_by_another(self) -> None:
-        with lean(controls=2, engine_arguments=CALM) as found:
-            target(found, 0.5)
-            with Asking(found) as asking:
+    def test_another_process_takes_over_from_a_killed_one(self) -> None:
+        with start_small_system(controls=2, engine_arguments=STEADY) as found:
+            set_quality_target(found, 0.5)
+            with Callers(found) as asking:
                 found.system.ctl("rollout", "r-1", "--from", OLD, "--to", NEW, *STAGES)
                 self.wait_stage(found, lambda p: p["stage"] >= 1)
                 killed = found.active_control()
                 epoch = found.system.status()["control_epoch"]
                 killed.process.kill()
                 self.wait_stage(found, lambda p: p["state"] == "done")
-                seen = asking.asked_after(wait_in_force(found), 60)
+                seen = asking.versions_after(wait_in_force(found), 60)
             self.assertGreater(found.system.status()["control_epoch"], epoch)
             self.assertNotIn(OLD, seen)
             self.assertIn(NEW, seen)
 
     def wait_stage(
-        self, found: Lean, reached: Callable[[dict[str, Any]], bool]
+        self, found: SmallSystem, reached: Callable[[dict[str, Any]], bool]
     ) -> None:
         wait_until(lambda: reached(progress(found, "r-1")), "the roll-out moves", 60.0)
 
-    def test_a_bad_new_version_is_taken_back(self) -> None:
-        with lean(controls=2, engine_arguments=CALM) as found:
-            target(found, 0.5)
+    def test_a_bad_new_version_is_rolled_back(self) -> None:
+        with start_small_system(controls=2, engine_arguments=STEADY) as found:
+            set_quality_target(found, 0.5)
             for engine in found.engines:
                 engine.control(error_ratio={NEW: 0.6})
-            with Asking(found) as asking:
-                wait_until(lambda: len(asking.versions) > 60, "healthy traffic")
+            with Callers(found) as asking:
+                wait_until(lambda: len(asking.answers) > 60, "healthy traffic")
                 found.system.ctl("rollout", "r-1", "--from", OLD, "--to", NEW, *STAGES)
                 self.wait_stage(found, lambda p: p["state"] == "rolled_back")
                 wait_until(lambda: NEW in withdrawn(found), "it is withdrawn")
@@ -142,27 +142,29 @@
 class TurnedBadTest(testtools.TestCase):
     def test_a_version_that_turns_bad_at_full_traffic_is_withdrawn(self) -> None:
         rated = {"rating_sample_ratio": 1.0}
-        with lean(controls=2, engine_arguments=CALM, router_extra=rated) as found:
-            target(found, 0.5)
-            with Asking(found) as asking:
-                wait_until(lambda: len(asking.versions) > 60, "healthy traffic")
+        with start_small_system(
+            controls=2, engine_arguments=STEADY, router_extra=rated
+        ) as found:
+            set_quality_target(found, 0.5)
+            with Callers(found) as asking:
+                wait_until(lambda: len(asking.answers) > 60, "healthy traffic")
                 for engine in found.engines:
                     engine.control(quality={OLD: 0.3})
                 wait_until(lambda: OLD in withdrawn(found), "it is withdrawn")
-                seen = asking.asked_after(wait_in_force(found), 20)
+                seen = asking.versions_after(wait_in_force(found), 20)
             self.assertEqual({LARGE}, set(seen))
             logs = "".join(control.process.log for control in found.system.controls)
             self.assertIn("event=version_bad", logs)
 
     def test_a_version_that_turns_slow_everywhere_is_withdrawn(self) -> None:
-        with lean(controls=2, engine_arguments=CALM) as found:
-            target(found, 0.5)
-            with Asking(found, 4) as asking:
-                wait_until(lambda: len(asking.versions) > 60, "healthy traffic")
+        with start_small_system(controls=2, engine_arguments=STEADY) as found:
+            set_quality_target(found, 0.5)
+            with Callers(found, 4) as asking:
+                wait_until(lambda: len(asking.answers) > 60, "healthy traffic")
                 for engine in found.engines:
                     engine.control(version_slowdown={OLD: 6.0})
                 wait_until(lambda: OLD in withdrawn(found), "it is withdrawn", 60.0)
-                seen = asking.asked_after(wait_in_force(found), 20)
+                seen = asking.versions_after(wait_in_force(found), 20)
             self.assertEqual({LARGE}, set(seen))
 
 
@@ -171,8 +173,8 @@
 
     def test_a_vm_that_dies_with_its_streams(self) -> None:
         slow = ("--token-ms", "20", "--output-tokens", "100")
-        with lean(engine_arguments=slow) as found:
-            target(found, 0.5)
+        with start_small_system(engine_arguments=slow) as found:
+            set_quality_target(found, 0.5)
             with concurrent.futures.ThreadPoolExecutor(16) as pool:
                 urls = [router.url for router in found.system.routers] * 8
                 calls = [pool.submit(chat_stream, url, KEY, ROUTE) for url in urls]
@@ -186,28 +188,28 @@
             self.check_healthy(found)
 
     def test_an_endpoint_that_fails_everything(self) -> None:
-        with lean(engine_arguments=CALM) as found:
-            target(found, 0.5)
+        with start_small_system(engine_arguments=STEADY) as found:
+            set_quality_target(found, 0.5)
             sick = found.engines[0]
             sick.control(error_ratio=dict.fromkeys(sick.get("load")["versions"], 1.0))
-            with Asking(found) as asking:
-                wait_until(lambda: len(asking.versions) > 150, "traffic")
+            with Callers(found) as asking:
+                wait_until(lambda: len(asking.answers) > 150, "traffic")
             self.check_healthy(found)
 
-    def test_more_load_than_there_is_room_for(self) -> None:
-        few = (*CALM, "--slots", "2")
-        with lean(engine_arguments=few) as found:
-            target(found, 0.5)
-            with Asking(found, 2) as asking:
-                wait_until(lambda: len(asking.versions) > 30, "calm traffic")
-            with Asking(found, 40) as asking:
-                wait_until(lambda: len(asking.versions) > 200, "overload", 60.0)
+    def test_more_load_than_capacity(self) -> None:
+        few = (*STEADY, "--slots", "2")
+        with start_small_system(engine_arguments=few) as found:
+            set_quality_target(found, 0.5)
+            with Callers(found, 2) as asking:
+                wait_until(lambda: len(asking.answers) > 30, "calm traffic")
+            with Callers(found, 40) as asking:
+                wait_until(lambda: len(asking.answers) > 200, "overload", 60.0)
             self.check_healthy(found)
 
     def running(self, engine: Fake) -> int:
         return int(engine.get("load")["running"])
 
-    def check_healthy(self, found: Lean) -> None:
+    def check_healthy(self, found: SmallSystem) -> None:
         """Nothing is withdrawn, nor was by a word of any router."""
         self.assertEqual(set(), withdrawn(found))
         daemons = [*found.system.controls, *found.system.routers]
@@ -217,8 +219,8 @@
 
 
 class PlacementTest(testtools.TestCase):
-    def test_what_a_pool_should_serve_is_loaded_and_no_more(self) -> None:
-        with lean() as found:
+    def test_only_the_versions_of_a_pool_are_loaded(self) -> None:
+        with start_small_system() as found:
             engine = found.engines[0]
             engine.control(versions=[])
             wait_until(
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -23,7 +23,7 @@
         super().setUp()
         self.evidence = Evidence()
 
-    def test_an_endpoint_that_dies_is_not_the_versions_doing(self) -> None:
+    def test_a_dead_endpoint_does_not_count_against_the_version(self) -> None:
         for number in range(20):
             failed = failure(100.0 + number, replied=False)
             self.assertEqual([], self.evidence.record_failure("e1", failed))
@@ -31,12 +31,12 @@
         # Back after a restart: what broke then is forgotten.
         self.assertEqual([ANSWER], self.evidence.record_answer("e1", "v", 9000.0))
 
-    def test_a_rack_that_dies_is_not_the_versions_doing(self) -> None:
+    def test_a_dead_rack_does_not_count_against_the_version(self) -> None:
         for endpoint in ("e1", "e2", "e3"):
             failed = failure(100.0, replied=False)
             self.assertEqual([], self.evidence.record_failure(endpoint, failed))
 
-    def test_an_endpoint_that_goes_on_answering_is_well(self) -> None:
+    def test_an_endpoint_that_still_answers_is_healthy(self) -> None:
         self.evidence.record_failure("e1", failure(100.0))
         self.evidence.record_failure("e1", failure(110.0, replied=False))
         found = self.evidence.record_answer("e1", "w", 200.0)
@@ -44,7 +44,7 @@
         self.assertEqual([other, ERROR, ERROR], found)
         self.assertEqual([ANSWER], self.evidence.record_answer("e1", "v", 300.0))
 
-    def test_a_version_that_fails_everywhere_is_noticed(self) -> None:
+    def test_a_version_that_fails_on_two_endpoints_is_detected(self) -> None:
         self.evidence.record_answer("e1", "v", 50.0)
         self.assertEqual([], self.evidence.record_failure("e1", failure(100.0)))
         self.assertEqual([], self.evidence.record_failure("e1", failure(110.0)))
@@ -52,7 +52,7 @@
         self.assertEqual([ERROR] * 3, found)
         self.assertEqual([], self.evidence.record_failure("e2", failure(130.0)))
 
-    def test_a_sick_endpoint_among_well_ones_is_not_the_versions_doing(self) -> None:
+    def test_one_failing_endpoint_does_not_count_against_the_version(self) -> None:
         detector = Detector(0.8)
         for number in range(200):
             at_ms = 100.0 * number
@@ -63,7 +63,7 @@
                 detector.add_tally(finding.tally)
         self.assertFalse(detector.bad)
 
-    def test_what_is_not_configured_is_forgotten(self) -> None:
+    def test_unconfigured_endpoints_and_versions_are_dropped(self) -> None:
         self.evidence.record_failure("e1", failure(100.0))
         self.evidence.record_answer("e2", "v", 100.0)
         self.evidence.retain({"e2"}, set())
@@ -76,23 +76,23 @@
         self.evidence = Evidence()
         self.evidence.record_timing("e1", Timing("v", 100.0, 300.0, 20.0))
 
-    def timed(self, *reports: LoadReport) -> int:
+    def count_timed(self, *reports: LoadReport) -> int:
         return sum(
             f.tally.timed for r in reports for f in self.evidence.apply_report(r)
         )
 
-    def test_it_counts_when_nothing_queued_meanwhile(self) -> None:
-        self.assertEqual(0, self.timed(report(200.0, 4)))
-        self.assertEqual(1, self.timed(report(300.0, 4)))
-        self.assertEqual(0, self.timed(report(400.0)))
+    def test_a_timing_counts_without_a_queue(self) -> None:
+        self.assertEqual(0, self.count_timed(report(200.0, 4)))
+        self.assertEqual(1, self.count_timed(report(300.0, 4)))
+        self.assertEqual(0, self.count_timed(report(400.0)))
 
-    def test_it_does_not_count_when_others_waited(self) -> None:
-        self.assertEqual(0, self.timed(report(200.0, 4, 1), report(400.0)))
+    def test_a_timing_does_not_count_with_a_queue(self) -> None:
+        self.assertEqual(0, self.count_timed(report(200.0, 4, 1), report(400.0)))
 
-    def test_a_queue_before_it_was_sent_does_not_matter(self) -> None:
-        self.assertEqual(1, self.timed(report(50.0, 4, 9), report(300.0)))
+    def test_an_earlier_queue_does_not_matter(self) -> None:
+        self.assertEqual(1, self.count_timed(report(50.0, 4, 9), report(300.0)))
 
-    def test_what_is_fast_is_all_the_same(self) -> None:
+    def test_short_timings_count_alike(self) -> None:
         self.evidence.record_timing("e1", Timing("v", 100.0, 300.0, 0.1))
         self.evidence.record_timing("e1", Timing("v", 100.0, 300.0, 4.0))
         _, fast, faster = self.evidence.apply_report(report(300.0))
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -14,7 +14,13 @@
 from ashlatch.store.command import Close, RequestKey
 from ashlatch.store.slots import group_of
 from tests.chat import chat
-from tests.lean import ORGANISATION, ROUTE, Lean, Load, lean
+from tests.small_system import (
+    ORGANISATION,
+    ROUTE,
+    OrderLoad,
+    SmallSystem,
+    start_small_system,
+)
 from tests.system import BIN, HOST, free_port, wait_until
 from tests.test_state_failures import members, repaired, state_of
 
@@ -35,10 +41,10 @@
         self.assertNotEqual(0, group_of_organisation(ORGANISATION))
 
     def test_kills_of_members_under_load(self) -> None:
-        with lean(controls=2, state_extra=THREE) as found:
+        with start_small_system(controls=2, state_extra=THREE) as found:
             wait_until(lambda: repaired(found.system), "all groups are whole")
-            before = found.bills()
-            with Load(found, 4) as load:
+            before = found.bill_count()
+            with OrderLoad(found, 4) as load:
                 for _ in range(2):
                     load.wait_for(20)
                     victim = found.system.leader()
@@ -57,12 +63,12 @@
                 "every router has a lease from the present leader",
             )
             for key, body in load.answers.items():
-                self.assertEqual(1, found.ran(key), key)
-                self.assertEqual(body, found.order_again(key).body)
-            self.assertEqual(len(load.answers), found.bills() - before)
+                self.assertEqual(1, found.run_count(key), key)
+                self.assertEqual(body, found.repeat_order(key).body)
+            self.assertEqual(len(load.answers), found.bill_count() - before)
             self.check_others(found)
 
-    def check_others(self, found: Lean) -> None:
+    def check_others(self, found: SmallSystem) -> None:
         """Every group bills, and the status adds them up."""
         router = found.system.routers[0]
         for name, key in OTHERS.items():
@@ -76,7 +82,7 @@
         self.assertEqual(status["bills"], sum(bills.values()))
 
     def test_an_emptied_disk_and_then_another_vm(self) -> None:
-        with lean(controls=2, state_extra=THREE) as found:
+        with start_small_system(controls=2, state_extra=THREE) as found:
             system = found.system
             wait_until(lambda: repaired(system), "all groups are whole")
             self.assertEqual(200, found.order("kept").status)
@@ -88,11 +94,11 @@
             wait_until(lambda: repaired(system, without=old), "the repair is done")
             state_of(system, "state-0").process.kill()
             wait_until(lambda: found.order("kept").status == 200, "it is served again")
-            self.assertEqual(1, found.ran("kept"))
+            self.assertEqual(1, found.run_count("kept"))
             wait_until(found.every_router_answers, "every router answers")
 
     def test_a_dead_routers_requests_are_set_free_in_every_group(self) -> None:
-        with lean(state_extra=THREE) as found:
+        with start_small_system(state_extra=THREE) as found:
             wait_until(lambda: repaired(found.system), "all groups are whole")
             for engine in found.engines:
                 engine.control(token_ms=500.0)
@@ -103,7 +109,7 @@
                     pool.submit(lambda: found.ask(Idempotency_Key="question")),
                     pool.submit(found.order, "order"),
                 ]
-                wait_until(lambda: found.ran("order") == 1, "the order runs")
+                wait_until(lambda: found.run_count("order") == 1, "the order runs")
                 wait_until(found.running, "the question runs")
                 found.system.routers[0].process.kill()
                 for call in calls:
@@ -116,10 +122,10 @@
             self.assertEqual(200, answer.status, str(answer))
             order = found.order("order", 1)
             self.assertTrue(order.json["type"].endswith("outcome_unknown"), order)
-            self.assertEqual(1, found.ran("order"))
+            self.assertEqual(1, found.run_count("order"))
 
     def test_a_member_with_another_number_of_groups_does_not_run(self) -> None:
-        with lean(routers=1, state_extra=THREE) as found:
+        with start_small_system(routers=1, state_extra=THREE) as found:
             system = found.system
             known = state_of(system, "state-1")
             known.process.kill()
@@ -134,7 +140,7 @@
             del empty["advertise"]
             self.assertIn("found=3", self.failure(found, empty))
 
-    def failure(self, found: Lean, settings: dict[str, object]) -> str:
+    def failure(self, found: SmallSystem, settings: dict[str, object]) -> str:
         path = found.system.folder / "other.json"
         path.write_text(json.dumps(settings))
         done = subprocess.run(
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -10,34 +10,34 @@
         super().setUp()
         self.hedging = Hedging(samples_min=20)
 
-    def took(self, count: int, sign_ms: float, stream: bool = True) -> None:
+    def record(self, count: int, sign_ms: float, stream: bool = True) -> None:
         for _ in range(count):
             self.hedging.record_response("v", stream, sign_ms)
 
-    def test_too_little_is_known(self) -> None:
-        self.took(19, 50.0)
+    def test_no_hedge_with_too_few_answers(self) -> None:
+        self.record(19, 50.0)
         self.assertIsNone(self.hedging.delay_ms("v", True))
-        self.took(1, 50.0)
+        self.record(1, 50.0)
         self.assertEqual(50.0 * MARGIN, self.hedging.delay_ms("v", True))
 
-    def test_streams_and_whole_answers_are_apart(self) -> None:
-        self.took(20, 50.0)
+    def test_streams_and_whole_answers_are_separate(self) -> None:
+        self.record(20, 50.0)
         self.assertIsNone(self.hedging.delay_ms("v", False))
         self.assertIsNone(self.hedging.delay_ms("w", True))
 
-    def test_a_few_that_hang_do_not_move_it(self) -> None:
-        self.took(970, 50.0)
-        self.took(30, 5000.0)
+    def test_a_few_hanging_answers_do_not_change_the_delay(self) -> None:
+        self.record(970, 50.0)
+        self.record(30, 5000.0)
         self.assertEqual(50.0 * MARGIN, self.hedging.delay_ms("v", True))
 
-    def test_what_is_old_is_forgotten(self) -> None:
-        self.took(WINDOW_SAMPLES, 50.0)
-        self.took(WINDOW_SAMPLES - 1, 80.0)
+    def test_old_answers_are_dropped(self) -> None:
+        self.record(WINDOW_SAMPLES, 50.0)
+        self.record(WINDOW_SAMPLES - 1, 80.0)
         self.assertEqual(50.0 * MARGIN, self.hedging.delay_ms("v", True))
-        self.took(1, 80.0)
+        self.record(1, 80.0)
         self.assertEqual(80.0 * MARGIN, self.hedging.delay_ms("v", True))
 
-    def test_times_beyond_its_range_are_taken_all_the_same(self) -> None:
-        self.took(20, 1e9)
-        self.took(20, 0.0)
+    def test_times_beyond_the_range_are_clamped(self) -> None:
+        self.record(20, 1e9)
+        self.record(20, 0.0)
         self.assertIsNotNone(self.hedging.delay_ms("v", True))
--- a/tests/test_load_advertisement.py
+++ b/tests/test_load_advertisement.py
@@ -17,25 +17,25 @@
         self.assertEqual(FULL, load_level(1, 0))
 
 
-class ToldLoadTest(testtools.TestCase):
-    def test_idle_endpoints_are_no_news(self) -> None:
+class LoadAdvertisementTest(testtools.TestCase):
+    def test_idle_endpoints_are_not_broadcast(self) -> None:
         told = LoadAdvertisement()
         for n in range(100):
             self.assertFalse(told.is_new(n % 2, n * 500.0))
 
-    def test_each_level_once_in_a_while(self) -> None:
+    def test_an_unchanged_level_is_repeated_after_a_time(self) -> None:
         told = LoadAdvertisement()
         news = [told.is_new(FULL, n * 100.0) for n in range(25)]
         self.assertEqual([0, 10, 20], [n for n, said in enumerate(news) if said])
 
-    def test_the_end_of_a_busy_time_is_told(self) -> None:
+    def test_the_end_of_a_busy_time_is_broadcast(self) -> None:
         told = LoadAdvertisement()
         self.assertTrue(told.is_new(3, 0.0))
         self.assertTrue(told.is_new(2, 10.0))
         self.assertTrue(told.is_new(1, 20.0))
         self.assertFalse(told.is_new(0, 30.0))
 
-    def test_what_was_heard_is_not_told_again(self) -> None:
+    def test_a_received_level_is_not_broadcast(self) -> None:
         told = LoadAdvertisement()
         told.record(FULL, 0.0)
         self.assertFalse(told.is_new(FULL, 10.0))
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -65,7 +65,7 @@
                     if mixed >= target:
                         self.assertLessEqual(mix.price, price + 1e-6)
 
-    def test_a_shortfall_raises_the_share_of_the_better(self) -> None:
+    def test_a_shortfall_raises_the_share_of_the_better_version(self) -> None:
         options = (Option("small", 1.0, 0.6), Option("large", 9.0, 0.8))
         policy = VERSION_POLICIES.get("cheapest_good")()
 
@@ -107,13 +107,13 @@
         self.assertEqual({lost}, before - after)
         self.assertEqual(24, len(after))
 
-    def test_prefixes_meet_the_same_endpoint(self) -> None:
+    def test_equal_prefixes_rank_endpoints_alike(self) -> None:
         names = tuple(f"e{i}" for i in range(10))
         self.assertEqual(rank(names, "p")[0], rank(tuple(reversed(names)), "p")[0])
 
 
 class SplitTest(testtools.TestCase):
-    def test_the_share_of_sessions_is_the_share_asked_for(self) -> None:
+    def test_the_share_of_sessions_is_as_configured(self) -> None:
         places = [bucket_percent("r", "org", f"s{n}") for n in range(4000)]
         for share in (1.0, 10.0, 50.0):
             part = sum(place < share for place in places) / len(places) * 100.0
@@ -168,7 +168,7 @@
 
 
 class BreakerTest(testtools.TestCase):
-    def test_open_then_one_trial_then_closed(self) -> None:
+    def test_open_then_one_probe_then_closed(self) -> None:
         breaker = Breaker(2, 100.0)
         breaker.record_failure(0.0)
         self.assertTrue(breaker.allows(0.0))
@@ -192,7 +192,7 @@
 
 
 class DetectorTest(testtools.TestCase):
-    def test_each_signal_alone_is_noticed(self) -> None:
+    def test_each_signal_alone_is_detected(self) -> None:
         errors = Detector(0.8)
         errors.add_tally(VersionTally(20, 8, 20, 60.0))
         self.assertEqual({"errors"}, errors.reasons)
@@ -207,14 +207,14 @@
             latency.add_tally(VersionTally(1, 0, 1, 4.5))
         self.assertEqual({"latency"}, latency.reasons)
 
-    def test_evidence_goes_on_right_below_the_threshold(self) -> None:
+    def test_some_requests_continue_right_below_the_threshold(self) -> None:
         detector = Detector(0.8, error_sum=13.999)
         self.assertFalse(detector.bad)
         self.assertAlmostEqual(0.9, detector.diverted_ratio)
         detector.add_tally(VersionTally(errors=1))
         self.assertEqual(1.0, detector.diverted_ratio)
 
-    def test_a_new_version_is_held_to_the_old_ones_latency(self) -> None:
+    def test_a_new_version_is_compared_with_the_old_ones_latency(self) -> None:
         detector = Detector(0.8, latency_mean=3.0)
         for _ in range(12):
             detector.add_tally(VersionTally(1, 0, 1, 4.5))
--- a/tests/test_prefill_rate.py
+++ b/tests/test_prefill_rate.py
@@ -19,33 +19,33 @@
 SMALL_MS = 0.003
 
 
-def asked(rates: tuple[PrefillRate, ...] = ()) -> SyncRequest:
+def sync_request(rates: tuple[PrefillRate, ...] = ()) -> SyncRequest:
     return SyncRequest("vm", (), 0, (0, 0), 0, 0.0, rates=rates)
 
 
-class SharedPaceTest(testtools.TestCase):
-    def test_a_gateway_that_has_seen_nothing(self) -> None:
+class SharedRatesTest(testtools.TestCase):
+    def test_a_gateway_without_own_rates(self) -> None:
         spread, newcomer = Spread(CORE), Pace()
         for n in range(10):
             pace = Pace()
             pace.began("app", "small", 6000, 6000 * SMALL_MS, float(n))
-            spread.asked(asked(pace.take_rates()))
+            spread.asked(sync_request(pace.take_rates()))
             self.assertEqual((), pace.take_rates())
         self.assertEqual(TOKEN_MS_PRIOR, newcomer.token_ms("app", "small"))
-        newcomer.learn(spread.reply(asked(), True, (), FleetState()).rates)
+        newcomer.learn(spread.reply(sync_request(), True, (), FleetState()).rates)
         self.assertAlmostEqual(SMALL_MS, newcomer.token_ms("app", "small"))
         self.assertEqual(TOKEN_MS_PRIOR, newcomer.token_ms("app", "large"))
 
-    def test_engines_that_turn_slow_are_noticed(self) -> None:
+    def test_slower_engines_change_the_estimate(self) -> None:
         spread, pace = Spread(CORE), Pace()
         for token_ms in (SMALL_MS, 5 * SMALL_MS):
             for _ in range(RATES_MAX):
                 pace.began("app", "small", 6000, 6000 * token_ms, 0.0)
-                spread.asked(asked(pace.take_rates()))
-                pace.learn(spread.reply(asked(), True, (), FleetState()).rates)
+                spread.asked(sync_request(pace.take_rates()))
+                pace.learn(spread.reply(sync_request(), True, (), FleetState()).rates)
             self.assertAlmostEqual(token_ms, pace.token_ms("app", "small"))
 
-    def test_a_lost_report_is_told_again(self) -> None:
+    def test_rates_of_a_lost_report_are_sent_again(self) -> None:
         pace = Pace()
         for _ in range(3):
             pace.began("app", "small", 6000, 18.0, 0.0)
@@ -59,7 +59,7 @@
         self.assertEqual(UNTOLD_MAX, len(pace.take_rates()))
 
 
-class ReadingRatesTest(testtools.TestCase):
+class PrefillRatesTest(testtools.TestCase):
     def test_a_low_quantile_of_the_latest(self) -> None:
         rates = PrefillRates()
         self.assertIsNone(rates.token_ms("app", "small"))
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -26,105 +26,111 @@
 )
 
 AT = 1_800_000_000_000
-CONTENT = 7
+FINGERPRINT = 7
 
 
-def crashed(quarantine: Quarantine, times: int, content: int = CONTENT) -> int:
+def record_crashes(
+    quarantine: Quarantine, times: int, fingerprint: int = FINGERPRINT
+) -> int:
     """Crashes of so many endpoints, two seconds apart; when the last one was."""
     at_ms = AT
     for number in range(times):
         at_ms = AT + 2000 * number
-        quarantine.record_crash(content, f"i-{number}", 0, at_ms)
+        quarantine.record_crash(fingerprint, f"i-{number}", 0, at_ms)
     return at_ms
 
 
-class HoldTest(testtools.TestCase):
-    def test_held_from_the_third_crash_on(self) -> None:
+class QuarantineTest(testtools.TestCase):
+    def test_quarantined_from_the_third_crash_on(self) -> None:
         quarantine = Quarantine()
         for crashes in range(1, CRASHES_TO_QUARANTINE + 1):
-            at_ms = crashed(quarantine, crashes)
-            held = quarantine.remaining_ms(CONTENT, at_ms) > 0
+            at_ms = record_crashes(quarantine, crashes)
+            held = quarantine.remaining_ms(FINGERPRINT, at_ms) > 0
             self.assertEqual(crashes >= CRASHES_TO_QUARANTINE, held)
 
-    def test_the_hold_ends_and_doubles(self) -> None:
+    def test_the_quarantine_ends_and_doubles(self) -> None:
         quarantine = Quarantine()
-        at_ms = crashed(quarantine, CRASHES_TO_QUARANTINE)
-        self.assertEqual(QUARANTINE_MS, quarantine.remaining_ms(CONTENT, at_ms))
+        at_ms = record_crashes(quarantine, CRASHES_TO_QUARANTINE)
+        self.assertEqual(QUARANTINE_MS, quarantine.remaining_ms(FINGERPRINT, at_ms))
         again_ms = at_ms + QUARANTINE_MS
-        self.assertEqual(0.0, quarantine.remaining_ms(CONTENT, again_ms))
-        quarantine.record_crash(CONTENT, "i-9", 0, again_ms)
-        self.assertEqual(2 * QUARANTINE_MS, quarantine.remaining_ms(CONTENT, again_ms))
-        self.assertTrue(crashed(quarantine, 15) < again_ms)
-        self.assertTrue(quarantine.remaining_ms(CONTENT, again_ms) <= QUARANTINE_MAX_MS)
+        self.assertEqual(0.0, quarantine.remaining_ms(FINGERPRINT, again_ms))
+        quarantine.record_crash(FINGERPRINT, "i-9", 0, again_ms)
+        self.assertEqual(
+            2 * QUARANTINE_MS, quarantine.remaining_ms(FINGERPRINT, again_ms)
+        )
+        self.assertTrue(record_crashes(quarantine, 15) < again_ms)
+        self.assertTrue(
+            quarantine.remaining_ms(FINGERPRINT, again_ms) <= QUARANTINE_MAX_MS
+        )
 
-    def test_a_good_run_ends_it(self) -> None:
+    def test_a_completed_run_ends_it(self) -> None:
         quarantine = Quarantine()
-        at_ms = crashed(quarantine, CRASHES_TO_QUARANTINE)
-        self.assertTrue(quarantine.record_completed(CONTENT))
-        self.assertEqual(0, quarantine.crash_count(CONTENT))
-        self.assertEqual(0.0, quarantine.remaining_ms(CONTENT, at_ms))
-        self.assertFalse(quarantine.record_completed(CONTENT))
-        self.assertFalse(quarantine.record_completed(CONTENT + 1))
-
-    def test_crashes_after_a_good_run_count_anew(self) -> None:
+        at_ms = record_crashes(quarantine, CRASHES_TO_QUARANTINE)
+        self.assertTrue(quarantine.record_completed(FINGERPRINT))
+        self.assertEqual(0, quarantine.crash_count(FINGERPRINT))
+        self.assertEqual(0.0, quarantine.remaining_ms(FINGERPRINT, at_ms))
+        self.assertFalse(quarantine.record_completed(FINGERPRINT))
+        self.assertFalse(quarantine.record_completed(FINGERPRINT + 1))
+
+    def test_crashes_after_a_completed_run_count_anew(self) -> None:
         quarantine = Quarantine()
-        crashed(quarantine, CRASHES_TO_QUARANTINE)
-        quarantine.record_completed(CONTENT)
+        record_crashes(quarantine, CRASHES_TO_QUARANTINE)
+        quarantine.record_completed(FINGERPRINT)
         later_ms = AT + 60_000
-        quarantine.record_crash(CONTENT, "i-0", 0, later_ms)
-        self.assertEqual(1, quarantine.crash_count(CONTENT))
+        quarantine.record_crash(FINGERPRINT, "i-0", 0, later_ms)
+        self.assertEqual(1, quarantine.crash_count(FINGERPRINT))
 
-    def test_others_are_not_held(self) -> None:
+    def test_other_fingerprints_are_not_quarantined(self) -> None:
         quarantine = Quarantine()
-        at_ms = crashed(quarantine, CRASHES_TO_QUARANTINE)
-        self.assertEqual(0.0, quarantine.remaining_ms(CONTENT + 1, at_ms))
+        at_ms = record_crashes(quarantine, CRASHES_TO_QUARANTINE)
+        self.assertEqual(0.0, quarantine.remaining_ms(FINGERPRINT + 1, at_ms))
 
 
 class SameCrashTest(testtools.TestCase):
     def test_one_crash_is_counted_once(self) -> None:
         """Two requests with one content may run at an endpoint that ends."""
         quarantine = Quarantine()
-        quarantine.record_crash(CONTENT, "i-0", 0, AT)
-        quarantine.record_crash(CONTENT, "i-0", 0, AT + SAME_CRASH_MS - 1)
-        self.assertEqual(1, quarantine.crash_count(CONTENT))
+        quarantine.record_crash(FINGERPRINT, "i-0", 0, AT)
+        quarantine.record_crash(FINGERPRINT, "i-0", 0, AT + SAME_CRASH_MS - 1)
+        self.assertEqual(1, quarantine.crash_count(FINGERPRINT))
 
     def test_an_endpoint_that_restarts_under_its_id(self) -> None:
         """Without it, a fleet of two endpoints would never reach three crashes."""
         quarantine = Quarantine()
         for number in range(CRASHES_TO_QUARANTINE):
-            quarantine.record_crash(CONTENT, "i-0", 0, AT + 3000 * number)
-        self.assertEqual(CRASHES_TO_QUARANTINE, quarantine.crash_count(CONTENT))
+            quarantine.record_crash(FINGERPRINT, "i-0", 0, AT + 3000 * number)
+        self.assertEqual(CRASHES_TO_QUARANTINE, quarantine.crash_count(FINGERPRINT))
 
-    def test_a_known_start_tells_lives_apart(self) -> None:
+    def test_a_known_start_separates_incarnations(self) -> None:
         quarantine = Quarantine()
-        quarantine.record_crash(CONTENT, "i-0", AT - 10, AT)
-        quarantine.record_crash(CONTENT, "i-0", AT - 10, AT + 5000)
-        self.assertEqual(1, quarantine.crash_count(CONTENT))
-        quarantine.record_crash(CONTENT, "i-0", AT + 100, AT + 500)
-        self.assertEqual(2, quarantine.crash_count(CONTENT))
+        quarantine.record_crash(FINGERPRINT, "i-0", AT - 10, AT)
+        quarantine.record_crash(FINGERPRINT, "i-0", AT - 10, AT + 5000)
+        self.assertEqual(1, quarantine.crash_count(FINGERPRINT))
+        quarantine.record_crash(FINGERPRINT, "i-0", AT + 100, AT + 500)
+        self.assertEqual(2, quarantine.crash_count(FINGERPRINT))
 
 
 class MergeTest(testtools.TestCase):
     def test_gateways_that_saw_one_crash_each(self) -> None:
         gateways = [Quarantine() for _ in range(CRASHES_TO_QUARANTINE)]
         for number, gateway in enumerate(gateways):
-            gateway.record_crash(CONTENT, f"i-{number}", 0, AT + 2000 * number)
+            gateway.record_crash(FINGERPRINT, f"i-{number}", 0, AT + 2000 * number)
         told = Quarantine()
         for gateway in gateways:
             for record in gateway.unconfirmed():
                 told.apply(record)
-        self.assertTrue(told.remaining_ms(CONTENT, AT) > 0)
+        self.assertTrue(told.remaining_ms(FINGERPRINT, AT) > 0)
 
-    def test_a_good_run_stays_known(self) -> None:
+    def test_a_completed_run_stays_recorded(self) -> None:
         """Whoever tells of the crash later."""
         first, second = Quarantine(), Quarantine()
-        first.record_crash(CONTENT, "i-0", 0, AT)
+        first.record_crash(FINGERPRINT, "i-0", 0, AT)
         second.apply(*first.unconfirmed())
-        second.record_completed(CONTENT)
+        second.record_completed(FINGERPRINT)
         old = first.unconfirmed()[0]
         self.assertFalse(second.apply(old))
         self.assertTrue(first.apply(*second.unconfirmed()))
-        self.assertEqual(0, first.crash_count(CONTENT))
+        self.assertEqual(0, first.crash_count(FINGERPRINT))
 
     crash = st.builds(
         Crash,
@@ -134,13 +140,15 @@
         st.booleans(),
     )
     record = st.builds(
-        CrashRecord, st.just(CONTENT), st.lists(crash, max_size=6).map(tuple)
+        CrashRecord, st.just(FINGERPRINT), st.lists(crash, max_size=6).map(tuple)
     )
 
     @settings(max_examples=300, deadline=None)
     @given(st.lists(record, min_size=1, max_size=4))
-    def test_any_order_of_telling_ends_alike(self, records: list[CrashRecord]) -> None:
-        empty = CrashRecord(CONTENT, ())
+    def test_any_order_of_merging_gives_the_same_record(
+        self, records: list[CrashRecord]
+    ) -> None:
+        empty = CrashRecord(FINGERPRINT, ())
         ends = set()
         for order in itertools.permutations(records):
             known = empty
@@ -153,22 +161,22 @@
 
 
 class BoundsTest(testtools.TestCase):
-    def test_records_are_bounded_and_held_ones_stay(self) -> None:
+    def test_records_are_bounded_and_quarantined_ones_stay(self) -> None:
         quarantine = Quarantine()
-        at_ms = crashed(quarantine, CRASHES_TO_QUARANTINE)
+        at_ms = record_crashes(quarantine, CRASHES_TO_QUARANTINE)
         for content in range(1000, 1000 + 2 * RECORDS_MAX):
             quarantine.record_crash(content, "i-0", 0, AT + 60_000 + content)
-        self.assertTrue(quarantine.remaining_ms(CONTENT, at_ms) > 0)
+        self.assertTrue(quarantine.remaining_ms(FINGERPRINT, at_ms) > 0)
         records: dict[int, CrashRecord] = {}
         for content in range(2 * RECORDS_MAX):
             crash = Crash(1, 0, AT + content)
             apply_record(records, CrashRecord(content, (crash,)))
         self.assertEqual(RECORDS_MAX, len(records))
 
-    def test_crashes_of_a_content_are_bounded(self) -> None:
+    def test_crashes_of_a_fingerprint_are_bounded(self) -> None:
         quarantine = Quarantine()
-        crashed(quarantine, 3 * CRASHES_PER_RECORD_MAX)
-        self.assertEqual(CRASHES_PER_RECORD_MAX, quarantine.crash_count(CONTENT))
+        record_crashes(quarantine, 3 * CRASHES_PER_RECORD_MAX)
+        self.assertEqual(CRASHES_PER_RECORD_MAX, quarantine.crash_count(FINGERPRINT))
 
 
 class CrashLogTest(testtools.TestCase):
@@ -181,7 +189,7 @@
         )
         return CrashRecord(content, crashes)
 
-    def test_who_knows_a_number_is_told_the_rest(self) -> None:
+    def test_since_returns_later_changes_only(self) -> None:
         log = CrashLog()
         self.assertTrue(log.apply([self.record(1, False), self.record(2, False)]))
         known = log.number
@@ -190,21 +198,21 @@
         self.assertEqual(2, len(log.since(0)))
         self.assertEqual((), log.since(log.number))
 
-    def test_what_is_known_is_no_change(self) -> None:
+    def test_a_known_record_is_no_change(self) -> None:
         log = CrashLog()
         log.apply([self.record(1, True, False)])
         self.assertFalse(log.apply([self.record(1, False, False)]))
         self.assertTrue(log.covers(self.record(1, False, False)))
         self.assertFalse(log.covers(self.record(1, True, True)))
 
-    def test_it_stays_bounded(self) -> None:
+    def test_the_log_is_bounded(self) -> None:
         log = CrashLog()
         log.apply([self.record(content, False) for content in range(2 * RECORDS_MAX)])
         self.assertEqual(RECORDS_MAX, len(log.records))
         self.assertEqual(set(log.records), set(log.numbers))
         self.assertEqual(log, decode(encode(log), CrashLog))
 
-    def test_what_waits_is_told_until_the_log_has_it(self) -> None:
+    def test_unlogged_records_are_reported_until_logged(self) -> None:
         log, waiting = CrashLog(), UnloggedCrashes()
         self.assertTrue(waiting.apply([self.record(1, False)]))
         self.assertFalse(waiting.apply([self.record(1, False)]))
@@ -217,10 +225,10 @@
         self.assertEqual((), waiting.missing_from(log))
 
 
-class TellTest(testtools.TestCase):
-    def test_told_until_confirmed(self) -> None:
+class ReportTest(testtools.TestCase):
+    def test_reported_until_confirmed(self) -> None:
         quarantine = Quarantine()
-        quarantine.record_crash(CONTENT, "i-0", 0, AT)
+        quarantine.record_crash(FINGERPRINT, "i-0", 0, AT)
         told = quarantine.unconfirmed()
         quarantine.record_reported(told)
         self.assertEqual(told, quarantine.unconfirmed())
@@ -229,15 +237,15 @@
 
     def test_an_older_record_confirms_nothing(self) -> None:
         quarantine = Quarantine()
-        quarantine.record_crash(CONTENT, "i-0", 0, AT)
+        quarantine.record_crash(FINGERPRINT, "i-0", 0, AT)
         old = quarantine.unconfirmed()[0]
-        quarantine.record_crash(CONTENT, "i-1", 0, AT + 2000)
+        quarantine.record_crash(FINGERPRINT, "i-1", 0, AT + 2000)
         quarantine.confirm(old)
         self.assertEqual(1, len(quarantine.unconfirmed()))
 
-    def test_it_ends_without_a_confirmation(self) -> None:
+    def test_reports_end_without_a_confirmation(self) -> None:
         quarantine = Quarantine()
-        quarantine.record_crash(CONTENT, "i-0", 0, AT)
+        quarantine.record_crash(FINGERPRINT, "i-0", 0, AT)
         for _ in range(REPORTS_MAX):
             quarantine.record_reported(quarantine.unconfirmed())
         self.assertEqual((), quarantine.unconfirmed())
--- a/tests/test_router_backoff.py
+++ b/tests/test_router_backoff.py
@@ -12,8 +12,8 @@
 from ashlatch.router import notices
 from ashlatch.router.effect import Effect, ScheduleHedge, StartAttempt
 from ashlatch.router.event import Broken, EndpointHeard, Full, HedgeDue
-from tests.lean import lean
 from tests.shedding import GRACE_S, WITHIN_BACKOFF_MAX
+from tests.small_system import start_small_system
 from tests.test_router import NOW_MS, ORDER, RouterTest
 
 _HANDLERS_OF = (notices,)
@@ -26,7 +26,7 @@
 
     def play(self, length_s: float, **control: object) -> list[float]:
         """When the preferred engine got requests of 20 a second, since its control."""
-        with lean(routers=1) as found:
+        with start_small_system(routers=1) as found:
             for _ in range(60):
                 # One engine becomes known as the faster one, and stays so.
                 found.ask(0)
--- a/tests/test_router_crashes.py
+++ b/tests/test_router_crashes.py
@@ -27,7 +27,7 @@
 from ashlatch.store.command import NoteCrashes
 from ashlatch.store.machine import Machine
 from tests.deployment import KENYA, wait_for_endpoints
-from tests.lean import Lean, lean
+from tests.small_system import SmallSystem, start_small_system
 from tests.system import HOST, Fake, wait_until
 from tests.test_router import ANSWER, NOW_MS, ORDER, RouterTest, request
 
@@ -201,7 +201,7 @@
     TRIES = 6
 
     def test_no_more_engines_end(self) -> None:
-        with lean() as found:
+        with start_small_system() as found:
             self.start_engines(found)
             for engine in found.engines:
                 engine.control(crash_on=TEXT)
@@ -215,7 +215,7 @@
                 self.assertTrue(last.json["type"].endswith("quarantined"), last)
                 self.assertTrue(last.json["not_run"])
 
-    def start_engines(self, found: Lean) -> None:
+    def start_engines(self, found: SmallSystem) -> None:
         """More of them, until every router may choose among all."""
         arguments = ("--versions", KENYA.versions, "--quality", KENYA.quality)
         for place in range(len(found.engines), self.ENGINES):
--- a/tests/test_router_failures.py
+++ b/tests/test_router_failures.py
@@ -12,7 +12,14 @@
 import testtools
 
 from tests.chat import Stream, chat_body, chat_stream, headers, service
-from tests.lean import KEY, ORDERS, ROUTE, Lean, Load, lean
+from tests.small_system import (
+    KEY,
+    ORDERS,
+    ROUTE,
+    OrderLoad,
+    SmallSystem,
+    start_small_system,
+)
 from tests.system import HOST, request, wait_until
 
 
@@ -38,7 +45,10 @@
 
 class RouterKilledTest(testtools.TestCase):
     def test_an_order_is_not_run_again_and_a_question_is_answered(self) -> None:
-        with lean() as found, concurrent.futures.ThreadPoolExecutor(2) as pool:
+        with (
+            start_small_system() as found,
+            concurrent.futures.ThreadPoolExecutor(2) as pool,
+        ):
             for worker in found.workers:
                 worker.control(delay_ms=4000)
             for engine in found.engines:
@@ -47,7 +57,7 @@
                 pool.submit(found.order, "killed-order"),
                 pool.submit(lambda: found.ask(Idempotency_Key="killed-question")),
             ]
-            wait_until(lambda: found.ran("killed-order") == 1, "the order runs")
+            wait_until(lambda: found.run_count("killed-order") == 1, "the order runs")
             wait_until(found.running, "the question runs")
             found.system.routers[0].process.kill()
             for call in calls:
@@ -63,14 +73,17 @@
             order = found.order("killed-order", 1)
             self.assertTrue(order.json["type"].endswith("outcome_unknown"), order)
             self.assertIsNone(order.json["not_run"])
-            self.assertEqual(1, found.ran("killed-order"))
+            self.assertEqual(1, found.run_count("killed-order"))
 
 
 class KilledBeforeSendTest(testtools.TestCase):
     def test_a_claim_whose_router_died_before_it_sent_anything(self) -> None:
         """The endpoints take no connection, so nothing is ever sent."""
         patient = {"connect_timeout_ms": 20_000}
-        with lean(router_extra=patient) as found, stuck_listener() as stuck:
+        with (
+            start_small_system(router_extra=patient) as found,
+            stuck_listener() as stuck,
+        ):
             system = found.system
             real = [dict(vm) for vm in system.vms]
             self.list_urls(found, [{**vm, "url": stuck} for vm in real])
@@ -88,12 +101,12 @@
             order = wait_until(lambda: self.final(found), "a final word")
             self.assertTrue(order["type"].endswith("outcome_unknown"), order)
             self.assertIsNone(order["not_run"])
-            self.assertEqual(0, found.ran("claimed-order"))
+            self.assertEqual(0, found.run_count("claimed-order"))
             # Until the platform has read the engines again they count as
             # silent, and the caller is told when to come back.
             wait_until(lambda: self.answered(found), "the question is answered")
 
-    def answered(self, found: Lean) -> bool:
+    def answered(self, found: SmallSystem) -> bool:
         reply = found.ask(1, Idempotency_Key="claimed-question")
         if reply.status == 200:
             return True
@@ -103,7 +116,7 @@
         self.assertIn("retry-after", reply.headers)
         return False
 
-    def list_urls(self, found: Lean, vms: list[dict[str, Any]]) -> None:
+    def list_urls(self, found: SmallSystem, vms: list[dict[str, Any]]) -> None:
         found.system.vms = vms
         found.system.publish_vms()
         wanted = {vm["url"] for vm in vms}
@@ -122,7 +135,7 @@
         ended = log.rfind("event=request_ended")
         return sum(log.find(line) > ended for line in lines[-2:]) == 2
 
-    def final(self, found: Lean) -> dict[str, Any] | None:
+    def final(self, found: SmallSystem) -> dict[str, Any] | None:
         reply = found.order("claimed-order", 1, Ashlatch_Deadline_Ms="5000")
         self.assertIsNot(True, reply.json["not_run"])
         self.assertNotEqual(200, reply.status)
@@ -133,7 +146,7 @@
 class FrozenRouterTest(testtools.TestCase):
     def test_a_withdrawal_under_load_with_a_frozen_router(self) -> None:
         version = "quote-small-1"
-        with lean() as found, Load(found, 2):
+        with start_small_system() as found, OrderLoad(found, 2):
             with concurrent.futures.ThreadPoolExecutor(4) as pool:
                 stop_s = time.monotonic() + 9.0
                 askers = [pool.submit(self.keep_asking, found, stop_s) for _ in "1234"]
@@ -155,7 +168,7 @@
             ]
             self.assertEqual([], late)
 
-    def keep_asking(self, found: Lean, stop_s: float) -> int:
+    def keep_asking(self, found: SmallSystem, stop_s: float) -> int:
         answered = 0
         while time.monotonic() < stop_s:
             try:
@@ -171,7 +184,7 @@
 
 class NoStateTest(testtools.TestCase):
     def test_without_a_state_a_router_refuses_truly_and_comes_back(self) -> None:
-        with lean() as found:
+        with start_small_system() as found:
             states = found.system.states
             runs = [len(engine.get("runs")) for engine in found.engines]
             for daemon in states:
@@ -187,7 +200,7 @@
             # A key may have been used before, which cannot be known now.
             keyed = found.order("unknown-order")
             self.assertIsNone(keyed.json["not_run"])
-            self.assertEqual(0, found.ran("unknown-order"))
+            self.assertEqual(0, found.run_count("unknown-order"))
             self.assertEqual(began, [len(e.get("runs")) for e in found.engines])
             self.assertGreaterEqual(sum(began), sum(runs))
             for daemon in states:
@@ -197,7 +210,7 @@
 
 class EngineTest(testtools.TestCase):
     def test_swapped_answers_are_not_passed_on(self) -> None:
-        with lean() as found:
+        with start_small_system() as found:
             found.engines[0].control(swap_ids=True)
             answered = [found.ask() for _ in range(10)]
             for reply in answered:
@@ -210,7 +223,7 @@
 
     def test_a_leaving_endpoint_gets_no_new_work(self) -> None:
         """The platform's list never says so: the engine's own word counts."""
-        with lean() as found:
+        with start_small_system() as found:
             engine = found.engines[0]
             engine.control(leaving=True)
             time.sleep(3.0)
@@ -220,7 +233,7 @@
             self.assertEqual(before, len(engine.get("runs")))
 
     def test_a_broken_stream_goes_on_where_it_broke(self) -> None:
-        with lean() as found:
+        with start_small_system() as found:
             for engine in found.engines:
                 engine.control(break_after=12)
             url = found.system.routers[0].url
@@ -230,19 +243,19 @@
             self.assertEqual([f"w{place}" for place in range(1, 20)], words[1:])
 
     def test_a_refused_answer_climbs_the_cascade_and_is_billed_once(self) -> None:
-        with lean() as found:
+        with start_small_system() as found:
             for engine in found.engines:
                 engine.control(finish={"quote-small-1": "content_filter"})
-            before = found.bills()
+            before = found.bill_count()
             replies = [found.ask(place % 2) for place in range(12)]
             versions = {reply.headers["ashlatch-version"] for reply in replies}
             self.assertEqual({"quote-large-1"}, versions)
-            self.assertEqual(12, found.bills() - before)
+            self.assertEqual(12, found.bill_count() - before)
             runs = [run for engine in found.engines for run in engine.get("runs")]
             self.assertIn("quote-small-1", {run["version"] for run in runs})
 
     def test_a_failing_service_is_not_called_again(self) -> None:
-        with lean() as found:
+        with start_small_system() as found:
             for worker in found.workers:
                 worker.control(fail=True)
             reply = found.order("failing")
@@ -251,12 +264,12 @@
                 worker.control(fail=False)
             again = found.order("failing", 1)
             self.assertTrue(again.json["type"].endswith("outcome_unknown"))
-            self.assertEqual(1, found.ran("failing"))
+            self.assertEqual(1, found.run_count("failing"))
 
 
 class StopTest(testtools.TestCase):
     def test_a_stop_cuts_no_stream(self) -> None:
-        with lean(engine_arguments=SLOW) as found:
+        with start_small_system(engine_arguments=SLOW) as found:
             router = found.system.routers[0]
             with concurrent.futures.ThreadPoolExecutor(8) as pool:
                 calls = [
@@ -279,11 +292,11 @@
             self.assertEqual(0, router.process.popen.wait(10.0))
             self.assertIn("in_flight=0", router.process.log.splitlines()[-1])
 
-    def pace(self, found: Lean, token_ms: float) -> None:
+    def pace(self, found: SmallSystem, token_ms: float) -> None:
         for engine in found.engines:
             engine.control(token_ms=token_ms)
 
-    def refused(self, found: Lean) -> dict[str, object] | None:
+    def refused(self, found: SmallSystem) -> dict[str, object] | None:
         # An order is quick: a question that is still let in would be in flight
         # until the router has stopped.
         url = found.system.routers[0].url
@@ -296,7 +309,7 @@
 
 class BadInputTest(testtools.TestCase):
     def test_bad_requests_get_a_problem_that_names_the_field(self) -> None:
-        with lean(routers=1) as found:
+        with start_small_system(routers=1) as found:
             url = found.system.routers[0].url
             path = f"{url}/v1/chat/completions"
             cases: tuple[tuple[Any, dict[str, str], int, str], ...] = (
@@ -316,7 +329,7 @@
             self.assertEqual(401, unknown.status)
             self.check_bytes(found)
 
-    def check_bytes(self, found: Lean) -> None:
+    def check_bytes(self, found: SmallSystem) -> None:
         """Bytes that are no HTTP, and no gRPC, harm nobody."""
         system = found.system
         daemons = [system.routers[0], *system.states, *system.controls]
@@ -343,7 +356,7 @@
 
     def test_more_connections_than_allowed_are_refused_at_once(self) -> None:
         limits = {"http": {"max_connections": 4}}
-        with lean(routers=1, router_extra=limits) as found:
+        with start_small_system(routers=1, router_extra=limits) as found:
             host, _, port = found.system.routers[0].settings["listen"].rpartition(":")
             idle = [socket.create_connection((host, int(port))) for _ in range(4)]
             wait_until(lambda: found.ask().status == 503, "the bound is reached")
@@ -355,7 +368,7 @@
 
 class EndpointTest(testtools.TestCase):
     def test_an_endpoint_that_is_gone_is_passed_by(self) -> None:
-        with lean() as found:
+        with start_small_system() as found:
             found.engines[0].process.kill()
             found.workers[0].process.kill()
             for number in range(20):
@@ -363,7 +376,7 @@
                 self.assertEqual(200, found.order(f"gone-{number}", number % 2).status)
 
     def test_no_endpoint_is_said_truly(self) -> None:
-        with lean(routers=1) as found:
+        with start_small_system(routers=1) as found:
             for worker in found.workers:
                 worker.process.kill()
             reply = found.order("nobody")
--- a/tests/test_router_limits.py
+++ b/tests/test_router_limits.py
@@ -29,8 +29,8 @@
     LeaseRenewed,
     RequestArrived,
 )
-from tests.lean import Lean, lean
 from tests.limited import allowed, most_within
+from tests.small_system import SmallSystem, start_small_system
 from tests.test_router import ANSWER, NOW_MS, ORDER, RouterTest, request, table
 
 _HANDLERS_OF = (notices,)
@@ -45,7 +45,7 @@
     """Real processes: three routers, two engines, one of which names a limit."""
 
     def test_all_routers_together(self) -> None:
-        with lean(routers=3) as found:
+        with start_small_system(routers=3) as found:
             limited = found.engines[0]
             limited.control(requests_per_s=LIMIT_PER_S)
             begun_s = time.time()
@@ -63,7 +63,7 @@
             self.assertEqual(set(), set(statuses) - {200, 429})
             self.assertTrue(statuses.count(200) > 0.9 * len(statuses))
 
-    def ask(self, found: Lean, router: int) -> int:
+    def ask(self, found: SmallSystem, router: int) -> int:
         return found.ask(router).status
 
 
--- a/tests/test_shared_slowness.py
+++ b/tests/test_shared_slowness.py
@@ -41,11 +41,11 @@
 
 OLD, NEW, LARGE = "small-1", "small-2", "large-1"
 # Milliseconds for each output token in calm times.
-PACES_MS = {OLD: 20.0, NEW: 20.0, LARGE: 60.0}
+TOKEN_MS = {OLD: 20.0, NEW: 20.0, LARGE: 60.0}
 PRICES = {OLD: 200, NEW: 200, LARGE: 2400}
 EXCHANGE_MS = 400.0
 # Importing the modules registers their handlers.
-HANDLERS_OF = (membership, placement, rollout, knowledge)
+HANDLER_MODULES = (membership, placement, rollout, knowledge)
 
 
 def specs() -> dict[str, Spec]:
@@ -66,24 +66,24 @@
 
     totals: dict[str, VersionTally] = field(default_factory=dict)
 
-    def answers(self, counts: dict[str, int], slowdowns: dict[str, float]) -> None:
+    def add_answers(self, counts: dict[str, int], slowdowns: dict[str, float]) -> None:
         """So many answers of each version, at its pace times a slowdown."""
         for version, count in counts.items():
-            token_ms = PACES_MS[version] * slowdowns.get(version, 1.0)
+            token_ms = TOKEN_MS[version] * slowdowns.get(version, 1.0)
             tally = VersionTally(count, 0, count, count * math.log(token_ms))
             known = self.totals.get(version, VersionTally())
             self.totals[version] = known.plus(tally)
 
 
-class Control:
+class ControlProcess:
     """A control process over resources that it may change."""
 
-    def __init__(self, traffic: Traffic, kept: dict[str, Resource] | None = None):
+    def __init__(self, traffic: Traffic, resources: dict[str, Resource] | None = None):
         self.traffic = traffic
         self.core = ControlCore("me")
         self.now_ms = 0.0
         self.revision = 1
-        self.resources = dict(kept or {})
+        self.resources = dict(resources or {})
         self.events: list[LogEvent] = []
         for name, spec in specs().items():
             self.resources.setdefault(name, self.resource(name, spec))
@@ -92,7 +92,7 @@
     def resource(self, name: str, spec: Spec) -> Resource:
         return Resource(spec.name, name, self.revision, canonical(spec))
 
-    def order_rollout(self, answers_min: int = 30) -> None:
+    def start_rollout(self, answers_min: int = 30) -> None:
         shares = (10.0, 50.0, 100.0)
         stages = tuple(
             RolloutStage(share_percent=s, answers_min=answers_min) for s in shares
@@ -108,7 +108,7 @@
     ) -> None:
         """Read the state so often, each time after so many more answers."""
         for _ in range(reads):
-            self.traffic.answers(counts, slowdowns or {})
+            self.traffic.add_answers(counts, slowdowns or {})
             self.now_ms += EXCHANGE_MS
             self.revision += 1
             reports = tuple(
@@ -121,9 +121,9 @@
                 if isinstance(effect, WriteLog):
                     self.events.append(effect.event)
                 if isinstance(effect, ChangeResource):
-                    self.take(effect)
+                    self.apply(effect)
 
-    def take(self, change: ChangeResource) -> None:
+    def apply(self, change: ChangeResource) -> None:
         key = f"{change.kind}/{change.name}"
         self.resources[key] = Resource(
             change.kind, change.name, self.revision, change.spec
@@ -138,12 +138,12 @@
     def log(self) -> str:
         return " ".join(event.event for event in self.events)
 
-    def compared(self) -> list[LatencyCompared]:
+    def comparisons(self) -> list[LatencyCompared]:
         return [e for e in self.events if isinstance(e, LatencyCompared)]
 
 
 def all_slow(times: float) -> dict[str, float]:
-    return dict.fromkeys(PACES_MS, times)
+    return dict.fromkeys(TOKEN_MS, times)
 
 
 class SharedSlownessTest(testtools.TestCase):
@@ -154,12 +154,12 @@
     def setUp(self) -> None:
         super().setUp()
         self.traffic = Traffic()
-        self.control = Control(self.traffic)
+        self.control = ControlProcess(self.traffic)
 
-    def roll_out(self) -> None:
+    def complete_rollout(self) -> None:
         """A whole roll-out in a calm time, one request in a hundred explores."""
         self.control.read(20, {OLD: 20, LARGE: 1})
-        self.control.order_rollout()
+        self.control.start_rollout()
         self.control.read(10, {OLD: 18, NEW: 2, LARGE: 1})
         self.control.read(10, {OLD: 10, NEW: 10, LARGE: 1})
         self.control.read(10, {NEW: 20, LARGE: 1})
@@ -173,7 +173,7 @@
 
     def test_during_a_rollout(self) -> None:
         self.control.read(20, {OLD: 20, LARGE: 1})
-        self.control.order_rollout(answers_min=1000)
+        self.control.start_rollout(answers_min=1000)
         self.control.read(10, {OLD: 18, NEW: 2, LARGE: 1})
         self.control.read(60, {OLD: 18, NEW: 2, LARGE: 1}, self.SLOW)
         self.assertEqual(set(), self.control.withdrawn)
@@ -181,23 +181,23 @@
     def test_from_the_first_answers_of_a_rollout(self) -> None:
         """What others did before the new version's first answer is no comparison."""
         self.control.read(60, {OLD: 20, LARGE: 1})
-        self.control.order_rollout(answers_min=1000)
+        self.control.start_rollout(answers_min=1000)
         self.control.read(1, {OLD: 20, LARGE: 1}, self.SLOW)
         self.control.read(60, {OLD: 18, NEW: 2, LARGE: 1}, self.SLOW)
         self.assertEqual(set(), self.control.withdrawn)
 
     def test_after_a_rollout(self) -> None:
-        self.roll_out()
+        self.complete_rollout()
         self.control.read(60, {NEW: 20, LARGE: 1}, self.SLOW)
         self.assertEqual(set(), self.control.withdrawn)
-        told = self.control.compared()
+        told = self.control.comparisons()
         self.assertEqual("shared", told[-1].verdict)
         self.assertTrue(told[-1].others_slowdown > 3.0, told[-1])
         self.assertTrue(len(told) <= 2, "each verdict is logged once")
 
-    def test_after_a_rollout_and_a_change_of_control(self) -> None:
-        self.roll_out()
-        self.control = Control(self.traffic, self.control.resources)
+    def test_after_a_rollout_and_a_new_control_process(self) -> None:
+        self.complete_rollout()
+        self.control = ControlProcess(self.traffic, self.control.resources)
         self.control.read(8, {NEW: 4})
         self.control.read(60, {NEW: 20, LARGE: 1}, self.SLOW)
         self.assertEqual(set(), self.control.withdrawn)
@@ -213,7 +213,7 @@
         core = RouterCore(RouterConfig("r/1", "r", "logan"))
         for slowdowns in (all_slow(1.0), self.SLOW):
             for _ in range(60):
-                self.traffic.answers({NEW: 20, LARGE: 1}, slowdowns)
+                self.traffic.add_answers({NEW: 20, LARGE: 1}, slowdowns)
                 totals = self.traffic.totals.items()
                 event = VersionTallied(tuple(VersionTotals(v, t) for v, t in totals))
                 core.step(core.now_ms + EXCHANGE_MS, event)
@@ -226,20 +226,20 @@
     def setUp(self) -> None:
         super().setUp()
         self.traffic = Traffic()
-        self.control = Control(self.traffic)
+        self.control = ControlProcess(self.traffic)
 
     def test_at_full_traffic(self) -> None:
         self.control.read(30, {NEW: 20, LARGE: 1})
         self.control.read(20, {NEW: 20, LARGE: 3}, {NEW: 6.0})
         self.assertEqual({NEW}, self.control.withdrawn)
-        told = self.control.compared()[-1]
+        told = self.control.comparisons()[-1]
         self.assertEqual((NEW, "own"), (told.version, told.verdict))
         self.assertTrue(5.0 < told.slowdown < 7.0, told)
         self.assertTrue(told.others_slowdown < 1.5, told)
 
     def test_in_a_rollout(self) -> None:
         self.control.read(20, {OLD: 20, LARGE: 1})
-        self.control.order_rollout(answers_min=1000)
+        self.control.start_rollout(answers_min=1000)
         self.control.read(20, {OLD: 18, NEW: 2, LARGE: 1}, {NEW: 6.0})
         self.assertEqual({NEW}, self.control.withdrawn)
         progress = self.control.resources["rollout-progress/r-1"].spec
@@ -250,9 +250,9 @@
         self.control.read(20, {NEW: 20, OLD: 20}, {**all_slow(2.0), NEW: 12.0})
         self.assertEqual({NEW}, self.control.withdrawn)
 
-    def test_a_costlier_version_that_was_never_asked_before(self) -> None:
+    def test_a_costlier_version_without_earlier_answers(self) -> None:
         """Requests are spared to it; it is no faster in calm times."""
         self.control.read(10, {NEW: 20})
-        slow = {NEW: 6.0, LARGE: PACES_MS[NEW] / PACES_MS[LARGE]}
+        slow = {NEW: 6.0, LARGE: TOKEN_MS[NEW] / TOKEN_MS[LARGE]}
         self.control.read(20, {NEW: 10, LARGE: 3}, slow)
         self.assertEqual({NEW}, self.control.withdrawn)
--- a/tests/test_state_failures.py
+++ b/tests/test_state_failures.py
@@ -12,7 +12,7 @@
 
 import testtools
 
-from tests.lean import Lean, Load, Relay, lean
+from tests.small_system import OrderLoad, Relay, SmallSystem, start_small_system
 from tests.system import (
     BIN,
     HOST,
@@ -49,9 +49,9 @@
     def test_members_killed_under_load(self) -> None:
         """No answer is lost or doubled, and each is billed once."""
         generator = random.Random(4)
-        with lean() as found:
-            billed_before = found.bills()
-            with Load(found, 4) as load:
+        with start_small_system() as found:
+            billed_before = found.bill_count()
+            with OrderLoad(found, 4) as load:
                 for victim in ("leader", "any", "leader"):
                     load.wait_for(generator.randint(10, 40))
                     daemon = (
@@ -64,25 +64,25 @@
                     daemon.process.start()
                     wait_until(lambda: repaired(found.system), "the member is back")
             self.check_orders(found, load)
-            self.assertEqual(len(load.answers), found.bills() - billed_before)
+            self.assertEqual(len(load.answers), found.bill_count() - billed_before)
 
-    def check_orders(self, found: Lean, load: Load) -> None:
+    def check_orders(self, found: SmallSystem, load: OrderLoad) -> None:
         self.assertGreater(len(load.answers), 90)
         self.assertEqual(set(), load.unknown)
         ran = [worker.get("ran") for worker in found.workers]
         for key, body in load.answers.items():
             self.assertEqual(1, sum(counts.get(key, 0) for counts in ran), key)
-            again = found.order_again(key)
+            again = found.repeat_order(key)
             self.assertEqual((200, body), (again.status, again.body), key)
             self.assertEqual("true", again.headers["ashlatch-replayed"])
 
 
 class LostDiskTest(testtools.TestCase):
     def test_an_emptied_disk_and_then_another_vm(self) -> None:
-        with lean(controls=2) as found:
+        with start_small_system(controls=2) as found:
             system = found.system
             before = members(system)
-            revision = found.put_surely("kept", 0, "c-1", "one")
+            revision = found.put_model_until_answered("kept", 0, "c-1", "one")
             victim = state_of(system, "state-1")
             victim.process.kill()
             shutil.rmtree(victim.settings["data_folder"])
@@ -96,7 +96,7 @@
             self.assertNotIn(before["state-1"], after.values())
             # The second loss comes right after the report.
             state_of(system, "state-0").process.kill()
-            found.put_surely("kept", revision, "c-2", "two")
+            found.put_model_until_answered("kept", revision, "c-2", "two")
             reply = system.operate("GET", "/v1/resources/model/kept")
             self.assertEqual("two", reply.json["spec"]["description"])
             wait_until(found.every_router_answers, "every router answers")
@@ -104,19 +104,21 @@
 
 class FreezeTest(testtools.TestCase):
     def test_a_frozen_leader_and_control_change_nothing_when_they_return(self) -> None:
-        with lean(controls=2) as found:
+        with start_small_system(controls=2) as found:
             system = found.system
             leader = system.leader()
             control = found.active_control()
             epoch = system.status()["control_epoch"]
             other = next(c for c in system.controls if c is not control)
             place = system.controls.index(other)
-            revision = found.put("frozen", 0, "c-0", place, "old").json["revision"]
+            revision = found.put_model("frozen", 0, "c-0", place, "old").json[
+                "revision"
+            ]
             for daemon in (leader, control):
                 daemon.process.signal(signal.SIGSTOP)
 
             def changed() -> bool:
-                reply = found.put("frozen", revision, "c-1", place, "new")
+                reply = found.put_model("frozen", revision, "c-1", place, "new")
                 return reply.status == 200
 
             wait_until(changed, "a change without the old leader")
@@ -130,7 +132,7 @@
             wait_until(lambda: repaired(system), "the old leader follows")
             reply = system.operate("GET", "/v1/resources/model/frozen", control=place)
             self.assertEqual("new", reply.json["spec"]["description"])
-            stale = found.put("frozen", revision, "c-2", place, "stale")
+            stale = found.put_model("frozen", revision, "c-2", place, "stale")
             self.assertEqual(412, stale.status)
             self.assertEqual("new", stale.json["current"]["spec"]["description"])
             self.check_orders(found)
@@ -142,7 +144,7 @@
         ).json
         return found
 
-    def check_orders(self, found: Lean) -> None:
+    def check_orders(self, found: SmallSystem) -> None:
         """An engine refuses an order of an older epoch."""
         epoch = found.system.status()["control_epoch"]
         engine = found.engines[0]
@@ -178,16 +180,16 @@
             relays[made.address] = made
             return made.address
 
-        with lean(controls=1, relay=relay) as found:
+        with start_small_system(controls=1, relay=relay) as found:
             system = found.system
-            revision = found.put_surely("cut", 0, "c-1", "old")
+            revision = found.put_model_until_answered("cut", 0, "c-1", "old")
             leader = system.leader()
             cut = relays[leader.settings["advertise"]]
             cut.cut()
-            found.put_surely("cut", revision, "c-2", "new")
+            found.put_model_until_answered("cut", revision, "c-2", "new")
             self.assertIsNot(leader, system.leader())
             wait_until(found.every_router_answers, "every router answers")
-            cut.heal()
+            cut.restore()
             wait_until(lambda: repaired(system), "the old leader follows")
             reply = system.operate("GET", "/v1/resources/model/cut")
             self.assertEqual("new", reply.json["spec"]["description"])
@@ -196,12 +198,16 @@
 class RaceTest(testtools.TestCase):
     def test_operators_race_and_resend(self) -> None:
         """One winner; the same change id gets the same answer for good."""
-        with lean(controls=2, state_extra={"snapshot_every_records": 50}) as found:
-            revision = found.put_surely("raced", 0, "c-0", "start")
+        with start_small_system(
+            controls=2, state_extra={"snapshot_every_records": 50}
+        ) as found:
+            revision = found.put_model_until_answered("raced", 0, "c-0", "start")
             replies: dict[str, HttpReply] = {}
 
             def race(name: str, place: int) -> None:
-                replies[name] = found.put("raced", revision, name, place % 2, name)
+                replies[name] = found.put_model(
+                    "raced", revision, name, place % 2, name
+                )
 
             threads = [
                 threading.Thread(target=race, args=(f"racer-{place}", place))
@@ -221,15 +227,19 @@
             self.check_resent(found, revision, winners[0], replies)
             # Enough changes for a snapshot, which must keep the change ids.
             for number in range(60):
-                found.put_surely(f"filler-{number}", 0, f"f-{number}", "")
+                found.put_model_until_answered(f"filler-{number}", 0, f"f-{number}", "")
             self.check_resent(found, revision, winners[0], replies)
-            other_body = found.put("raced", revision, winners[0], 0, "other")
+            other_body = found.put_model("raced", revision, winners[0], 0, "other")
             self.assertEqual(422, other_body.status)
 
     def check_resent(
-        self, found: Lean, revision: int, winner: str, replies: dict[str, HttpReply]
+        self,
+        found: SmallSystem,
+        revision: int,
+        winner: str,
+        replies: dict[str, HttpReply],
     ) -> None:
-        again = found.put_surely("raced", revision, winner, winner)
+        again = found.put_model_until_answered("raced", revision, winner, winner)
         self.assertEqual(replies[winner].json["revision"], again)
 
 
@@ -239,11 +249,11 @@
             system.start_states(3)
             system.start_controls(1)
             wait_until(lambda: system.voters() == 3, "three voters")
-            found = Lean(system)
+            found = SmallSystem(system)
 
             def change(first: int) -> None:
                 for number in range(first, first + 250):
-                    found.put_surely(f"m-{number}", 0, f"c-{number}", "x")
+                    found.put_model_until_answered(f"m-{number}", 0, f"c-{number}", "x")
 
             threads = [
                 threading.Thread(target=change, args=(first,))
@@ -278,7 +288,7 @@
             system.start_states(3)
             system.start_controls(1)
             wait_until(lambda: system.voters() == 3, "three voters")
-            found = Lean(system)
+            found = SmallSystem(system)
             victim = next(d for d in system.states if d is not system.leader())
             victim.process.terminate()
             folder = Path(victim.settings["data_folder"]) / "group-0"
@@ -292,7 +302,9 @@
             )
             number = 0
             while limited.popen.poll() is None:
-                found.put_surely(f"m-{number}", 0, f"c-{number}", "x" * 200)
+                found.put_model_until_answered(
+                    f"m-{number}", 0, f"c-{number}", "x" * 200
+                )
                 number += 1
                 self.assertLess(number, 200)
             self.assertEqual(1, limited.popen.returncode)
@@ -306,9 +318,9 @@
             system.start_states(1)
             system.start_controls(1)
             wait_until(lambda: system.voters() == 1, "a voter")
-            found = Lean(system)
+            found = SmallSystem(system)
             for number in range(5):
-                found.put_surely(f"m-{number}", 0, f"c-{number}", "x")
+                found.put_model_until_answered(f"m-{number}", 0, f"c-{number}", "x")
             (daemon,) = system.states
             daemon.process.kill()
             folder = Path(daemon.settings["data_folder"]) / "group-0"
