--- a/tests/small_system.py
+++ b/tests/small_system.py
@@ -1,4 +1,4 @@
-"""A small whole system for the tests of failures: Kenya's configuration on two
+"""A small but complete system for the tests of failures: Kenya's configuration on two
 engines and two workers."""
 
 import contextlib
@@ -21,50 +21,50 @@
 
 @dataclass
 class SmallSystem:
-    """The system with its engines and workers at hand."""
+    """A running system, with its engines and workers."""
 
     system: System
     engines: list[Fake] = field(default_factory=list)
     workers: list[Fake] = field(default_factory=list)
 
     def order(self, key: str, router: int = 0, **named: str) -> HttpReply:
-        """An order, which may not be repeated."""
+        """Sends an order, which is not repeatable."""
         url = self.system.routers[router].url
         document = {"key": key}
         named = {"Idempotency_Key": key, **named}
         return service(url, KEY, ORDERS, "orders", document, **named)
 
     def repeat_order(self, key: str) -> HttpReply:
-        """An order that was answered before, asked as a caller within its limits is.
+        """Repeats an answered order; retries while the organisation is over its rate.
 
-        An organisation that asks for hundreds of answers in a row passes its rate,
-        and is told when to come back.
+        An organisation that repeats hundreds of orders in a row exceeds its rate limit,
+        and the refusal says when to retry.
         """
         while (reply := self.order(key)).status == 429:
             time.sleep(reply.json["retry_after_ms"] / 1000.0)
         return reply
 
     def ask(self, router: int = 0, **named: str) -> HttpReply:
-        """A question, which may be repeated."""
+        """Sends a chat request, which is repeatable."""
         return chat(self.system.routers[router].url, KEY, ROUTE, "how much", **named)
 
     def run_count(self, key: str) -> int:
-        """How often an order was run, over all workers."""
+        """Returns how often an order was run, over all workers."""
         return sum(worker.get("ran").get(key, 0) for worker in self.workers)
 
     def running(self) -> int:
-        """How many requests the engines are working on."""
+        """Returns the number of requests that the engines run."""
         return sum(engine.get("load")["running"] for engine in self.engines)
 
     def bill_count(self) -> int:
-        """How many bills the organisation has."""
+        """Returns the number of bills of the organisation."""
         accounts = self.system.status()["accounts"]
         return int(accounts.get(ORGANISATION, {"bills": 0})["bills"])
 
     def put_model(
         self, name: str, revision: int, change: str, control: int = 0, text: str = ""
     ) -> HttpReply:
-        """Put a model as an operator, without asking again."""
+        """Puts a model as an operator, without a retry."""
         condition = (
             {"If-Match": f'"{revision}"'} if revision else {"If-None-Match": "*"}
         )
@@ -79,7 +79,7 @@
     def put_model_until_answered(
         self, name: str, revision: int, change: str, text: str
     ) -> int:
-        """Put a model, and send the change again until it is answered."""
+        """Puts a model, and sends the change again until it is answered."""
 
         def attempt() -> int:
             control = attempt_number[0] % len(self.system.controls)
@@ -88,11 +88,11 @@
             return int(reply.json["revision"]) if reply.status == 200 else 0
 
         attempt_number = [0]
-        found: int = wait_until(attempt, f"change {change}")
-        return found
+        accepted: int = wait_until(attempt, f"change {change}")
+        return accepted
 
     def active_control(self) -> Daemon:
-        """The control process that holds the lease."""
+        """Waits for the control process that holds the lease."""
 
         def find() -> Daemon | None:
             holder = self.system.status()["control_holder"].partition("/")[0]
@@ -101,12 +101,12 @@
                     return daemon
             return None
 
-        found: Daemon = wait_until(find, "an active control process")
-        return found
+        active: Daemon = wait_until(find, "an active control process")
+        return active
 
     def every_router_answers(self) -> bool:
-        places = range(len(self.system.routers))
-        return all(self.ask(place).status == 200 for place in places)
+        routers = range(len(self.system.routers))
+        return all(self.ask(router).status == 200 for router in routers)
 
 
 @contextlib.contextmanager
@@ -116,19 +116,19 @@
     engine_arguments: tuple[str, ...] = (),
     **extra: Any,
 ) -> Iterator[SmallSystem]:
-    """A system that serves; three state members, all voters."""
+    """Starts a system and waits until it serves; three state members, all voters."""
     with running(**extra) as system:
         system.start_platform()
-        found = SmallSystem(system)
-        for place in range(2):
-            hall = KENYA.halls[place]
+        small = SmallSystem(system)
+        for number in range(2):
+            hall = KENYA.halls[number]
             arguments = ("--versions", KENYA.versions, "--quality", KENYA.quality)
             engine = system.start_engine(
-                f"lm-{place}", KENYA.pool, hall, *arguments, *engine_arguments
+                f"lm-{number}", KENYA.pool, hall, *arguments, *engine_arguments
             )
-            found.engines.append(engine)
-            worker = system.start_worker(f"orders-{place}", KENYA.service, hall)
-            found.workers.append(worker)
+            small.engines.append(engine)
+            worker = system.start_worker(f"orders-{number}", KENYA.service, hall)
+            small.workers.append(worker)
         system.start_states(3)
         system.start_controls(controls)
         wait_until(lambda: system.voters() == 3, "three voters")
@@ -136,19 +136,19 @@
         system.apply(resources(system, KENYA))
         system.publish_vms()
         wait_for_endpoints(system, len(system.vms))
-        wait_until(found.every_router_answers, "every router answers")
-        yield found
+        wait_until(small.every_router_answers, "every router answers")
+        yield small
 
 
 class OrderLoad:
     """Callers that send orders, and send each again until it is answered.
 
-    `answers` holds the first 200 for each key, `unknown` the keys whose
-    outcome was told as unknown, `wrong` whatever breaks a rule.
+    `answers` holds the first 200 response for each key, `unknown` the keys whose
+    outcome was reported as unknown.
     """
 
-    def __init__(self, found: SmallSystem, threads: int, prefix: str = "order") -> None:
-        self._system = found
+    def __init__(self, small: SmallSystem, threads: int, prefix: str = "order") -> None:
+        self._system = small
         self._prefix = prefix
         self._stop = threading.Event()
         self._lock = threading.Lock()
@@ -156,8 +156,8 @@
         self.unknown: set[str] = set()
         self.attempts = 0
         self.threads = [
-            threading.Thread(target=self._run, args=(place,))
-            for place in range(threads)
+            threading.Thread(target=self._run, args=(caller,))
+            for caller in range(threads)
         ]
 
     def __enter__(self) -> "OrderLoad":
@@ -171,14 +171,14 @@
             thread.join()
 
     def wait_for(self, count: int) -> None:
-        """Wait until so many more orders are answered."""
+        """Waits until `count` more orders are answered."""
         wanted = len(self.answers) + count
         wait_until(lambda: len(self.answers) >= wanted, f"{count} more answers")
 
-    def _run(self, place: int) -> None:
+    def _run(self, caller: int) -> None:
         number = 0
         while not self._stop.is_set():
-            self._order(f"{self._prefix}-{place}-{number}", number)
+            self._order(f"{self._prefix}-{caller}-{number}", number)
             number += 1
 
     def _order(self, key: str, router: int) -> None:
@@ -203,7 +203,7 @@
 
 
 class Relay:
-    """A TCP relay that can be cut: what comes in goes nowhere."""
+    """A TCP relay that can be cut off: new connections are closed at once."""
 
     def __init__(self, host: str, target: str) -> None:
         self._target = target
@@ -214,7 +214,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def cut(self) -> None:
-        """Break all connections and take none through."""
+        """Breaks all connections and refuses new ones."""
         self._cut = True
         for pair in self._pairs:
             for end in pair:
@@ -226,18 +226,18 @@
 
     def _accept(self) -> None:
         while True:
-            near, _ = self._listener.accept()
+            client, _ = self._listener.accept()
             if self._cut:
-                near.close()
+                client.close()
                 continue
             host, _, port = self._target.rpartition(":")
             try:
-                far = socket.create_connection((host, int(port)))
+                upstream = socket.create_connection((host, int(port)))
             except OSError:
-                near.close()
+                client.close()
                 continue
-            self._pairs.append((near, far))
-            for one, other in ((near, far), (far, near)):
+            self._pairs.append((client, upstream))
+            for one, other in ((client, upstream), (upstream, client)):
                 threading.Thread(
                     target=self._pump, args=(one, other), daemon=True
                 ).start()
--- a/tests/test_backoff_policy.py
+++ b/tests/test_backoff_policy.py
@@ -54,16 +54,16 @@
 
     @given(st.lists(st.tuples(st.floats(0, 1e4), st.floats(0, 1e4)), min_size=1))
     def test_no_requested_backoff_is_shortened(
-        self, asked: list[tuple[float, float]]
+        self, requests: list[tuple[float, float]]
     ) -> None:
         backoff = Backoff()
-        for now_ms, backoff_ms in sorted(asked):
+        for now_ms, backoff_ms in sorted(requests):
             backoff.record_request(backoff_ms, now_ms)
             backoff.record_accepted(now_ms)
-        for now_ms, backoff_ms in asked:
-            last_ms = sorted(asked)[-1][0]
-            left_ms = now_ms + backoff_ms - last_ms
-            self.assertTrue(backoff.wait_ms(last_ms) >= left_ms - 1e-6)
+        for now_ms, backoff_ms in requests:
+            last_ms = sorted(requests)[-1][0]
+            remaining_ms = now_ms + backoff_ms - last_ms
+            self.assertTrue(backoff.wait_ms(last_ms) >= remaining_ms - 1e-6)
 
 
 class CombineTest(testtools.TestCase):
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -1,4 +1,4 @@
-"""Tests of ashlatch.policy.evidence: whose doing a failure or a slow answer is."""
+"""Tests of ashlatch.policy.evidence: the cause of a failure or a slow answer."""
 
 import testtools
 
@@ -28,7 +28,7 @@
             failed = failure(100.0 + number, replied=False)
             self.assertEqual([], self.evidence.record_failure("e1", failed))
         self.assertEqual([ANSWER], self.evidence.record_answer("e2", "v", 200.0))
-        # Back after a restart: what broke then is forgotten.
+        # It answers again after a restart: the earlier failures do not count.
         self.assertEqual([ANSWER], self.evidence.record_answer("e1", "v", 9000.0))
 
     def test_a_dead_rack_does_not_count_against_the_version(self) -> None:
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -1,4 +1,4 @@
-"""Tests of ashlatch.policy.hedging: when a second endpoint is asked."""
+"""Tests of ashlatch.policy.hedging: when a hedge is sent to a second endpoint."""
 
 import testtools
 
@@ -10,9 +10,9 @@
         super().setUp()
         self.hedging = Hedging(samples_min=20)
 
-    def record(self, count: int, sign_ms: float, stream: bool = True) -> None:
+    def record(self, count: int, response_ms: float, stream: bool = True) -> None:
         for _ in range(count):
-            self.hedging.record_response("v", stream, sign_ms)
+            self.hedging.record_response("v", stream, response_ms)
 
     def test_no_hedge_with_too_few_answers(self) -> None:
         self.record(19, 50.0)
--- a/tests/test_load_advertisement.py
+++ b/tests/test_load_advertisement.py
@@ -1,4 +1,4 @@
-"""Tests of which loads of endpoints gateways tell each other."""
+"""Tests of which endpoint loads gateways broadcast to each other."""
 
 import testtools
 
@@ -19,24 +19,26 @@
 
 class LoadAdvertisementTest(testtools.TestCase):
     def test_idle_endpoints_are_not_broadcast(self) -> None:
-        told = LoadAdvertisement()
+        advertised = LoadAdvertisement()
         for n in range(100):
-            self.assertFalse(told.is_new(n % 2, n * 500.0))
+            self.assertFalse(advertised.is_new(n % 2, n * 500.0))
 
     def test_an_unchanged_level_is_repeated_after_a_time(self) -> None:
-        told = LoadAdvertisement()
-        news = [told.is_new(FULL, n * 100.0) for n in range(25)]
-        self.assertEqual([0, 10, 20], [n for n, said in enumerate(news) if said])
+        advertised = LoadAdvertisement()
+        broadcast = [advertised.is_new(FULL, n * 100.0) for n in range(25)]
+        self.assertEqual(
+            [0, 10, 20], [n for n, is_new in enumerate(broadcast) if is_new]
+        )
 
     def test_the_end_of_a_busy_time_is_broadcast(self) -> None:
-        told = LoadAdvertisement()
-        self.assertTrue(told.is_new(3, 0.0))
-        self.assertTrue(told.is_new(2, 10.0))
-        self.assertTrue(told.is_new(1, 20.0))
-        self.assertFalse(told.is_new(0, 30.0))
+        advertised = LoadAdvertisement()
+        self.assertTrue(advertised.is_new(3, 0.0))
+        self.assertTrue(advertised.is_new(2, 10.0))
+        self.assertTrue(advertised.is_new(1, 20.0))
+        self.assertFalse(advertised.is_new(0, 30.0))
 
     def test_a_received_level_is_not_broadcast(self) -> None:
-        told = LoadAdvertisement()
-        told.record(FULL, 0.0)
-        self.assertFalse(told.is_new(FULL, 10.0))
-        self.assertTrue(told.is_new(FULL, REPEAT_MS))
+        advertised = LoadAdvertisement()
+        advertised.record(FULL, 0.0)
+        self.assertFalse(advertised.is_new(FULL, 10.0))
+        self.assertTrue(advertised.is_new(FULL, REPEAT_MS))
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Tests of ashlatch.policy: each decision on small cases."""
+"""Tests of ashlatch.policy: the decision rules on small cases."""
 
 import random
 
@@ -114,10 +114,12 @@
 
 class SplitTest(testtools.TestCase):
     def test_the_share_of_sessions_is_as_configured(self) -> None:
-        places = [bucket_percent("r", "org", f"s{n}") for n in range(4000)]
+        positions = [bucket_percent("r", "org", f"s{n}") for n in range(4000)]
         for share in (1.0, 10.0, 50.0):
-            part = sum(place < share for place in places) / len(places) * 100.0
-            self.assertAlmostEqual(share, part, delta=2.0)
+            percent = (
+                sum(position < share for position in positions) / len(positions) * 100.0
+            )
+            self.assertAlmostEqual(share, percent, delta=2.0)
 
 
 class LoadTest(testtools.TestCase):
--- a/tests/test_prefill_rate.py
+++ b/tests/test_prefill_rate.py
@@ -1,9 +1,10 @@
-"""Tests of how fast engines read, as all gateways of a core VM know it together.
+"""Tests of prefill rates, which a core VM collects from all its gateways.
 
-What was seen: with 195 gateways each gets a request a second. Until it had seen a
-long prompt answered by a model it took 0.05 ms a token for every model, where the
-smallest takes 0.003: 30 in 100 sends to the smallest model went to an engine of
-another hall to save reading that takes less than the way there.
+Guards against wrong estimates at gateways with few requests. With 195 gateways each
+gets a request a second. Before its first long prompt on a model, a gateway assumed
+0.05 ms a token, where the smallest model takes 0.003. 30 in 100 sends to the smallest
+model went to an engine of another hall, to save prefill that takes less time than the
+network between the halls.
 """
 
 import testtools
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Contents that crash endpoints: what is counted, merged, held and forgotten."""
+"""Tests of ashlatch.policy.quarantine: counting and merging crashes, and its bounds."""
 
 import itertools
 
@@ -32,7 +32,7 @@
 def record_crashes(
     quarantine: Quarantine, times: int, fingerprint: int = FINGERPRINT
 ) -> int:
-    """Crashes of so many endpoints, two seconds apart; when the last one was."""
+    """Records crashes two seconds apart; returns the time of the last one."""
     at_ms = AT
     for number in range(times):
         at_ms = AT + 2000 * number
@@ -45,8 +45,8 @@
         quarantine = Quarantine()
         for crashes in range(1, CRASHES_TO_QUARANTINE + 1):
             at_ms = record_crashes(quarantine, crashes)
-            held = quarantine.remaining_ms(FINGERPRINT, at_ms) > 0
-            self.assertEqual(crashes >= CRASHES_TO_QUARANTINE, held)
+            quarantined = quarantine.remaining_ms(FINGERPRINT, at_ms) > 0
+            self.assertEqual(crashes >= CRASHES_TO_QUARANTINE, quarantined)
 
     def test_the_quarantine_ends_and_doubles(self) -> None:
         quarantine = Quarantine()
@@ -88,14 +88,14 @@
 
 class SameCrashTest(testtools.TestCase):
     def test_one_crash_is_counted_once(self) -> None:
-        """Two requests with one content may run at an endpoint that ends."""
+        """Two requests with one fingerprint may run at an endpoint that ends."""
         quarantine = Quarantine()
         quarantine.record_crash(FINGERPRINT, "i-0", 0, AT)
         quarantine.record_crash(FINGERPRINT, "i-0", 0, AT + SAME_CRASH_MS - 1)
         self.assertEqual(1, quarantine.crash_count(FINGERPRINT))
 
     def test_an_endpoint_that_restarts_under_its_id(self) -> None:
-        """Without it, a fleet of two endpoints would never reach three crashes."""
+        """Else a fleet of two endpoints would never reach three crashes."""
         quarantine = Quarantine()
         for number in range(CRASHES_TO_QUARANTINE):
             quarantine.record_crash(FINGERPRINT, "i-0", 0, AT + 3000 * number)
@@ -115,14 +115,14 @@
         gateways = [Quarantine() for _ in range(CRASHES_TO_QUARANTINE)]
         for number, gateway in enumerate(gateways):
             gateway.record_crash(FINGERPRINT, f"i-{number}", 0, AT + 2000 * number)
-        told = Quarantine()
+        merged = Quarantine()
         for gateway in gateways:
             for record in gateway.unconfirmed():
-                told.apply(record)
-        self.assertTrue(told.remaining_ms(FINGERPRINT, AT) > 0)
+                merged.apply(record)
+        self.assertTrue(merged.remaining_ms(FINGERPRINT, AT) > 0)
 
     def test_a_completed_run_stays_recorded(self) -> None:
-        """Whoever tells of the crash later."""
+        """Also when a gateway reports the crash later."""
         first, second = Quarantine(), Quarantine()
         first.record_crash(FINGERPRINT, "i-0", 0, AT)
         second.apply(*first.unconfirmed())
@@ -149,28 +149,28 @@
         self, records: list[CrashRecord]
     ) -> None:
         empty = CrashRecord(FINGERPRINT, ())
-        ends = set()
+        results = set()
         for order in itertools.permutations(records):
-            known = empty
+            merged = empty
             for record in (*order, *order):
-                known = merge_records(known, record)
-            ends.add(known)
-        self.assertEqual(1, len(ends))
-        (end,) = ends
-        self.assertEqual(end, merge_records(end, end))
+                merged = merge_records(merged, record)
+            results.add(merged)
+        self.assertEqual(1, len(results))
+        (result,) = results
+        self.assertEqual(result, merge_records(result, result))
 
 
 class BoundsTest(testtools.TestCase):
     def test_records_are_bounded_and_quarantined_ones_stay(self) -> None:
         quarantine = Quarantine()
         at_ms = record_crashes(quarantine, CRASHES_TO_QUARANTINE)
-        for content in range(1000, 1000 + 2 * RECORDS_MAX):
-            quarantine.record_crash(content, "i-0", 0, AT + 60_000 + content)
+        for fingerprint in range(1000, 1000 + 2 * RECORDS_MAX):
+            quarantine.record_crash(fingerprint, "i-0", 0, AT + 60_000 + fingerprint)
         self.assertTrue(quarantine.remaining_ms(FINGERPRINT, at_ms) > 0)
         records: dict[int, CrashRecord] = {}
-        for content in range(2 * RECORDS_MAX):
-            crash = Crash(1, 0, AT + content)
-            apply_record(records, CrashRecord(content, (crash,)))
+        for fingerprint in range(2 * RECORDS_MAX):
+            crash = Crash(1, 0, AT + fingerprint)
+            apply_record(records, CrashRecord(fingerprint, (crash,)))
         self.assertEqual(RECORDS_MAX, len(records))
 
     def test_crashes_of_a_fingerprint_are_bounded(self) -> None:
@@ -180,21 +180,21 @@
 
 
 class CrashLogTest(testtools.TestCase):
-    """What is replicated, and what waits for it."""
+    """The replicated log, and the records that are not in it yet."""
 
-    def record(self, content: int, *survived: bool) -> CrashRecord:
+    def record(self, fingerprint: int, *completed: bool) -> CrashRecord:
         crashes = tuple(
-            Crash(number, 0, AT + 2000 * number, well)
-            for number, well in enumerate(survived)
+            Crash(number, 0, AT + 2000 * number, completed_since)
+            for number, completed_since in enumerate(completed)
         )
-        return CrashRecord(content, crashes)
+        return CrashRecord(fingerprint, crashes)
 
     def test_since_returns_later_changes_only(self) -> None:
         log = CrashLog()
         self.assertTrue(log.apply([self.record(1, False), self.record(2, False)]))
-        known = log.number
+        number = log.number
         self.assertTrue(log.apply([self.record(1, False, False)]))
-        self.assertEqual([1], [r.fingerprint for r in log.since(known)])
+        self.assertEqual([1], [r.fingerprint for r in log.since(number)])
         self.assertEqual(2, len(log.since(0)))
         self.assertEqual((), log.since(log.number))
 
@@ -207,32 +207,34 @@
 
     def test_the_log_is_bounded(self) -> None:
         log = CrashLog()
-        log.apply([self.record(content, False) for content in range(2 * RECORDS_MAX)])
+        log.apply(
+            [self.record(fingerprint, False) for fingerprint in range(2 * RECORDS_MAX)]
+        )
         self.assertEqual(RECORDS_MAX, len(log.records))
         self.assertEqual(set(log.records), set(log.numbers))
         self.assertEqual(log, decode(encode(log), CrashLog))
 
     def test_unlogged_records_are_reported_until_logged(self) -> None:
-        log, waiting = CrashLog(), UnloggedCrashes()
-        self.assertTrue(waiting.apply([self.record(1, False)]))
-        self.assertFalse(waiting.apply([self.record(1, False)]))
-        told = waiting.missing_from(log)
-        self.assertEqual(told, waiting.missing_from(log))
-        waiting.apply([self.record(1, False, False)])
-        log.apply(told)
-        self.assertEqual(1, len(waiting.missing_from(log)))
-        log.apply(waiting.missing_from(log))
-        self.assertEqual((), waiting.missing_from(log))
+        log, unlogged = CrashLog(), UnloggedCrashes()
+        self.assertTrue(unlogged.apply([self.record(1, False)]))
+        self.assertFalse(unlogged.apply([self.record(1, False)]))
+        reported = unlogged.missing_from(log)
+        self.assertEqual(reported, unlogged.missing_from(log))
+        unlogged.apply([self.record(1, False, False)])
+        log.apply(reported)
+        self.assertEqual(1, len(unlogged.missing_from(log)))
+        log.apply(unlogged.missing_from(log))
+        self.assertEqual((), unlogged.missing_from(log))
 
 
 class ReportTest(testtools.TestCase):
     def test_reported_until_confirmed(self) -> None:
         quarantine = Quarantine()
         quarantine.record_crash(FINGERPRINT, "i-0", 0, AT)
-        told = quarantine.unconfirmed()
-        quarantine.record_reported(told)
-        self.assertEqual(told, quarantine.unconfirmed())
-        quarantine.confirm(told[0])
+        reported = quarantine.unconfirmed()
+        quarantine.record_reported(reported)
+        self.assertEqual(reported, quarantine.unconfirmed())
+        quarantine.confirm(reported[0])
         self.assertEqual((), quarantine.unconfirmed())
 
     def test_an_older_record_confirms_nothing(self) -> None:
--- a/tests/test_shared_slowness.py
+++ b/tests/test_shared_slowness.py
@@ -1,17 +1,13 @@
-"""Regression tests: a good version was withdrawn for a slowness that everything
-shared.
+"""Regression tests: a good version was withdrawn for a slowdown of the whole system.
 
-What users saw: in a busy hour, right after a roll-out was complete, the new version
-was withdrawn from everybody, and the old one, as slow by then, took its place.
+After a roll-out to all traffic, a control process takes over and sees a few dozen
+answers. Then the whole machine turns slow. The detector compared the new version only
+with its own earlier latency, not with other versions at the same time, so it withdrew
+the version for "latency"; the old one, just as slow by then, replaced it.
 
-The order of events: a roll-out reaches all traffic; a control process that has just
-taken over has seen some dozen answers; the whole machine turns slow; the detector
-holds the new version to the pace of the calm time before and says "latency".
-
-The cause: a version's pace was compared with its own of another time, and with
-nothing at the same time. The evidence: `rollout_moved ... state=done` and, 5 s
-later, `version_bad reasons=latency withdrawn=true`, on a machine whose load average
-was 24 on 8 cores; and the tests below, which need no load.
+Seen as `rollout_moved ... state=done` and, 5 s later, `version_bad reasons=latency
+withdrawn=true`, on a machine with a load average of 24 on 8 cores. These tests need no
+load.
 """
 
 import math
@@ -40,7 +36,7 @@
 from ashlatch.store.protocol import VersionReport
 
 OLD, NEW, LARGE = "small-1", "small-2", "large-1"
-# Milliseconds for each output token in calm times.
+# Milliseconds per output token without a slowdown.
 TOKEN_MS = {OLD: 20.0, NEW: 20.0, LARGE: 60.0}
 PRICES = {OLD: 200, NEW: 200, LARGE: 2400}
 EXCHANGE_MS = 400.0
@@ -49,7 +45,7 @@
 
 
 def specs() -> dict[str, Spec]:
-    found: dict[str, Spec] = {
+    versions: dict[str, Spec] = {
         name: Version(
             model="m",
             input_price_microusd_per_ktoken=price // 2,
@@ -57,26 +53,26 @@
         )
         for name, price in PRICES.items()
     }
-    return {**found, "cascade": Cascade(rungs=(OLD, LARGE))}
+    return {**versions, "cascade": Cascade(rungs=(OLD, LARGE))}
 
 
 @dataclass
 class Traffic:
-    """What all routers have counted of each version since they started."""
+    """The totals of all routers for each version since they started."""
 
     totals: dict[str, VersionTally] = field(default_factory=dict)
 
     def add_answers(self, counts: dict[str, int], slowdowns: dict[str, float]) -> None:
-        """So many answers of each version, at its pace times a slowdown."""
+        """Adds answers of each version, with its latency times a slowdown."""
         for version, count in counts.items():
             token_ms = TOKEN_MS[version] * slowdowns.get(version, 1.0)
             tally = VersionTally(count, 0, count, count * math.log(token_ms))
-            known = self.totals.get(version, VersionTally())
-            self.totals[version] = known.plus(tally)
+            total = self.totals.get(version, VersionTally())
+            self.totals[version] = total.plus(tally)
 
 
 class ControlProcess:
-    """A control process over resources that it may change."""
+    """A control process, and the resources that it reads and changes."""
 
     def __init__(self, traffic: Traffic, resources: dict[str, Resource] | None = None):
         self.traffic = traffic
@@ -106,7 +102,7 @@
         counts: dict[str, int],
         slowdowns: dict[str, float] | None = None,
     ) -> None:
-        """Read the state so often, each time after so many more answers."""
+        """Reads the state several times, each time after more answers."""
         for _ in range(reads):
             self.traffic.add_answers(counts, slowdowns or {})
             self.now_ms += EXCHANGE_MS
@@ -157,7 +153,7 @@
         self.control = ControlProcess(self.traffic)
 
     def complete_rollout(self) -> None:
-        """A whole roll-out in a calm time, one request in a hundred explores."""
+        """Runs a whole roll-out without a slowdown; 1 request in 100 explores."""
         self.control.read(20, {OLD: 20, LARGE: 1})
         self.control.start_rollout()
         self.control.read(10, {OLD: 18, NEW: 2, LARGE: 1})
@@ -179,7 +175,7 @@
         self.assertEqual(set(), self.control.withdrawn)
 
     def test_from_the_first_answers_of_a_rollout(self) -> None:
-        """What others did before the new version's first answer is no comparison."""
+        """Earlier answers of others are not compared with the new version's first."""
         self.control.read(60, {OLD: 20, LARGE: 1})
         self.control.start_rollout(answers_min=1000)
         self.control.read(1, {OLD: 20, LARGE: 1}, self.SLOW)
@@ -190,10 +186,10 @@
         self.complete_rollout()
         self.control.read(60, {NEW: 20, LARGE: 1}, self.SLOW)
         self.assertEqual(set(), self.control.withdrawn)
-        told = self.control.comparisons()
-        self.assertEqual("shared", told[-1].verdict)
-        self.assertTrue(told[-1].others_slowdown > 3.0, told[-1])
-        self.assertTrue(len(told) <= 2, "each verdict is logged once")
+        compared = self.control.comparisons()
+        self.assertEqual("shared", compared[-1].verdict)
+        self.assertTrue(compared[-1].others_slowdown > 3.0, compared[-1])
+        self.assertTrue(len(compared) <= 2, "each verdict is logged once")
 
     def test_after_a_rollout_and_a_new_control_process(self) -> None:
         self.complete_rollout()
@@ -203,7 +199,7 @@
         self.assertEqual(set(), self.control.withdrawn)
 
     def test_nothing_to_compare_with(self) -> None:
-        """No other version is asked: latency alone withdraws nothing."""
+        """Without another version in use, latency alone withdraws nothing."""
         self.control.read(10, {NEW: 20})
         self.control.read(60, {NEW: 20}, self.SLOW)
         self.assertEqual(set(), self.control.withdrawn)
@@ -221,7 +217,7 @@
 
 
 class OwnSlownessTest(testtools.TestCase):
-    """A version that is slow of itself is found as before."""
+    """A version that alone is slow is still detected."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -232,10 +228,10 @@
         self.control.read(30, {NEW: 20, LARGE: 1})
         self.control.read(20, {NEW: 20, LARGE: 3}, {NEW: 6.0})
         self.assertEqual({NEW}, self.control.withdrawn)
-        told = self.control.comparisons()[-1]
-        self.assertEqual((NEW, "own"), (told.version, told.verdict))
-        self.assertTrue(5.0 < told.slowdown < 7.0, told)
-        self.assertTrue(told.others_slowdown < 1.5, told)
+        compared = self.control.comparisons()[-1]
+        self.assertEqual((NEW, "own"), (compared.version, compared.verdict))
+        self.assertTrue(5.0 < compared.slowdown < 7.0, compared)
+        self.assertTrue(compared.others_slowdown < 1.5, compared)
 
     def test_in_a_rollout(self) -> None:
         self.control.read(20, {OLD: 20, LARGE: 1})
@@ -251,7 +247,7 @@
         self.assertEqual({NEW}, self.control.withdrawn)
 
     def test_a_costlier_version_without_earlier_answers(self) -> None:
-        """Requests are spared to it; it is no faster in calm times."""
+        """Diverted requests go to it, and its baseline is no lower."""
         self.control.read(10, {NEW: 20})
         slow = {NEW: 6.0, LARGE: TOKEN_MS[NEW] / TOKEN_MS[LARGE]}
         self.control.read(20, {NEW: 10, LARGE: 3}, slow)
