--- a/ashlatch/policy/breaker.py
+++ b/ashlatch/policy/breaker.py
@@ -26,7 +26,7 @@
 
     @property
     def open(self) -> bool:
-        """Whether `failures_max` attempts have failed since the last answer."""
+        """Returns whether `failures_max` attempts have failed since the last answer."""
         return self.failures >= self.failures_max
 
     def allows(self, now_ms: float) -> bool:
--- a/ashlatch/policy/detector.py
+++ b/ashlatch/policy/detector.py
@@ -159,7 +159,7 @@
 
     @property
     def bad(self) -> bool:
-        """Whether any test has passed its threshold."""
+        """Returns whether any test has passed its threshold."""
         return bool(self.reasons)
 
     @property
@@ -175,12 +175,12 @@
 
     @property
     def suspected(self) -> bool:
-        """Whether to rate every answer and exchange totals sooner."""
+        """Returns whether to rate every answer and exchange totals sooner."""
         return self.suspicion > SUSPICION_MIN
 
     @property
     def looks_slow(self) -> bool:
-        """Whether latency exceeds the version's baseline, whatever the cause."""
+        """Returns whether latency exceeds the baseline, whatever the cause."""
         return self.baseline_sum >= THRESHOLD
 
     def _add_latency(self, answers: int, log_sum: float, now_ms: float) -> None:
--- a/ashlatch/policy/limit.py
+++ b/ashlatch/policy/limit.py
@@ -17,7 +17,7 @@
 
 from ashlatch.resources import Organisation
 
-__all__ = ["Capacity", "Limits", "LimitRefusal", "OrganisationUsage", "LimitReason"]
+__all__ = ["Capacity", "LimitReason", "LimitRefusal", "Limits", "OrganisationUsage"]
 
 SATURATED_RETRY_MS = 1000.0
 # Under shortage the endpoints may queue as many requests as they run.
--- a/ashlatch/policy/permission.py
+++ b/ashlatch/policy/permission.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Permission:
-    """Whether a request may be sent; if not, the reason and how long it lasts.
+    """States whether a request may be sent; if not, why and for how long not.
 
     `wait_ms` is infinite for a reason without a known end.
     """
@@ -45,7 +45,7 @@
 
     @property
     def granted(self) -> bool:
-        """Whether a request may be sent now."""
+        """Returns whether a request may be sent now."""
         return self.denial_reason is None
 
 
--- a/ashlatch/policy/quarantine.py
+++ b/ashlatch/policy/quarantine.py
@@ -91,7 +91,7 @@
 
     @property
     def quarantined_until_unix_ms(self) -> int:
-        """When its quarantine ends; 0 if there are too few crashes for one."""
+        """Returns when the quarantine ends; 0 if there are too few crashes for one."""
         crashes = self.counted_crashes
         if len(crashes) < CRASHES_TO_QUARANTINE:
             return 0
--- a/ashlatch/policy/rate_limit.py
+++ b/ashlatch/policy/rate_limit.py
@@ -16,7 +16,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["NO_LIMIT", "RateLimit", "LimitSharing"]
+__all__ = ["NO_LIMIT", "LimitSharing", "RateLimit"]
 
 # The rate of an endpoint without a limit.
 NO_LIMIT = float("inf")
@@ -91,7 +91,7 @@
 
     @property
     def limited(self) -> bool:
-        """Whether the endpoint has a known limit."""
+        """Returns whether the endpoint has a known limit."""
         return self.per_s != NO_LIMIT
 
     def is_new(self, per_s: float, now_ms: float) -> bool:
