--- a/ashlatch/router/admission.py
+++ b/ashlatch/router/admission.py
@@ -12,9 +12,9 @@
 from ashlatch.http import problem as problems
 from ashlatch.http.problem import Problem
 from ashlatch.policy.limit import Capacity, Refused
+from ashlatch.router.completion import end_with_problem, give_answer, give_problem
 from ashlatch.router.core import HANDLERS, CachedPin, Flight, RouterCore
 from ashlatch.router.effect import ProposeClaim, ProposeClose, ScheduleClaim
-from ashlatch.router.ending import end_with_problem, give_answer, give_problem
 from ashlatch.router.event import (
     ClaimDue,
     ClaimEnded,
@@ -22,8 +22,8 @@
     RequestArrived,
     RequestKind,
 )
+from ashlatch.router.planning_result import NoPlan
 from ashlatch.router.sending import no_plan_problem, plan_attempt, start_attempt
-from ashlatch.router.verdict import NoPlan
 from ashlatch.store.command import (
     Claim,
     ClaimAnswered,
--- a/ashlatch/router/attempt.py
+++ b/ashlatch/router/attempt.py
@@ -12,15 +12,16 @@
 from ashlatch.http import problem as problems
 from ashlatch.http.problem import Problem
 from ashlatch.policy.permission import NEVER_MS
-from ashlatch.router.core import HANDLERS, Flight, Leg, PoorAnswer, RouterCore
-from ashlatch.router.effect import ProposeAnswer
-from ashlatch.router.ending import (
+from ashlatch.router.attempt_results import learn
+from ashlatch.router.completion import (
     close_claim,
     forget,
     give_answer,
     give_problem,
     is_disposable,
 )
+from ashlatch.router.core import HANDLERS, Flight, Leg, PoorAnswer, RouterCore
+from ashlatch.router.effect import ProposeAnswer
 from ashlatch.router.event import (
     Answered,
     AnswerRecordEnded,
@@ -33,10 +34,9 @@
     Full,
     NotSent,
 )
-from ashlatch.router.learning import learn
+from ashlatch.router.planning_result import NoPlan, Plan
+from ashlatch.router.quarantine import held_for_ms
 from ashlatch.router.sending import plan_attempt, start_attempt
-from ashlatch.router.suspects import held_for_ms
-from ashlatch.router.verdict import NoPlan, Plan
 from ashlatch.store.command import AnswerAccepted, AnswerRecorded, RecordAnswer
 
 __all__ = []
--- a/ashlatch/router/learning.py
+++ b/ashlatch/router/attempt_results.py
@@ -12,7 +12,7 @@
 from ashlatch.policy.evidence import Failure, Timing
 from ashlatch.router.core import Flight, Leg, RouterCore
 from ashlatch.router.event import Answered, AttemptResult, Broken, Full
-from ashlatch.router.suspects import crashed, survived
+from ashlatch.router.quarantine import crashed, survived
 
 __all__ = ["learn"]
 
--- a/ashlatch/router/daemon.py
+++ b/ashlatch/router/daemon.py
@@ -40,7 +40,6 @@
     read_chat,
     read_service,
 )
-from ashlatch.router.conversation import Conversation
 from ashlatch.router.event import (
     Answered,
     ConfigurationChanged,
@@ -54,6 +53,7 @@
     VersionTotals,
 )
 from ashlatch.router.host import RouterHost
+from ashlatch.router.responder import Conversation
 from ashlatch.rpc import Address
 from ashlatch.settings import RouterSettings
 from ashlatch.store.protocol import RouterPoll, RouterReply, VersionReport
--- a/ashlatch/router/hedge.py
+++ b/ashlatch/router/hedge.py
@@ -12,8 +12,8 @@
 
 from ashlatch.router.core import HANDLERS, Flight, RouterCore
 from ashlatch.router.event import HedgeDue
+from ashlatch.router.planning_result import Plan
 from ashlatch.router.sending import plan_attempt, start_hedge
-from ashlatch.router.verdict import Plan
 
 __all__ = []
 
--- a/ashlatch/router/host.py
+++ b/ashlatch/router/host.py
@@ -31,7 +31,7 @@
 from ashlatch.log import emit
 from ashlatch.metrics import Metrics
 from ashlatch.registry import Handlers
-from ashlatch.router import admission, attempt, hedge, knowledge, notices
+from ashlatch.router import admission, attempt, hedge, notices, updates
 from ashlatch.router.core import RouterConfig, RouterCore
 from ashlatch.router.effect import (
     CancelAttempt,
@@ -73,7 +73,7 @@
 EFFECTS = Handlers("router effect")
 
 # Importing the modules registers their handlers.
-_HANDLERS_OF = (admission, attempt, hedge, knowledge, notices)
+_HANDLERS_OF = (admission, attempt, hedge, updates, notices)
 
 
 @dataclass(frozen=True)
--- a/ashlatch/router/plan.py
+++ b/ashlatch/router/plan.py
@@ -22,8 +22,8 @@
 from ashlatch.resources import Route
 from ashlatch.router.endpoints import EndpointBook
 from ashlatch.router.event import Request
-from ashlatch.router.moved import after_rollouts, is_replaced
-from ashlatch.router.verdict import Exclusion, NoPlan, Plan, WhyOut
+from ashlatch.router.planning_result import Exclusion, NoPlan, Plan, WhyOut
+from ashlatch.router.rollouts import after_rollouts, is_replaced
 from ashlatch.settings import PolicySettings
 
 __all__ = ["Planner", "Ready"]
--- a/ashlatch/router/moved.py
+++ b/ashlatch/router/rollouts.py
@@ -11,7 +11,7 @@
 from ashlatch.policy.split import bucket_percent
 from ashlatch.policy.table import RoutingTable
 from ashlatch.router.event import Request
-from ashlatch.router.verdict import Exclusion, WhyOut
+from ashlatch.router.planning_result import Exclusion, WhyOut
 
 __all__ = ["after_rollouts", "is_replaced"]
 
--- a/ashlatch/router/sending.py
+++ b/ashlatch/router/sending.py
@@ -18,8 +18,8 @@
 from ashlatch.router.core import Flight, Leg, RouterCore
 from ashlatch.router.effect import ScheduleHedge, StartAttempt, WriteLog
 from ashlatch.router.event import RequestKind
-from ashlatch.router.suspects import content_of, digest_text, held_for_ms
-from ashlatch.router.verdict import Exclusion, NoPlan, Plan, WhyOut
+from ashlatch.router.planning_result import Exclusion, NoPlan, Plan, WhyOut
+from ashlatch.router.quarantine import content_of, digest_text, held_for_ms
 
 __all__ = [
     "RouteChosen",
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -229,7 +229,7 @@
     ),
     Mutant(
         "cached-pin-outlives-change",
-        "ashlatch/router/knowledge.py",
+        "ashlatch/router/updates.py",
         "            del core.pins[key]\n",
         "            pass\n",
         ROUTER,
@@ -251,7 +251,7 @@
     ),
     Mutant(
         "stop-forgets-callers",
-        "ashlatch/router/knowledge.py",
+        "ashlatch/router/updates.py",
         "    core.draining = True\n",
         "    core.draining = True\n    core.flights.clear()\n",
         TRAFFIC,
@@ -731,7 +731,7 @@
     ),
     Mutant(
         "router-limit-outlives-its-endpoint",
-        "ashlatch/router/learning.py",
+        "ashlatch/router/attempt_results.py",
         "        core.endpoints.limits.pop(name, None)\n",
         "",
         ROUTER_LIMITS,
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -10,7 +10,7 @@
 from ashlatch.policy.table import RoutingTable, TableBuilder
 from ashlatch.policy.version import VERSION_POLICIES
 from ashlatch.resources import canonical, parse
-from ashlatch.router import admission, attempt, hedge, knowledge
+from ashlatch.router import admission, attempt, hedge, updates
 from ashlatch.router.core import RouterConfig, RouterCore
 from ashlatch.router.effect import (
     CancelAttempt,
@@ -50,7 +50,7 @@
     Usage,
 )
 
-_HANDLERS_OF = (admission, attempt, hedge, knowledge)
+_HANDLERS_OF = (admission, attempt, hedge, updates)
 
 NOW_MS = 1000.0
 ANSWER = Answered(StoredAnswer(200, "text/plain", b"yes"), Usage(1, 2, 3), 50.0, 5.0)
--- a/tests/test_router_crashes.py
+++ b/tests/test_router_crashes.py
@@ -23,7 +23,7 @@
     CrashesLearnt,
     RequestArrived,
 )
-from ashlatch.router.suspects import content_of
+from ashlatch.router.quarantine import content_of
 from ashlatch.store.command import NoteCrashes
 from ashlatch.store.machine import Machine
 from tests.deployment import KENYA, wait_for_endpoints
--- a/tests/test_shared_slowness.py
+++ b/tests/test_shared_slowness.py
@@ -33,7 +33,7 @@
     Version,
     canonical,
 )
-from ashlatch.router import knowledge
+from ashlatch.router import updates
 from ashlatch.router.core import RouterConfig, RouterCore
 from ashlatch.router.event import VersionTallied, VersionTotals
 from ashlatch.store.command import Resource
@@ -45,7 +45,7 @@
 PRICES = {OLD: 200, NEW: 200, LARGE: 2400}
 EXCHANGE_MS = 400.0
 # Importing the modules registers their handlers.
-HANDLERS_OF = (membership, placement, rollout, knowledge)
+HANDLERS_OF = (membership, placement, rollout, updates)
 
 
 def specs() -> dict[str, Spec]:
--- a/tests/traffic.py
+++ b/tests/traffic.py
@@ -19,7 +19,7 @@
 from ashlatch.policy.load import LoadReport
 from ashlatch.policy.table import TableBuilder
 from ashlatch.resources import canonical, parse
-from ashlatch.router import admission, attempt, hedge, knowledge
+from ashlatch.router import admission, attempt, hedge, updates
 from ashlatch.router.core import RouterConfig, RouterCore
 from ashlatch.router.daemon import configuration_changed
 from ashlatch.router.effect import (
@@ -72,7 +72,7 @@
 from ashlatch.store.machine import Machine
 from ashlatch.store.protocol import RouterReply
 
-_HANDLERS_OF = (admission, attempt, hedge, knowledge)
+_HANDLERS_OF = (admission, attempt, hedge, updates)
 
 LEASE_MS = 2000.0
 CONNECT_MS = 500.0
