--- a/ashlatch/router/admission.py
+++ b/ashlatch/router/admission.py
@@ -9,12 +9,14 @@
 :license: MIT, see LICENSE for details.
 """
 
+from ashlatch.router.completion import end_with_problem, give_answer, give_problem
+from ashlatch.router.planning_result import NoPlan
+
 from ashlatch.http import problem as problems
 from ashlatch.http.problem import Problem
 from ashlatch.policy.limit import Capacity, LimitReason
 from ashlatch.router.core import HANDLERS, CachedPin, Flight, RouterCore
 from ashlatch.router.effect import ProposeClaim, ProposeClose, ScheduleClaim
-from ashlatch.router.ending import end_with_problem, give_answer, give_problem
 from ashlatch.router.event import (
     ClaimDue,
     ClaimEnded,
@@ -23,7 +25,6 @@
     RequestKind,
 )
 from ashlatch.router.sending import no_plan_problem, plan_attempt, start_attempt
-from ashlatch.router.verdict import NoPlan
 from ashlatch.store.command import (
     Claim,
     ClaimAnswered,
@@ -36,6 +37,7 @@
 
 __all__ = []
 
+
 CLAIM_AGAIN_MS = 100.0
 NO_STATE_RETRY_MS = 1000.0
 DRAIN_RETRY_MS = 1000.0
--- a/ashlatch/router/learning.py
+++ b/ashlatch/router/attempt_results.py
@@ -9,12 +9,16 @@
 :license: MIT, see LICENSE for details.
 """
 
+from ashlatch.router.quarantine import crashed, survived
+
 from ashlatch.policy.evidence import Failure, Timing
 from ashlatch.router.core import Flight, Leg, RouterCore
 from ashlatch.router.event import Answered, AttemptResult, Broken, Full
-from ashlatch.router.suspects import crashed, survived
 
-__all__ = ["learn"]
+__all__ = [
+    "learn",
+]
+
 
 TIMEOUT_SLACK_MS = 10.0
 
--- a/ashlatch/router/daemon.py
+++ b/ashlatch/router/daemon.py
@@ -20,6 +20,7 @@
 from typing import ClassVar
 
 import msgspec
+from ashlatch.router.responder import Conversation
 from werkzeug.wrappers import Request as HttpRequest
 from werkzeug.wrappers import Response
 
@@ -33,14 +34,7 @@
 from ashlatch.log import LogEvent, emit
 from ashlatch.periodic import Periodic
 from ashlatch.policy.table import RoutingTable, TableBuilder
-from ashlatch.router.api import (
-    BadRequest,
-    Clock,
-    authenticate,
-    read_chat,
-    read_service,
-)
-from ashlatch.router.conversation import Conversation
+from ashlatch.router.api import BadRequest, Clock, authenticate, read_chat, read_service
 from ashlatch.router.event import (
     Answered,
     ConfigurationChanged,
@@ -58,7 +52,11 @@
 from ashlatch.settings import RouterSettings
 from ashlatch.store.protocol import RouterPoll, RouterReply, VersionReport
 
-__all__ = ["RouterDaemon", "configuration_changed"]
+__all__ = [
+    "RouterDaemon",
+    "configuration_changed",
+]
+
 
 log = logging.getLogger("ashlatch.router")
 
--- a/ashlatch/router/hedge.py
+++ b/ashlatch/router/hedge.py
@@ -10,10 +10,11 @@
 :license: MIT, see LICENSE for details.
 """
 
+from ashlatch.router.planning_result import Plan
+
 from ashlatch.router.core import HANDLERS, Flight, RouterCore
 from ashlatch.router.event import HedgeDue
 from ashlatch.router.sending import plan_attempt, start_hedge
-from ashlatch.router.verdict import Plan
 
 __all__ = []
 
--- a/ashlatch/router/plan.py
+++ b/ashlatch/router/plan.py
@@ -12,6 +12,9 @@
 import random
 from dataclasses import dataclass, field, replace
 
+from ashlatch.router.planning_result import Exclusion, NoPlan, Plan, WhyOut
+from ashlatch.router.rollouts import after_rollouts, is_replaced
+
 from ashlatch.policy.detector import Detector
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES, Candidate, subset
 from ashlatch.policy.load import EndpointLoad
@@ -22,11 +25,13 @@
 from ashlatch.resources import Route
 from ashlatch.router.endpoints import EndpointBook
 from ashlatch.router.event import Request
-from ashlatch.router.moved import after_rollouts, is_replaced
-from ashlatch.router.verdict import Exclusion, NoPlan, Plan, WhyOut
 from ashlatch.settings import PolicySettings
 
-__all__ = ["Planner", "Ready"]
+__all__ = [
+    "Planner",
+    "Ready",
+]
+
 
 OTHER_HALL_MS = 2.0
 EXPECTED_OUTPUT_TOKENS = 200
--- a/tests/test_router_crashes.py
+++ b/tests/test_router_crashes.py
@@ -11,23 +11,18 @@
 import time
 
 import testtools
+from ashlatch.router.quarantine import content_of
+from tests.small_system import SmallSystem, start_small_system
 
 from ashlatch.adapter.liveness import has_ended
 from ashlatch.http import problem as problems
 from ashlatch.policy.detector import VersionTally
 from ashlatch.policy.quarantine import CrashRecord, Quarantine
 from ashlatch.router.effect import Effect, GiveProblem, StartAttempt
-from ashlatch.router.event import (
-    AttemptEnded,
-    Broken,
-    CrashesLearnt,
-    RequestArrived,
-)
-from ashlatch.router.suspects import content_of
+from ashlatch.router.event import AttemptEnded, Broken, CrashesLearnt, RequestArrived
 from ashlatch.store.command import NoteCrashes
 from ashlatch.store.machine import Machine
 from tests.deployment import KENYA, wait_for_endpoints
-from tests.small_system import SmallSystem, start_small_system
 from tests.system import HOST, Fake, wait_until
 from tests.test_router import ANSWER, NOW_MS, ORDER, RouterTest, request
 
--- a/tests/test_shared_slowness.py
+++ b/tests/test_shared_slowness.py
@@ -21,15 +21,8 @@
 from ashlatch.control.latency import LatencyCompared
 from ashlatch.log import LogEvent
 from ashlatch.policy.detector import VersionTally
-from ashlatch.resources import (
-    Cascade,
-    Rollout,
-    RolloutStage,
-    Spec,
-    Version,
-    canonical,
-)
-from ashlatch.router import knowledge
+from ashlatch.resources import Cascade, Rollout, RolloutStage, Spec, Version, canonical
+from ashlatch.router import updates
 from ashlatch.router.core import RouterConfig, RouterCore
 from ashlatch.router.event import VersionTallied, VersionTotals
 from ashlatch.store.command import Resource
@@ -41,7 +34,7 @@
 PRICES = {OLD: 200, NEW: 200, LARGE: 2400}
 EXCHANGE_MS = 400.0
 # Importing the modules registers their handlers.
-HANDLER_MODULES = (membership, placement, rollout, knowledge)
+HANDLER_MODULES = (membership, placement, rollout, updates)
 
 
 def specs() -> dict[str, Spec]:
