--- a/ashlatch/adapter/engine.py
+++ b/ashlatch/adapter/engine.py
@@ -20,7 +20,7 @@
 from ashlatch.errors import TransportError
 from ashlatch.http.client import Call, Reply, fetch
 from ashlatch.router.effect import StartAttempt
-from ashlatch.router.event import Answered, AttemptResult, Broken, Full, NotSent
+from ashlatch.router.event import Answered, AttemptResult, Broken, NotSent, Rejected
 from ashlatch.store.command import StoredAnswer, Usage
 
 __all__ = ["EngineCall", "Prices"]
@@ -207,5 +207,5 @@
     reason = str(error.get("type", f"status {reply.status}"))
     if reply.status in NOT_RUN_STATUSES and error.get("not_run") is True:
         retry_ms = float(error.get("retry_after_ms", DEFAULT_RETRY_MS))
-        return Full(reason, retry_ms, leaving=reason == "leaving")
+        return Rejected(reason, retry_ms, leaving=reason == "leaving")
     return Broken(reason, replied=True)
--- a/ashlatch/adapter/service.py
+++ b/ashlatch/adapter/service.py
@@ -18,7 +18,7 @@
 from ashlatch.errors import TransportError
 from ashlatch.http.client import Call, Reply, fetch
 from ashlatch.router.effect import StartAttempt
-from ashlatch.router.event import Answered, AttemptResult, Broken, Full, NotSent
+from ashlatch.router.event import Answered, AttemptResult, Broken, NotSent, Rejected
 from ashlatch.store.command import StoredAnswer, Usage
 
 __all__ = ["call_service"]
@@ -83,5 +83,5 @@
     except (ValueError, AttributeError):
         not_run = False
     if reply.status == REFUSED_STATUS and not_run:
-        return Full("refused", DEFAULT_RETRY_MS)
+        return Rejected("refused", DEFAULT_RETRY_MS)
     return Broken(f"status {reply.status}")
--- a/ashlatch/router/admission.py
+++ b/ashlatch/router/admission.py
@@ -12,12 +12,12 @@
 from ashlatch.http import problem as problems
 from ashlatch.http.problem import Problem
 from ashlatch.policy.limit import Capacity, Refused
-from ashlatch.router.completion import end_with_problem, give_answer, give_problem
-from ashlatch.router.core import HANDLERS, CachedPin, Flight, RouterCore
-from ashlatch.router.effect import ProposeClaim, ProposeClose, ScheduleClaim
+from ashlatch.router.completion import complete_with_answer, fail_request, send_problem
+from ashlatch.router.core import HANDLERS, ActiveRequest, CachedPin, RouterCore
+from ashlatch.router.effect import ProposeClaim, ProposeClose, ScheduleClaimRetry
 from ashlatch.router.event import (
-    ClaimDue,
-    ClaimEnded,
+    ClaimOutcomeReceived,
+    ClaimRetryDue,
     Request,
     RequestArrived,
     RequestKind,
@@ -36,33 +36,33 @@
 
 __all__ = []
 
-CLAIM_AGAIN_MS = 100.0
+CLAIM_RETRY_MS = 100.0
 NO_STATE_RETRY_MS = 1000.0
 DRAIN_RETRY_MS = 1000.0
 
 
 @HANDLERS.on(RequestArrived)
-def _arrived(core: RouterCore, event: RequestArrived) -> None:
+def _request_arrived(core: RouterCore, event: RequestArrived) -> None:
     request = event.request
-    flight = Flight(request, core.now_ms)
+    active = ActiveRequest(request, core.now_ms)
     # Somebody else may have run, or be running, what has a key of its own.
-    flight.history_known = not request.keyed
-    core.flights[request.request_id] = flight
-    problem = _refusal(core, flight)
+    active.history_known = not request.keyed
+    core.active_requests[request.request_id] = active
+    problem = _admission_problem(core, active)
     if problem is not None:
-        flight.given = True
-        end_with_problem(core, flight, problem, admitted=False)
+        active.responded = True
+        send_problem(core, active, problem, admitted=False)
         return
     core.limits.admitted(request.organisation)
-    core.budget.earn()
+    core.retry_budget.earn()
     core.hedge_budget.earn()
-    _begin(core, flight)
+    _plan_or_claim(core, active)
 
 
-def _refusal(core: RouterCore, flight: Flight) -> Problem | None:
+def _admission_problem(core: RouterCore, active: ActiveRequest) -> Problem | None:
     """Why a request is refused before anything is done for it."""
-    request = flight.request
-    not_run = core.not_run(flight)
+    request = active.request
+    not_run = core.not_run(active)
     if core.draining:
         return Problem(problems.DRAINING, "", not_run, DRAIN_RETRY_MS)
     if not core.lease_valid(core.now_ms):
@@ -89,27 +89,29 @@
     return Problem(kind, refused.reason.value, not_run, refused.retry_ms)
 
 
-def _begin(core: RouterCore, flight: Flight) -> None:
-    version = _pinned_version(core, flight.request)
-    plan = plan_attempt(core, flight, version)
+def _plan_or_claim(core: RouterCore, active: ActiveRequest) -> None:
+    version = _pinned_version(core, active.request)
+    plan = plan_attempt(core, active, version)
     if isinstance(plan, NoPlan):
         # A keyed request may have its answer already, whatever can run now.
-        if flight.request.keyed and plan.allowed:
-            _claim(core, flight, _any_version(core, flight.request))
+        if active.request.keyed and plan.allowed:
+            _propose_claim(
+                core, active, _first_acceptable_version(core, active.request)
+            )
             return
-        give_problem(core, flight, no_plan_problem(core, flight, plan))
+        fail_request(core, active, no_plan_problem(core, active, plan))
         return
-    flight.version = plan.version
-    if _needs_claim(core, flight.request, version):
-        _claim(core, flight, plan.version)
+    active.version = plan.version
+    if _needs_claim(core, active.request, version):
+        _propose_claim(core, active, plan.version)
     else:
-        start_attempt(core, flight, plan)
+        start_attempt(core, active, plan)
 
 
-def _any_version(core: RouterCore, request: Request) -> str:
+def _first_acceptable_version(core: RouterCore, request: Request) -> str:
     if request.kind is RequestKind.SERVICE:
         return ""
-    return core.planner.acceptable(request)[0]
+    return core.planner.acceptable_versions(request)[0]
 
 
 def _pinned_version(core: RouterCore, request: Request) -> str:
@@ -127,15 +129,15 @@
     return request.keyed or not request.repeatable or bool(unpinned)
 
 
-def _claim(core: RouterCore, flight: Flight, version: str) -> None:
-    request = flight.request
+def _propose_claim(core: RouterCore, active: ActiveRequest, version: str) -> None:
+    request = active.request
     chat = request.kind is RequestKind.CHAT
     pin_ms = core.planner.table.routes[request.target].session_pin_ms if chat else 0
-    acceptable = core.planner.acceptable(request) if chat else ()
-    flight.claim_id = flight.claim_id or f"{core.config.router}/{request.request_id}"
+    acceptable = core.planner.acceptable_versions(request) if chat else ()
+    active.claim_id = active.claim_id or f"{core.config.router}/{request.request_id}"
     claim = Claim(
         request.ledger_key,
-        flight.claim_id,
+        active.claim_id,
         request.body_digest,
         core.config.router,
         request.repeatable,
@@ -145,28 +147,28 @@
     core.effects.append(ProposeClaim(request.request_id, claim))
 
 
-@HANDLERS.on(ClaimDue)
-def _claim_due(core: RouterCore, event: ClaimDue) -> None:
-    flight = core.flights.get(event.request_id)
-    if flight is not None and not flight.given:
-        _begin_again(core, flight)
+@HANDLERS.on(ClaimRetryDue)
+def _claim_retry_due(core: RouterCore, event: ClaimRetryDue) -> None:
+    active = core.active_requests.get(event.request_id)
+    if active is not None and not active.responded:
+        _retry_claim(core, active)
 
 
-def _begin_again(core: RouterCore, flight: Flight) -> None:
+def _retry_claim(core: RouterCore, active: ActiveRequest) -> None:
     if not core.lease_valid(core.now_ms):
         problem = Problem(
-            problems.NO_CONFIGURATION, "", core.not_run(flight), NO_STATE_RETRY_MS
+            problems.NO_CONFIGURATION, "", core.not_run(active), NO_STATE_RETRY_MS
         )
-        give_problem(core, flight, problem)
+        fail_request(core, active, problem)
         return
-    _begin(core, flight)
+    _plan_or_claim(core, active)
 
 
-@HANDLERS.on(ClaimEnded)
-def _claim_ended(core: RouterCore, event: ClaimEnded) -> None:
-    flight = core.flights.get(event.request_id)
+@HANDLERS.on(ClaimOutcomeReceived)
+def _claim_outcome_received(core: RouterCore, event: ClaimOutcomeReceived) -> None:
+    active = core.active_requests.get(event.request_id)
     outcome = event.outcome
-    if flight is None or flight.given:
+    if active is None or active.responded:
         if isinstance(outcome, ClaimGranted):
             close = Close(event.claim.key, outcome.attempt, not_run=True)
             core.effects.append(ProposeClose(close))
@@ -177,43 +179,45 @@
         return
     match outcome:
         case ClaimGranted():
-            _granted(core, flight, outcome)
+            _claim_granted(core, active, outcome)
         case ClaimAnswered(version, answer):
-            flight.version = version
-            give_answer(core, flight, answer, replayed=True)
+            active.version = version
+            complete_with_answer(core, active, answer, replayed=True)
         case ClaimRunning():
-            again = ScheduleClaim(event.request_id, CLAIM_AGAIN_MS)
+            again = ScheduleClaimRetry(event.request_id, CLAIM_RETRY_MS)
             core.effects.append(again)
         case ClaimClosed("body_differs"):
             detail = "the idempotency key was used with another body"
-            give_problem(core, flight, Problem(problems.KEY_REUSED, detail, None))
+            fail_request(core, active, Problem(problems.KEY_REUSED, detail, None))
         case ClaimClosed():
             detail = "an earlier attempt may have run; it may not be repeated"
-            give_problem(core, flight, Problem(problems.OUTCOME_UNKNOWN, detail, None))
+            fail_request(core, active, Problem(problems.OUTCOME_UNKNOWN, detail, None))
         case _:
             problem = Problem(
-                problems.STATE_UNAVAILABLE, "", core.not_run(flight), NO_STATE_RETRY_MS
+                problems.STATE_UNAVAILABLE, "", core.not_run(active), NO_STATE_RETRY_MS
             )
-            give_problem(core, flight, problem)
+            fail_request(core, active, problem)
             core.effects.append(ProposeClaim(event.request_id, event.claim))
 
 
-def _granted(core: RouterCore, flight: Flight, granted: ClaimGranted) -> None:
-    request = flight.request
-    flight.attempt = granted.attempt
-    flight.version_changed = granted.version_changed
+def _claim_granted(
+    core: RouterCore, active: ActiveRequest, granted: ClaimGranted
+) -> None:
+    request = active.request
+    active.attempt_number = granted.attempt
+    active.version_changed = granted.version_changed
     # A request that may not be repeated is only granted again when all its
     # earlier attempts were never sent.
-    flight.history_known = granted.attempt == 1 or not request.repeatable
+    active.history_known = granted.attempt == 1 or not request.repeatable
     if request.session and request.kind is RequestKind.CHAT:
         route = core.planner.table.routes.get(request.target)
         pin_ms = route.session_pin_ms if route else 0
         # Renewed at half time, so that it cannot lapse in the ledger first.
         pin = CachedPin(granted.version, core.now_ms + pin_ms / 2.0)
         core.pins[(request.organisation, request.session)] = pin
-    plan = plan_attempt(core, flight, granted.version)
+    plan = plan_attempt(core, active, granted.version)
     if isinstance(plan, NoPlan):
-        give_problem(core, flight, no_plan_problem(core, flight, plan))
+        fail_request(core, active, no_plan_problem(core, active, plan))
         return
-    flight.version = plan.version
-    start_attempt(core, flight, plan)
+    active.version = plan.version
+    start_attempt(core, active, plan)
--- a/ashlatch/router/api.py
+++ b/ashlatch/router/api.py
@@ -25,13 +25,13 @@
 from ashlatch.resources import field_errors
 from ashlatch.router.event import Request, RequestKind
 
-__all__ = ["BadRequest", "Clock", "authenticate", "read_chat", "read_service"]
+__all__ = ["BadRequest", "ArrivalTime", "authenticate", "read_chat", "read_service"]
 
 BEARER = "Bearer "
-KEY_MAX = 200
+HEADER_LENGTH_MAX = 200
 PREFIX_BYTES = 512
-BYTES_A_TOKEN = 4
-MAX_TOKENS_DEFAULT = 1024
+BYTES_PER_TOKEN = 4
+DEFAULT_MAX_TOKENS = 1024
 
 
 @dataclass
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class Clock:
+class ArrivalTime:
     """The host's clocks when a request came in, and its bounds."""
 
     now_ms: float
@@ -56,14 +56,14 @@
     content: str | list[Any] | None = None
 
 
-class _Chat(BaseModel):
+class _ChatBody(BaseModel):
     """The fields of a chat that the router reads; others go to the engine."""
 
     model_config = ConfigDict(extra="allow")
     model: str = Field(min_length=1, max_length=200)
     messages: tuple[_Message, ...] = Field(min_length=1, max_length=10_000)
     stream: bool = False
-    max_tokens: int = Field(default=MAX_TOKENS_DEFAULT, ge=1, le=1_000_000)
+    max_tokens: int = Field(default=DEFAULT_MAX_TOKENS, ge=1, le=1_000_000)
 
 
 @dataclass(frozen=True)
@@ -86,14 +86,14 @@
 
 
 def read_chat(
-    http: HttpRequest, organisation: str, table: RoutingTable, clock: Clock
+    http: HttpRequest, organisation: str, table: RoutingTable, clock: ArrivalTime
 ) -> Request:
     """A chat-completions call."""
     body = http.get_data()
     try:
-        chat = _Chat.model_validate_json(body)
+        chat = _ChatBody.model_validate_json(body)
     except ValidationError as error:
-        raise BadRequest(_bad(*field_errors(error))) from error
+        raise BadRequest(_bad_request(*field_errors(error))) from error
     headers = _read_headers(http)
     route = table.routes.get(chat.model)
     own_deadline_ms = route.deadline_ms if route else clock.deadline_max_ms
@@ -116,7 +116,7 @@
         body=body,
         body_digest=digest(body),
         prefix=prefix,
-        input_tokens=len(body) // BYTES_A_TOKEN,
+        input_tokens=len(body) // BYTES_PER_TOKEN,
         output_tokens_max=chat.max_tokens,
     )
 
@@ -127,7 +127,7 @@
     pool: str,
     path: str,
     table: RoutingTable,
-    clock: Clock,
+    clock: ArrivalTime,
 ) -> Request:
     """A call of a plain service."""
     body = http.get_data()
@@ -162,33 +162,35 @@
     )
 
 
-def _deadline(headers: _Headers, clock: Clock, default_ms: float) -> float:
+def _deadline(headers: _Headers, clock: ArrivalTime, default_ms: float) -> float:
     wanted_ms = default_ms if headers.deadline_ms is None else headers.deadline_ms
     return clock.now_ms + min(wanted_ms, clock.deadline_max_ms)
 
 
 def _read_headers(http: HttpRequest) -> _Headers:
     errors: list[FieldError] = []
-    key = _text(http, "Idempotency-Key", errors)
-    session = _text(http, "Ashlatch-Session", errors)
-    deadline_ms = _number(http, "Ashlatch-Deadline-Ms", errors)
-    repeatable = _flag(http, "Ashlatch-Repeatable", errors)
+    key = _text_header(http, "Idempotency-Key", errors)
+    session = _text_header(http, "Ashlatch-Session", errors)
+    deadline_ms = _number_header(http, "Ashlatch-Deadline-Ms", errors)
+    repeatable = _boolean_header(http, "Ashlatch-Repeatable", errors)
     if errors:
-        raise BadRequest(_bad(*errors))
+        raise BadRequest(_bad_request(*errors))
     return _Headers(
         key or uuid.uuid4().hex, bool(key), session, deadline_ms, repeatable
     )
 
 
-def _text(http: HttpRequest, name: str, errors: list[FieldError]) -> str:
+def _text_header(http: HttpRequest, name: str, errors: list[FieldError]) -> str:
     value = http.headers.get(name, "")
-    if len(value) > KEY_MAX or not value.isprintable():
-        rule = f"must be printable and at most {KEY_MAX} long"
+    if len(value) > HEADER_LENGTH_MAX or not value.isprintable():
+        rule = f"must be printable and at most {HEADER_LENGTH_MAX} long"
         errors.append(FieldError(name, value[:40], rule))
     return value
 
 
-def _number(http: HttpRequest, name: str, errors: list[FieldError]) -> float | None:
+def _number_header(
+    http: HttpRequest, name: str, errors: list[FieldError]
+) -> float | None:
     value = http.headers.get(name)
     if value is None:
         return None
@@ -198,7 +200,9 @@
     return float(value)
 
 
-def _flag(http: HttpRequest, name: str, errors: list[FieldError]) -> bool | None:
+def _boolean_header(
+    http: HttpRequest, name: str, errors: list[FieldError]
+) -> bool | None:
     value = http.headers.get(name)
     if value is None:
         return None
@@ -207,5 +211,5 @@
     return value == "true"
 
 
-def _bad(*errors: FieldError) -> Problem:
+def _bad_request(*errors: FieldError) -> Problem:
     return Problem(problems.BAD_REQUEST, "", True, fields=errors)
--- a/ashlatch/router/attempt.py
+++ b/ashlatch/router/attempt.py
@@ -12,266 +12,278 @@
 from ashlatch.http import problem as problems
 from ashlatch.http.problem import Problem
 from ashlatch.policy.permission import NEVER_MS
-from ashlatch.router.attempt_results import learn
+from ashlatch.router.attempt_results import record_result
 from ashlatch.router.completion import (
     close_claim,
-    forget,
-    give_answer,
-    give_problem,
+    complete_with_answer,
+    fail_request,
     is_disposable,
+    remove_request,
+)
+from ashlatch.router.core import (
+    HANDLERS,
+    ActiveAttempt,
+    ActiveRequest,
+    PoorAnswer,
+    RouterCore,
 )
-from ashlatch.router.core import HANDLERS, Flight, Leg, PoorAnswer, RouterCore
 from ashlatch.router.effect import ProposeAnswer
 from ashlatch.router.event import (
     Answered,
-    AnswerRecordEnded,
     AttemptEnded,
     AttemptResult,
     Broken,
-    CallerLeft,
+    CallerDisconnected,
     DeadlinePassed,
-    FirstChunk,
-    Full,
+    FirstChunkReceived,
     NotSent,
+    RecordOutcomeReceived,
+    Rejected,
 )
 from ashlatch.router.planning_result import NoPlan, Plan
-from ashlatch.router.quarantine import held_for_ms
+from ashlatch.router.quarantine import quarantine_left_ms
 from ashlatch.router.sending import plan_attempt, start_attempt
 from ashlatch.store.command import AnswerAccepted, AnswerRecorded, RecordAnswer
 
 __all__ = []
 
-CLAIM_AGAIN_MS = 100.0
+ANSWER_RETRY_MS = 100.0
 RESUME_MAX = 2
 NO_STATE_RETRY_MS = 1000.0
 
 
-@HANDLERS.on(FirstChunk)
-def _first_chunk(core: RouterCore, event: FirstChunk) -> None:
-    flight = core.flights.get(event.request_id)
-    if flight is None or flight.chunks_given or flight.given:
+@HANDLERS.on(FirstChunkReceived)
+def _first_chunk_received(core: RouterCore, event: FirstChunkReceived) -> None:
+    active = core.active_requests.get(event.request_id)
+    if active is None or active.stream_started or active.responded:
         return
-    if core.prefer(flight, event.attempt_id):
-        flight.chunks_given = True
+    if core.select_attempt(active, event.attempt_id):
+        active.stream_started = True
 
 
 @HANDLERS.on(AttemptEnded)
 def _attempt_ended(core: RouterCore, event: AttemptEnded) -> None:
-    loser = core.losers.pop(event.attempt_id, None)
+    loser = core.cancelled_attempts.pop(event.attempt_id, None)
     if loser is not None:
         core.endpoints.load(loser).finished(core.now_ms, None)
         return
-    flight = core.flights.get(event.request_id)
-    leg = flight.leg_of(event.attempt_id) if flight else None
-    if flight is None or leg is None:
+    active = core.active_requests.get(event.request_id)
+    attempt = active.find_attempt(event.attempt_id) if active else None
+    if active is None or attempt is None:
         return
-    learn(core, flight, leg, event.result)
-    if flight.hedge is not None and not isinstance(event.result, Answered):
-        _one_leg_less(flight, leg, event.result)
+    record_result(core, active, attempt, event.result)
+    if active.hedge is not None and not isinstance(event.result, Answered):
+        _continue_with_other_attempt(active, attempt, event.result)
         return
-    core.prefer(flight, event.attempt_id)
+    core.select_attempt(active, event.attempt_id)
     match event.result:
         case Answered():
-            _answered(core, flight, event.result)
+            _handle_answer(core, active, event.result)
         case NotSent():
-            _try_elsewhere(core, flight, problems.NO_ENDPOINT, event.result.reason)
-        case Full():
+            _retry_elsewhere(core, active, problems.NO_ENDPOINT, event.result.reason)
+        case Rejected():
             if event.result.leaving:
-                core.endpoints.leaving.add(leg.endpoint.name)
-            _try_elsewhere(core, flight, problems.OVERLOADED, event.result.reason)
+                core.endpoints.leaving.add(attempt.endpoint.name)
+            _retry_elsewhere(core, active, problems.OVERLOADED, event.result.reason)
         case Broken():
-            flight.maybe_ran = True
-            _broken(core, flight, event.result)
+            active.maybe_ran = True
+            _handle_broken_attempt(core, active, event.result)
 
 
-def _one_leg_less(flight: Flight, leg: Leg, result: AttemptResult) -> None:
+def _continue_with_other_attempt(
+    active: ActiveRequest, attempt: ActiveAttempt, result: AttemptResult
+) -> None:
     """One of two attempts has failed: the other one goes on alone."""
-    flight.maybe_ran |= isinstance(result, Broken)
-    flight.tried |= {leg.endpoint.name}
-    if leg is flight.leg:
-        flight.leg = flight.hedge
-    flight.hedge = None
-
-
-def _answered(core: RouterCore, flight: Flight, result: Answered) -> None:
-    request = flight.request
-    flight.maybe_ran = True
-    if flight.given and is_disposable(request):
-        close_claim(core, flight)
-        forget(core, flight)
+    active.maybe_ran |= isinstance(result, Broken)
+    active.tried_endpoints |= {attempt.endpoint.name}
+    if attempt is active.current_attempt:
+        active.current_attempt = active.hedge
+    active.hedge = None
+
+
+def _handle_answer(core: RouterCore, active: ActiveRequest, result: Answered) -> None:
+    request = active.request
+    active.maybe_ran = True
+    if active.responded and is_disposable(request):
+        close_claim(core, active)
+        remove_request(core, active)
         return
-    if result.poor and _escalate(core, flight, result):
+    if result.poor and _escalate(core, active, result):
         return
-    _record(core, flight, result)
+    _propose_answer(core, active, result)
 
 
-def _escalate(core: RouterCore, flight: Flight, result: Answered) -> bool:
+def _escalate(core: RouterCore, active: ActiveRequest, result: Answered) -> bool:
     """Ask a costlier version, if there is time; the poor answer is kept.
 
     A session keeps its version, and of a stream the caller has seen a part.
     """
-    request = flight.request
+    request = active.request
     if request.session or not request.repeatable:
         return False
-    if flight.given or flight.chunks_given:
+    if active.responded or active.stream_started:
         return False
-    plan = core.planner.plan_above(request, flight.version, core.now_ms)
+    plan = core.planner.plan_escalation(request, active.version, core.now_ms)
     if plan is None:
         return False
-    flight.poor_answer = PoorAnswer(flight.version, result)
-    start_attempt(core, flight, plan)
+    active.poor_answer = PoorAnswer(active.version, result)
+    start_attempt(core, active, plan)
     return True
 
 
-def _fall_back(core: RouterCore, flight: Flight) -> bool:
+def _use_poor_answer(core: RouterCore, active: ActiveRequest) -> bool:
     """Answer with the poor answer, when there is nothing better."""
-    poor = flight.poor_answer
-    if poor is None or flight.given:
+    poor = active.poor_answer
+    if poor is None or active.responded:
         return False
-    flight.poor_answer = None
-    flight.version = poor.version
-    _record(core, flight, poor.result)
+    active.poor_answer = None
+    active.version = poor.version
+    _propose_answer(core, active, poor.result)
     return True
 
 
-def _record(core: RouterCore, flight: Flight, result: Answered) -> None:
+def _propose_answer(core: RouterCore, active: ActiveRequest, result: Answered) -> None:
     """Have the answer recorded and billed; the caller gets it after that."""
-    request = flight.request
-    flight.recording = True
+    request = active.request
+    active.recording = True
     record = RecordAnswer(
         request.ledger_key,
-        flight.attempt,
-        flight.version,
+        active.attempt_number,
+        active.version,
         result.usage,
         result.answer if request.keyed else None,
         request.arrived_wall_ms,
     )
-    flight.answer = result.answer
+    active.answer = result.answer
     core.effects.append(ProposeAnswer(request.request_id, record))
 
 
-def _try_elsewhere(
-    core: RouterCore, flight: Flight, kind: problems.ProblemType, reason: str
+def _retry_elsewhere(
+    core: RouterCore, active: ActiveRequest, kind: problems.ProblemType, reason: str
 ) -> None:
     """After an attempt that has not run: another endpoint, or the end."""
-    if _fall_back(core, flight):
+    if _use_poor_answer(core, active):
         return
-    if flight.given:
-        close_claim(core, flight)
-        forget(core, flight)
+    if active.responded:
+        close_claim(core, active)
+        remove_request(core, active)
         return
-    if flight.chunks_given:
+    if active.stream_started:
         # Another attempt would begin anew, and the caller has seen a part.
         problem = Problem(problems.ATTEMPT_FAILED, reason, False, NO_STATE_RETRY_MS)
-        give_problem(core, flight, problem)
+        fail_request(core, active, problem)
         return
-    assert flight.leg is not None
-    flight.tried |= {flight.leg.endpoint.name}
+    assert active.current_attempt is not None
+    active.tried_endpoints |= {active.current_attempt.endpoint.name}
     # The version stays: the claim binds it.
-    bound = flight.attempt or flight.request.session
-    version = flight.version if bound else ""
-    plan = plan_attempt(core, flight, version)
+    bound = active.attempt_number or active.request.session
+    version = active.version if bound else ""
+    plan = plan_attempt(core, active, version)
     if isinstance(plan, Plan) and core.lease_valid(core.now_ms):
-        if core.budget.spend():
-            start_attempt(core, flight, plan)
+        if core.retry_budget.spend():
+            start_attempt(core, active, plan)
             return
         reason = f"{reason}; retry budget spent"
-    if isinstance(plan, NoPlan) and plan.held:
+    if isinstance(plan, NoPlan) and plan.quarantined:
         reason = f"{reason}; endpoints crash when they run this request"
     retry_ms = plan.retry_ms if isinstance(plan, NoPlan) else NO_STATE_RETRY_MS
-    problem = Problem(kind, reason, core.not_run(flight), max(retry_ms, 100.0))
-    give_problem(core, flight, problem)
+    problem = Problem(kind, reason, core.not_run(active), max(retry_ms, 100.0))
+    fail_request(core, active, problem)
 
 
-def _broken(core: RouterCore, flight: Flight, result: Broken) -> None:
+def _handle_broken_attempt(
+    core: RouterCore, active: ActiveRequest, result: Broken
+) -> None:
     """After an attempt that may have run."""
-    if _fall_back(core, flight):
+    if _use_poor_answer(core, active):
         return
-    if flight.given:
-        close_claim(core, flight)
-        forget(core, flight)
+    if active.responded:
+        close_claim(core, active)
+        remove_request(core, active)
         return
-    if not flight.request.repeatable:
+    if not active.request.repeatable:
         detail = f"{result.reason}; it may have run and is not repeated"
-        give_problem(core, flight, Problem(problems.OUTCOME_UNKNOWN, detail, None))
+        fail_request(core, active, Problem(problems.OUTCOME_UNKNOWN, detail, None))
         return
-    if flight.chunks_given:
-        _resume(core, flight, result)
+    if active.stream_started:
+        _resume_stream(core, active, result)
         return
-    _try_elsewhere(core, flight, problems.ATTEMPT_FAILED, result.reason)
+    _retry_elsewhere(core, active, problems.ATTEMPT_FAILED, result.reason)
 
 
-def _resume(core: RouterCore, flight: Flight, result: Broken) -> None:
+def _resume_stream(core: RouterCore, active: ActiveRequest, result: Broken) -> None:
     """Go on with a broken stream on the same endpoint and version.
 
     The caller has seen a part of this answer, so no other answer may follow.
     """
-    assert flight.leg is not None
-    usable = core.planner.table.usable(flight.request.organisation, flight.version)
-    held = held_for_ms(core, flight) > 0
-    tries_left = flight.tries <= RESUME_MAX and not held
-    permission = core.endpoints.permission(flight.leg.endpoint.name, core.now_ms)
+    assert active.current_attempt is not None
+    usable = core.planner.table.usable(active.request.organisation, active.version)
+    held = quarantine_left_ms(core, active) > 0
+    tries_left = active.attempt_count <= RESUME_MAX and not held
+    permission = core.endpoints.permission(
+        active.current_attempt.endpoint.name, core.now_ms
+    )
     may_send = permission.granted and core.lease_valid(core.now_ms)
     again = tries_left and usable and may_send
-    if again and core.budget.spend():
-        plan = Plan(flight.version, flight.leg.endpoint, 0.0, "resume", ())
-        start_attempt(core, flight, plan, result.chunks)
+    if again and core.retry_budget.spend():
+        plan = Plan(active.version, active.current_attempt.endpoint, 0.0, "resume", ())
+        start_attempt(core, active, plan, result.chunks)
         return
     retry_ms = NO_STATE_RETRY_MS
     if permission.wait_ms < NEVER_MS:
         retry_ms = max(permission.wait_ms, retry_ms)
     problem = Problem(problems.ATTEMPT_FAILED, result.reason, False, retry_ms)
-    give_problem(core, flight, problem)
+    fail_request(core, active, problem)
 
 
-@HANDLERS.on(AnswerRecordEnded)
-def _record_ended(core: RouterCore, event: AnswerRecordEnded) -> None:
-    flight = core.flights.get(event.request_id)
-    if flight is None:
+@HANDLERS.on(RecordOutcomeReceived)
+def _record_outcome_received(core: RouterCore, event: RecordOutcomeReceived) -> None:
+    active = core.active_requests.get(event.request_id)
+    if active is None:
         return
-    if flight.given:
-        forget(core, flight)
+    if active.responded:
+        remove_request(core, active)
         return
     match event.outcome:
         case AnswerAccepted():
-            assert flight.answer is not None
-            give_answer(core, flight, flight.answer, replayed=False)
-        case AnswerRecorded(version, answer) if answer and not flight.chunks_given:
-            flight.version = version
-            give_answer(core, flight, answer, replayed=True)
+            assert active.answer is not None
+            complete_with_answer(core, active, active.answer, replayed=False)
+        case AnswerRecorded(version, answer) if answer and not active.stream_started:
+            active.version = version
+            complete_with_answer(core, active, answer, replayed=True)
         case None:
             detail = "the answer could not be recorded"
             problem = Problem(
                 problems.STATE_UNAVAILABLE, detail, False, NO_STATE_RETRY_MS
             )
-            give_problem(core, flight, problem)
+            fail_request(core, active, problem)
         case _:
             detail = "another attempt was answered first; ask again for its answer"
-            problem = Problem(problems.ATTEMPT_FAILED, detail, False, CLAIM_AGAIN_MS)
-            give_problem(core, flight, problem)
+            problem = Problem(problems.ATTEMPT_FAILED, detail, False, ANSWER_RETRY_MS)
+            fail_request(core, active, problem)
 
 
 @HANDLERS.on(DeadlinePassed)
 def _deadline_passed(core: RouterCore, event: DeadlinePassed) -> None:
-    flight = core.flights.get(event.request_id)
-    if flight is None or flight.given:
+    active = core.active_requests.get(event.request_id)
+    if active is None or active.responded:
         return
-    if flight.leg is not None and not flight.recording:
-        # Cancelled in flight: what was sent by now is not known here.
-        flight.maybe_ran = True
+    if active.current_attempt is not None and not active.recording:
+        # Cancelled in active: what was sent by now is not known here.
+        active.maybe_ran = True
     problem = Problem(
-        problems.DEADLINE_PASSED, "", core.not_run(flight), NO_STATE_RETRY_MS
+        problems.DEADLINE_PASSED, "", core.not_run(active), NO_STATE_RETRY_MS
     )
-    give_problem(core, flight, problem)
+    fail_request(core, active, problem)
 
 
-@HANDLERS.on(CallerLeft)
-def _caller_left(core: RouterCore, event: CallerLeft) -> None:
-    flight = core.flights.get(event.request_id)
-    if flight is None or flight.given:
+@HANDLERS.on(CallerDisconnected)
+def _caller_disconnected(core: RouterCore, event: CallerDisconnected) -> None:
+    active = core.active_requests.get(event.request_id)
+    if active is None or active.responded:
         return
-    if not is_disposable(flight.request):
+    if not is_disposable(active.request):
         return
-    flight.maybe_ran = flight.leg is not None
-    problem = Problem(problems.DEADLINE_PASSED, "the caller left", core.not_run(flight))
-    give_problem(core, flight, problem)
+    active.maybe_ran = active.current_attempt is not None
+    problem = Problem(problems.DEADLINE_PASSED, "the caller left", core.not_run(active))
+    fail_request(core, active, problem)
--- a/ashlatch/router/attempt_results.py
+++ b/ashlatch/router/attempt_results.py
@@ -10,56 +10,63 @@
 """
 
 from ashlatch.policy.evidence import Failure, Timing
-from ashlatch.router.core import Flight, Leg, RouterCore
-from ashlatch.router.event import Answered, AttemptResult, Broken, Full
-from ashlatch.router.quarantine import crashed, survived
+from ashlatch.router.core import ActiveAttempt, ActiveRequest, RouterCore
+from ashlatch.router.event import Answered, AttemptResult, Broken, Rejected
+from ashlatch.router.quarantine import record_completion, record_crash
 
-__all__ = ["learn"]
+__all__ = ["record_result"]
 
-TIMEOUT_SLACK_MS = 10.0
+DEADLINE_TOLERANCE_MS = 10.0
 
 
-def learn(core: RouterCore, flight: Flight, leg: Leg, result: AttemptResult) -> None:
+def record_result(
+    core: RouterCore,
+    active: ActiveRequest,
+    attempt: ActiveAttempt,
+    result: AttemptResult,
+) -> None:
     """Keep what the attempt tells about its endpoint and its version."""
-    name = leg.endpoint.name
-    took_ms = core.now_ms - leg.sent_ms
+    name = attempt.endpoint.name
+    took_ms = core.now_ms - attempt.sent_ms
     answered = isinstance(result, Answered)
     core.endpoints.load(name).finished(core.now_ms, took_ms if answered else None)
     breaker = core.endpoints.breaker(name)
     if answered:
         breaker.succeeded()
-    elif not isinstance(result, Full) and not flight.given:
+    elif not isinstance(result, Rejected) and not active.responded:
         breaker.failed(core.now_ms)
     if answered:
-        survived(core, flight)
-    if isinstance(result, Broken) and result.ended:
+        record_completion(core, active)
+    if isinstance(result, Broken) and result.endpoint_gone:
         # What comes back at its address begins anew.
         core.endpoints.limits.pop(name, None)
         # Neither for nor against the version: its endpoint was not there any more.
-        crashed(core, flight, name)
+        record_crash(core, active, name)
         return
-    if not flight.version or flight.given:
+    if not active.version or active.responded:
         return
     if isinstance(result, Answered):
-        _learn_answer(core, flight, leg, result)
-    elif isinstance(result, Broken) and not _timed_out(core, flight):
-        failure = Failure(flight.version, core.now_ms, result.replied)
-        core.found(core.evidence.failed(name, failure))
+        _record_answer(core, active, attempt, result)
+    elif isinstance(result, Broken) and not _timed_out(core, active):
+        failure = Failure(active.version, core.now_ms, result.replied)
+        core.add_findings(core.evidence.failed(name, failure))
 
 
-def _timed_out(core: RouterCore, flight: Flight) -> bool:
+def _timed_out(core: RouterCore, active: ActiveRequest) -> bool:
     """Whether the attempt was broken off because the caller's time was up."""
-    return core.now_ms >= flight.request.deadline_ms - TIMEOUT_SLACK_MS
+    return core.now_ms >= active.request.deadline_ms - DEADLINE_TOLERANCE_MS
 
 
-def _learn_answer(core: RouterCore, flight: Flight, leg: Leg, result: Answered) -> None:
-    endpoint = leg.endpoint.name
+def _record_answer(
+    core: RouterCore, active: ActiveRequest, attempt: ActiveAttempt, result: Answered
+) -> None:
+    endpoint = attempt.endpoint.name
     tokens = max(1, result.usage.output_tokens)
-    core.planner.learn_output(flight.version, tokens)
-    sign_ms = result.first_token_ms if flight.request.stream else result.took_ms
-    core.hedging.took(flight.version, flight.request.stream, sign_ms)
-    core.found(core.evidence.answered(endpoint, flight.version, core.now_ms))
-    if leg.had_room:
+    core.planner.record_output(active.version, tokens)
+    sign_ms = result.first_token_ms if active.request.stream else result.took_ms
+    core.hedging.took(active.version, active.request.stream, sign_ms)
+    core.add_findings(core.evidence.answered(endpoint, active.version, core.now_ms))
+    if attempt.had_free_slot:
         token_ms = result.took_ms / tokens
-        timing = Timing(flight.version, leg.sent_ms, core.now_ms, token_ms)
+        timing = Timing(active.version, attempt.sent_ms, core.now_ms, token_ms)
         core.evidence.timed(endpoint, timing)
--- a/ashlatch/router/completion.py
+++ b/ashlatch/router/completion.py
@@ -15,12 +15,12 @@
 from ashlatch.http import problem as problems
 from ashlatch.http.problem import Problem
 from ashlatch.log import LogEvent
-from ashlatch.router.core import Flight, RouterCore
+from ashlatch.router.core import ActiveRequest, RouterCore
 from ashlatch.router.effect import (
     CancelAttempt,
-    GiveAnswer,
-    GiveProblem,
     ProposeClose,
+    SendAnswer,
+    SendProblem,
     WriteLog,
 )
 from ashlatch.router.event import Request
@@ -32,10 +32,10 @@
 __all__ = [
     "RequestEnded",
     "close_claim",
-    "end_with_problem",
-    "forget",
-    "give_answer",
-    "give_problem",
+    "send_problem",
+    "remove_request",
+    "complete_with_answer",
+    "fail_request",
     "is_disposable",
 ]
 
@@ -66,84 +66,88 @@
     return request.repeatable and not request.keyed
 
 
-def give_answer(
-    core: RouterCore, flight: Flight, answer: StoredAnswer, replayed: bool
+def complete_with_answer(
+    core: RouterCore, active: ActiveRequest, answer: StoredAnswer, replayed: bool
 ) -> None:
     """End the request with a recorded answer."""
-    request = flight.request
-    flight.given = True
+    request = active.request
+    active.responded = True
     core.effects.append(
-        GiveAnswer(
+        SendAnswer(
             request.request_id,
             answer,
-            flight.version,
-            flight.version_changed,
+            active.version,
+            active.version_changed,
             replayed,
         )
     )
-    _log_end(core, flight, answer.status, None)
+    _log_end(core, active, answer.status, None)
     core.limits.ended(request.organisation)
-    forget(core, flight)
+    remove_request(core, active)
 
 
-def give_problem(core: RouterCore, flight: Flight, problem: Problem) -> None:
+def fail_request(core: RouterCore, active: ActiveRequest, problem: Problem) -> None:
     """End the request without an answer, at once."""
-    flight.given = True
-    core.drop_hedge(flight)
-    running = flight.leg is not None and not flight.recording
+    active.responded = True
+    core.cancel_hedge(active)
+    running = active.current_attempt is not None and not active.recording
     if running and problem.kind is problems.DEADLINE_PASSED:
-        # The attempt's own end closes the claim and forgets the flight.
-        if flight.leg is not None and is_disposable(flight.request):
-            core.effects.append(CancelAttempt(flight.leg.attempt_id))
-    elif not flight.recording:
-        close_claim(core, flight)
-    end_with_problem(core, flight, problem, admitted=True)
+        # The attempt's own end closes the claim and forgets the active.
+        if active.current_attempt is not None and is_disposable(active.request):
+            core.effects.append(CancelAttempt(active.current_attempt.attempt_id))
+    elif not active.recording:
+        close_claim(core, active)
+    send_problem(core, active, problem, admitted=True)
 
 
-def end_with_problem(
-    core: RouterCore, flight: Flight, problem: Problem, admitted: bool
+def send_problem(
+    core: RouterCore, active: ActiveRequest, problem: Problem, admitted: bool
 ) -> None:
     """Tell the caller; `admitted` when the limits have counted the request."""
-    request = flight.request
-    core.effects.append(GiveProblem(request.request_id, problem))
-    _log_end(core, flight, problem.kind.status, problem)
+    request = active.request
+    core.effects.append(SendProblem(request.request_id, problem))
+    _log_end(core, active, problem.kind.status, problem)
     if admitted:
         core.limits.ended(request.organisation)
-    cancelled = problem.kind is problems.DEADLINE_PASSED and flight.leg is not None
+    cancelled = (
+        problem.kind is problems.DEADLINE_PASSED and active.current_attempt is not None
+    )
     if not cancelled or not admitted:
-        forget(core, flight)
+        remove_request(core, active)
 
 
-def close_claim(core: RouterCore, flight: Flight) -> None:
+def close_claim(core: RouterCore, active: ActiveRequest) -> None:
     """Tell the ledger that the claim's attempt ended without an answer."""
-    if flight.attempt:
+    if active.attempt_number:
         close = Close(
-            flight.request.ledger_key, flight.attempt, not_run=not flight.maybe_ran
+            active.request.ledger_key,
+            active.attempt_number,
+            not_run=not active.maybe_ran,
         )
         core.effects.append(ProposeClose(close))
 
 
-def forget(core: RouterCore, flight: Flight) -> None:
+def remove_request(core: RouterCore, active: ActiveRequest) -> None:
     """Keep nothing more of a request."""
-    core.flights.pop(flight.request.request_id, None)
+    core.active_requests.pop(active.request.request_id, None)
 
 
 def _log_end(
-    core: RouterCore, flight: Flight, status: int, problem: Problem | None
+    core: RouterCore, active: ActiveRequest, status: int, problem: Problem | None
 ) -> None:
-    request = flight.request
+    request = active.request
     not_run = "" if problem is None else str(problem.not_run).lower()
     ended = RequestEnded(
         request.request_id,
         request.organisation,
         request.target,
-        flight.version,
-        flight.leg.endpoint.name if flight.leg else "",
+        active.version,
+        active.current_attempt.endpoint.name if active.current_attempt else "",
         status,
         problem.kind.name if problem else "",
         not_run,
-        flight.tries,
-        core.now_ms - flight.arrived_ms,
+        active.attempt_count,
+        core.now_ms - active.arrived_ms,
         core.table_revision,
     )
     core.effects.append(WriteLog(ended))
--- a/ashlatch/router/core.py
+++ b/ashlatch/router/core.py
@@ -23,7 +23,7 @@
 from ashlatch.policy.table import NamedEndpoint
 from ashlatch.registry import Handlers
 from ashlatch.router.effect import CancelAttempt, Effect, StartAttempt
-from ashlatch.router.endpoints import EndpointBook
+from ashlatch.router.endpoints import EndpointStates
 from ashlatch.router.event import Answered, Event, Request, RequestKind
 from ashlatch.router.plan import Planner
 from ashlatch.settings import PolicySettings
@@ -32,8 +32,8 @@
 __all__ = [
     "HANDLERS",
     "CachedPin",
-    "Flight",
-    "Leg",
+    "ActiveRequest",
+    "ActiveAttempt",
     "PoorAnswer",
     "RouterConfig",
     "RouterCore",
@@ -41,7 +41,7 @@
 
 HANDLERS = Handlers("router")
 
-SEND_MARGIN_MS = 50.0
+LEASE_MARGIN_MS = 50.0
 
 
 @dataclass(frozen=True)
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class Leg:
+class ActiveAttempt:
     """One attempt under way.
 
     `had_room` tells that the endpoint had a free slot when it was sent.
@@ -72,42 +72,42 @@
     attempt_id: str
     endpoint: NamedEndpoint
     sent_ms: float
-    had_room: bool
+    had_free_slot: bool
 
 
 @dataclass
-class Flight:
+class ActiveRequest:
     """A request between its arrival and its final answer.
 
     `attempt` is its number in the ledger, 0 without a claim. `maybe_ran` is
     set as soon as a byte may have been sent, here or by an earlier attempt.
-    `given` is set when the caller has its final answer or is gone. `leg` is
+    `given` is set when the caller has its final answer or is gone. `attempt` is
     the newest attempt, `hedge` a second one for the same answer.
     """
 
     request: Request
     arrived_ms: float
     version: str = ""
-    leg: Leg | None = None
-    hedge: Leg | None = None
-    attempt: int = 0
-    tries: int = 0
+    current_attempt: ActiveAttempt | None = None
+    hedge: ActiveAttempt | None = None
+    attempt_number: int = 0
+    attempt_count: int = 0
     claim_id: str = ""
-    tried: frozenset[str] = frozenset()
+    tried_endpoints: frozenset[str] = frozenset()
     version_changed: bool = False
     maybe_ran: bool = False
     history_known: bool = True
     recording: bool = False
     answer: StoredAnswer | None = None
     poor_answer: PoorAnswer | None = None
-    chunks_given: bool = False
-    given: bool = False
+    stream_started: bool = False
+    responded: bool = False
 
-    def leg_of(self, attempt_id: str) -> Leg | None:
+    def find_attempt(self, attempt_id: str) -> ActiveAttempt | None:
         """The attempt under way of this id."""
-        for leg in (self.leg, self.hedge):
-            if leg is not None and leg.attempt_id == attempt_id:
-                return leg
+        for attempt in (self.current_attempt, self.hedge):
+            if attempt is not None and attempt.attempt_id == attempt_id:
+                return attempt
         return None
 
 
@@ -131,13 +131,13 @@
     now_ms: float = 0.0
     lease_until_ms: float = float("-inf")
     draining: bool = False
-    flights: dict[str, Flight] = field(default_factory=dict)
-    losers: dict[str, str] = field(default_factory=dict)
+    active_requests: dict[str, ActiveRequest] = field(default_factory=dict)
+    cancelled_attempts: dict[str, str] = field(default_factory=dict)
     quarantine: Quarantine = field(default_factory=Quarantine)
     pins: dict[tuple[str, str], CachedPin] = field(default_factory=dict)
     evidence: Evidence = field(default_factory=Evidence)
     tallies: dict[str, VersionTally] = field(default_factory=dict)
-    seen_totals: dict[str, VersionTally] = field(default_factory=dict)
+    last_totals: dict[str, VersionTally] = field(default_factory=dict)
     paces: Paces = field(default_factory=Paces)
     limits: Limits = field(default_factory=Limits)
     effects: list[Effect] = field(default_factory=list)
@@ -147,7 +147,7 @@
         self.planner = Planner(
             self.config.policy, self.config.vm, self.config.hall, self.random
         )
-        self.budget = RetryBudget(self.config.policy.retry_ratio)
+        self.retry_budget = RetryBudget(self.config.policy.retry_ratio)
         self.hedging = Hedging(self.config.policy.hedge_samples_min)
         self.hedge_budget = RetryBudget(self.config.policy.hedge_ratio)
 
@@ -158,14 +158,14 @@
         effects, self.effects = self.effects, []
         return effects
 
-    def found(self, findings: list[Finding]) -> None:
+    def add_findings(self, findings: list[Finding]) -> None:
         """Add what is now held to be the versions' own doing to their tallies."""
         for finding in findings:
             known = self.tallies.get(finding.version, VersionTally())
             self.tallies[finding.version] = known.plus(finding.tally)
 
     @property
-    def endpoints(self) -> EndpointBook:
+    def endpoints(self) -> EndpointStates:
         """What is known of each endpoint."""
         return self.planner.endpoints
 
@@ -178,64 +178,66 @@
         """Whether new work may be taken, by the configuration lease."""
         return now_ms < self.lease_until_ms
 
-    def may_send(self, now_ms: float, attempt: StartAttempt) -> bool:
+    def may_send(self, now_ms: float, effect: StartAttempt) -> bool:
         """The last check, asked when an attempt's connection stands."""
-        if now_ms + SEND_MARGIN_MS >= self.lease_until_ms:
+        if now_ms + LEASE_MARGIN_MS >= self.lease_until_ms:
             return False
-        request = attempt.request
-        flight = self.flights.get(request.request_id)
-        if flight is None or flight.given:
+        request = effect.request
+        active = self.active_requests.get(request.request_id)
+        if active is None or active.responded:
             return False
-        if flight.leg_of(attempt.attempt_id) is None:
+        if active.find_attempt(effect.attempt_id) is None:
             return False
-        if not self.endpoints.open_permission(attempt.endpoint, now_ms).granted:
+        if not self.endpoints.permission_ignoring_limit(
+            effect.endpoint, now_ms
+        ).granted:
             return False
         if request.kind is RequestKind.SERVICE:
             return True
-        return self.planner.table.usable(request.organisation, attempt.version)
+        return self.planner.table.usable(request.organisation, effect.version)
 
-    def may_pass(self, request_id: str, attempt_id: str) -> bool:
+    def may_forward(self, request_id: str, attempt_id: str) -> bool:
         """Whether the caller gets the chunks of this attempt, and of no other."""
-        flight = self.flights.get(request_id)
-        if flight is None or flight.leg is None or flight.given:
+        active = self.active_requests.get(request_id)
+        if active is None or active.current_attempt is None or active.responded:
             return False
-        return flight.chunks_given and flight.leg.attempt_id == attempt_id
+        return active.stream_started and active.current_attempt.attempt_id == attempt_id
 
-    def prefer(self, flight: Flight, attempt_id: str) -> bool:
+    def select_attempt(self, active: ActiveRequest, attempt_id: str) -> bool:
         """Go on with one attempt and cancel the other, if there are two."""
-        leg = flight.leg_of(attempt_id)
-        if leg is None:
+        attempt = active.find_attempt(attempt_id)
+        if attempt is None:
             return False
-        if leg is flight.hedge:
-            flight.leg, flight.hedge = flight.hedge, flight.leg
-        self.drop_hedge(flight)
+        if attempt is active.hedge:
+            active.current_attempt, active.hedge = active.hedge, active.current_attempt
+        self.cancel_hedge(active)
         return True
 
-    def drop_hedge(self, flight: Flight) -> None:
+    def cancel_hedge(self, active: ActiveRequest) -> None:
         """Cancel the second attempt; its answer is not billed."""
-        if flight.hedge is not None:
-            hedge, flight.hedge = flight.hedge, None
-            self.losers[hedge.attempt_id] = hedge.endpoint.name
+        if active.hedge is not None:
+            hedge, active.hedge = active.hedge, None
+            self.cancelled_attempts[hedge.attempt_id] = hedge.endpoint.name
             self.effects.append(CancelAttempt(hedge.attempt_id))
 
-    def not_run(self, flight: Flight) -> bool | None:
+    def not_run(self, active: ActiveRequest) -> bool | None:
         """What may be said of whether a request has run (R6).
 
         Once the lease has lapsed, the state may have let another router take
         a request over that has a key of its own.
         """
-        if flight.maybe_ran:
-            return False if flight.request.repeatable else None
-        if flight.request.keyed and not self.lease_valid(self.now_ms):
+        if active.maybe_ran:
+            return False if active.request.repeatable else None
+        if active.request.keyed and not self.lease_valid(self.now_ms):
             return None
-        return True if flight.history_known else None
+        return True if active.history_known else None
 
-    def assert_allowed(self, flight: Flight) -> None:
+    def assert_allowed(self, active: ActiveRequest) -> None:
         """R1 and R2, asserted at the choice of a version."""
-        request = flight.request
+        request = active.request
         if request.kind is RequestKind.SERVICE:
             return
-        if not self.planner.table.allows(request.organisation, flight.version):
-            raise InvariantViolated("R1", f"{request.organisation} on {flight.version}")
-        if flight.version in self.planner.table.withdrawn:
-            raise InvariantViolated("R2", flight.version)
+        if not self.planner.table.allows(request.organisation, active.version):
+            raise InvariantViolated("R1", f"{request.organisation} on {active.version}")
+        if active.version in self.planner.table.withdrawn:
+            raise InvariantViolated("R2", active.version)
--- a/ashlatch/router/daemon.py
+++ b/ashlatch/router/daemon.py
@@ -34,8 +34,8 @@
 from ashlatch.periodic import Periodic
 from ashlatch.policy.table import RoutingTable, TableBuilder
 from ashlatch.router.api import (
+    ArrivalTime,
     BadRequest,
-    Clock,
     authenticate,
     read_chat,
     read_service,
@@ -43,17 +43,17 @@
 from ashlatch.router.event import (
     Answered,
     ConfigurationChanged,
-    CrashesLearnt,
+    CrashRecordsReceived,
     DrainStarted,
     LeaseRenewed,
     LoadReported,
-    Rated,
+    RatingReceived,
     Request,
-    VersionTallied,
     VersionTotals,
+    VersionTotalsReceived,
 )
 from ashlatch.router.host import RouterHost
-from ashlatch.router.responder import Conversation
+from ashlatch.router.responder import Responder
 from ashlatch.rpc import Address
 from ashlatch.settings import RouterSettings
 from ashlatch.store.protocol import RouterPoll, RouterReply, VersionReport
@@ -64,8 +64,8 @@
 
 POLL_RETRY_S = 0.05
 # How long a heartbeat is held while a version is suspected.
-SUSPECTED_WAIT_MS = 100.0
-FIRST_CONFIGURATION_S = 20.0
+SUSPECTED_POLL_WAIT_MS = 100.0
+FIRST_CONFIGURATION_TIMEOUT_S = 20.0
 STOP_CHECK_S = 0.02
 SERVICES = "/v1/services/"
 
@@ -115,33 +115,33 @@
         self._ready = threading.Event()
         self._periodic = Periodic(failed)
         self._server = HttpServer(
-            Address.parse(settings.listen), self._answer, settings.http
+            Address.parse(settings.listen), self._handle, settings.http
         )
         self._ratings = RatingService(settings.rating_url)
         self._random = random.Random(settings.policy.seed)
         self._crashes_known = 0
-        self._crashes_found = asyncio.Event()
+        self._crash_found = asyncio.Event()
 
     def start(self) -> None:
         """Serve, once the first configuration is applied.
 
         Without a state the router serves too, and refuses everything.
         """
-        self.host.crashes_found = self._crashes_found.set
+        self.host.on_crash = self._crash_found.set
         self.host.rpc.keep(self._poll_state(), self._failed)
-        self.host.rpc.keep(self._tell_crashes(), self._failed)
+        self.host.rpc.keep(self._report_crashes(), self._failed)
         settings, repeat = self.settings, self._periodic.start
-        repeat("load", self._read_loads, settings.load_poll_ms)
+        repeat("load", self._poll_loads, settings.load_poll_ms)
         if settings.rating_url:
-            self.host.answered = self._sample
+            self.host.on_answer = self._sample_answer
             self._periodic.start(
-                "ratings", self._read_ratings, self.settings.rating_poll_ms
+                "ratings", self._poll_ratings, self.settings.rating_poll_ms
             )
-        self._ready.wait(FIRST_CONFIGURATION_S)
+        self._ready.wait(FIRST_CONFIGURATION_TIMEOUT_S)
         self._server.start()
 
     def stop(self) -> int:
-        """Drain: refuse new work, let all in flight end whole, then stop."""
+        """Drain: refuse new work, let all in active end whole, then stop."""
         self.host.post(DrainStarted())
         emit(log, DrainBegun(self.settings.vm, self.host.in_flight()))
         time.sleep(self.settings.drain_ms / 1000.0)
@@ -172,7 +172,7 @@
                 continue
             self._apply(reply, sent_ms)
 
-    async def _tell_crashes(self) -> None:
+    async def _report_crashes(self) -> None:
         """Tell the state at once of crashes; a heartbeat may be held for long.
 
         The caller's repeat may come to another router within milliseconds. Of the
@@ -180,8 +180,8 @@
         in their order.
         """
         while True:
-            await self._crashes_found.wait()
-            self._crashes_found.clear()
+            await self._crash_found.wait()
+            self._crash_found.clear()
             poll = msgspec.structs.replace(self._heartbeat(), wait_ms=0.0)
             try:
                 reply = await self.host.client.poll_router(poll)
@@ -190,22 +190,22 @@
                 event = StateUnreachable(self.settings.vm, error.reason, left_ms)
                 emit(log, event, logging.WARNING)
                 continue
-            self._take_crashes(reply)
+            self._apply_crashes(reply)
 
-    def _take_crashes(self, reply: RouterReply) -> None:
+    def _apply_crashes(self, reply: RouterReply) -> None:
         if reply.crashes:
-            self.host.post(CrashesLearnt(reply.crashes))
+            self.host.post(CrashRecordsReceived(reply.crashes))
         self._crashes_known = max(self._crashes_known, reply.crashes_known)
 
     def _heartbeat(self) -> RouterPoll:
         core = self.host.core
         reports = tuple(
-            VersionReport.of(version, tally, core.planner.suspended(version))
+            VersionReport.of(version, tally, core.planner.is_suspended(version))
             for version, tally in list(core.tallies.items())
         )
         wait_ms = self.settings.poll_wait_ms
-        if any(core.planner.suspected(version) for version in list(core.tallies)):
-            wait_ms = min(wait_ms, SUSPECTED_WAIT_MS)
+        if any(core.planner.is_suspected(version) for version in list(core.tallies)):
+            wait_ms = min(wait_ms, SUSPECTED_POLL_WAIT_MS)
         if not self._ready.is_set():
             wait_ms = 0.0
         return RouterPoll(
@@ -227,16 +227,16 @@
         totals = tuple(
             VersionTotals(report.version, report.tally) for report in reply.totals
         )
-        self.host.post(VersionTallied(totals))
-        self._take_crashes(reply)
+        self.host.post(VersionTotalsReceived(totals))
+        self._apply_crashes(reply)
         self._ready.set()
 
-    def _read_loads(self) -> None:
+    def _poll_loads(self) -> None:
         for pool, spec in list(self.host.core.planner.table.pools.items()):
             if not spec.report_url:
                 continue
             try:
-                offered = self.host.core.planner.offered(pool)
+                offered = self.host.core.planner.pool_subset(pool)
                 report = read_pool(
                     spec.report_url,
                     monotonic_ms(),
@@ -248,8 +248,8 @@
                 continue
             self.host.post(LoadReported(pool, report.reports, report.leaving))
 
-    def _sample(self, request: Request, version: str, result: Answered) -> None:
-        suspected = self.host.core.planner.suspected(version)
+    def _sample_answer(self, request: Request, version: str, result: Answered) -> None:
+        suspected = self.host.core.planner.is_suspected(version)
         ratio = 1.0 if suspected else self.settings.rating_sample_ratio
         if self._random.random() >= ratio:
             return
@@ -265,18 +265,18 @@
 
         self.host.submit(submit)
 
-    def _read_ratings(self) -> None:
+    def _poll_ratings(self) -> None:
         try:
             ratings = self._ratings.read()
         except RatingUnreadable:
             self.host.metrics.count("rating_polls_failed")
             return
         for rating in ratings:
-            self.host.post(Rated(rating.route, rating.version, rating.rating))
+            self.host.post(RatingReceived(rating.route, rating.version, rating.rating))
 
     # What callers get.
 
-    def _answer(self, http: HttpRequest) -> Response:
+    def _handle(self, http: HttpRequest) -> Response:
         if http.path == "/healthz":
             return Response("ok\n")
         if http.path == "/readyz":
@@ -298,7 +298,7 @@
             organisation = authenticate(http, table)
             if http.path == "/v1/models" and http.method == "GET":
                 return self._models(organisation)
-            request = self._read(http, organisation)
+            request = self._read_request(http, organisation)
         except BadRequest as error:
             return problem_response(error.problem)
         return self._serve(http, request)
@@ -320,8 +320,8 @@
         body = json.dumps({"object": "list", "data": data})
         return Response(body, content_type="application/json")
 
-    def _read(self, http: HttpRequest, organisation: str) -> Request:
-        clock = Clock(monotonic_ms(), unix_ms(), self.settings.deadline_max_ms)
+    def _read_request(self, http: HttpRequest, organisation: str) -> Request:
+        clock = ArrivalTime(monotonic_ms(), unix_ms(), self.settings.deadline_max_ms)
         table = self.host.core.planner.table
         if http.path == "/v1/chat/completions" and http.method == "POST":
             return read_chat(http, organisation, table, clock)
@@ -332,6 +332,6 @@
 
     def _serve(self, http: HttpRequest, request: Request) -> Response:
         began_ms = monotonic_ms()
-        mailbox = self.host.open(request)
-        conversation = Conversation(self.host, http, request, mailbox, began_ms)
+        mailbox = self.host.open_request(request)
+        conversation = Responder(self.host, http, request, mailbox, began_ms)
         return conversation.respond()
--- a/ashlatch/router/effect.py
+++ b/ashlatch/router/effect.py
@@ -19,15 +19,15 @@
 __all__ = [
     "CancelAttempt",
     "Effect",
-    "GiveAnswer",
-    "GiveProblem",
+    "SendAnswer",
+    "SendProblem",
     "ProposeAnswer",
     "ProposeClaim",
     "ProposeClose",
-    "ScheduleClaim",
+    "ScheduleClaimRetry",
     "ScheduleHedge",
     "StartAttempt",
-    "TellCrashes",
+    "ReportCrashes",
     "WriteLog",
 ]
 
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True)
-class ScheduleClaim:
+class ScheduleClaimRetry:
     """Send `ClaimDue` after a while."""
 
     request_id: str
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True)
-class GiveAnswer:
+class SendAnswer:
     """End the caller's request with a whole answer."""
 
     request_id: str
@@ -107,7 +107,7 @@
 
 
 @dataclass(frozen=True)
-class GiveProblem:
+class SendProblem:
     """End the caller's request without an answer."""
 
     request_id: str
@@ -115,7 +115,7 @@
 
 
 @dataclass(frozen=True)
-class TellCrashes:
+class ReportCrashes:
     """Tell the state at once what was found of requests that crash endpoints."""
 
 
@@ -128,14 +128,14 @@
 
 Effect = (
     ProposeClaim
-    | ScheduleClaim
+    | ScheduleClaimRetry
     | ScheduleHedge
     | ProposeClose
     | ProposeAnswer
     | StartAttempt
     | CancelAttempt
-    | GiveAnswer
-    | GiveProblem
-    | TellCrashes
+    | SendAnswer
+    | SendProblem
+    | ReportCrashes
     | WriteLog
 )
--- a/ashlatch/router/endpoints.py
+++ b/ashlatch/router/endpoints.py
@@ -20,13 +20,13 @@
 from ashlatch.policy.rate_limit import RateLimit, Sharers
 from ashlatch.settings import PolicySettings
 
-__all__ = ["EndpointBook"]
+__all__ = ["EndpointStates"]
 
 _LEAVING = Permission(Barrier.LEAVING, NEVER_MS)
 
 
 @dataclass
-class EndpointBook:
+class EndpointStates:
     """The endpoints of a router by their names.
 
     `leaving` have said so themselves, `listed_leaving` are to be left by the newest
@@ -44,15 +44,15 @@
     listed_leaving: frozenset[str] = frozenset()
     sharers: Sharers = Sharers(in_touch=False)
 
-    def keep_only(self, known: Set[str]) -> None:
+    def retain(self, names: Set[str]) -> None:
         """Drop what is known of other endpoints, once nothing runs there."""
-        for name in [n for n in self.loads if n not in known]:
+        for name in [n for n in self.loads if n not in names]:
             if self.loads[name].in_flight == 0:
                 del self.loads[name]
                 self.breakers.pop(name, None)
                 self.limits.pop(name, None)
                 self.backoffs.pop(name, None)
-        self.leaving &= known
+        self.leaving &= names
 
     def is_leaving(self, endpoint: str) -> bool:
         """Whether an endpoint gets no new work, by any source (R8)."""
@@ -80,7 +80,7 @@
         """The backoff that an endpoint has asked for."""
         return self.backoffs.setdefault(endpoint, Backoff())
 
-    def served(self, endpoint: str, sent_ms: float) -> None:
+    def record_served(self, endpoint: str, sent_ms: float) -> None:
         """A request that was sent at this time has not been turned away."""
         backoff = self.backoffs.get(endpoint)
         if backoff is not None and sent_ms >= backoff.until_ms:
@@ -93,7 +93,7 @@
 
     def permission(self, endpoint: str, now_ms: float) -> Permission:
         """Whether a request may be sent to an endpoint, and if not, from when."""
-        open_permission = self.open_permission(endpoint, now_ms)
+        open_permission = self.permission_ignoring_limit(endpoint, now_ms)
         limit = self.limits.get(endpoint)
         limit_ms = limit.wait_ms(self.sharers, now_ms) if limit else 0.0
         if open_permission.barrier is None:
@@ -101,7 +101,7 @@
         waits = [(open_permission.barrier, open_permission.wait_ms)]
         return combine([*waits, (Barrier.LIMITED, limit_ms)])
 
-    def open_permission(self, endpoint: str, now_ms: float) -> Permission:
+    def permission_ignoring_limit(self, endpoint: str, now_ms: float) -> Permission:
         """The same without its rate limit, from which a planned send has been taken."""
         if self.is_leaving(endpoint):
             return _LEAVING
@@ -109,7 +109,7 @@
         backoff_ms = backoff.wait_ms(now_ms) if backoff else 0.0
         return combine([(Barrier.BACKOFF, backoff_ms)])
 
-    def sent(self, endpoint: str, now_ms: float) -> None:
+    def record_sent(self, endpoint: str, now_ms: float) -> None:
         """A request goes to an endpoint."""
         self.load(endpoint).sent(now_ms)
         self.breaker(endpoint).sent(now_ms)
--- a/ashlatch/router/event.py
+++ b/ashlatch/router/event.py
@@ -26,31 +26,31 @@
 )
 
 __all__ = [
-    "AnswerRecordEnded",
+    "RecordOutcomeReceived",
     "Answered",
     "AttemptEnded",
     "AttemptResult",
     "Broken",
-    "CallerLeft",
-    "ClaimDue",
-    "ClaimEnded",
+    "CallerDisconnected",
+    "ClaimRetryDue",
+    "ClaimOutcomeReceived",
     "ConfigurationChanged",
-    "CrashesLearnt",
+    "CrashRecordsReceived",
     "DeadlinePassed",
     "DrainStarted",
-    "EndpointHeard",
+    "EndpointNoticeReceived",
     "Event",
-    "FirstChunk",
-    "Full",
+    "FirstChunkReceived",
+    "Rejected",
     "HedgeDue",
     "LeaseRenewed",
     "LoadReported",
     "NotSent",
-    "Rated",
+    "RatingReceived",
     "Request",
     "RequestArrived",
     "RequestKind",
-    "VersionTallied",
+    "VersionTotalsReceived",
     "VersionTotals",
 ]
 
@@ -122,7 +122,7 @@
 
 
 @dataclass(frozen=True)
-class Full:
+class Rejected:
     """The endpoint refused before it ran anything, and says so."""
 
     reason: str
@@ -141,10 +141,10 @@
     reason: str
     chunks: int = 0
     replied: bool = False
-    ended: bool = False
+    endpoint_gone: bool = False
 
 
-AttemptResult = Answered | NotSent | Full | Broken
+AttemptResult = Answered | NotSent | Rejected | Broken
 
 
 # Events.
@@ -159,8 +159,8 @@
     """
 
     table: RoutingTable
-    touched_versions: frozenset[str] = frozenset()
-    touched_organisations: frozenset[str] = frozenset()
+    changed_versions: frozenset[str] = frozenset()
+    changed_organisations: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True)
@@ -182,7 +182,7 @@
 
 
 @dataclass(frozen=True)
-class Rated:
+class RatingReceived:
     """The rating service has rated an answer."""
 
     route: str
@@ -191,7 +191,7 @@
 
 
 @dataclass(frozen=True)
-class CrashesLearnt:
+class CrashRecordsReceived:
     """What all routers together have found of requests that crash endpoints."""
 
     records: tuple[CrashRecord, ...]
@@ -206,7 +206,7 @@
 
 
 @dataclass(frozen=True)
-class VersionTallied:
+class VersionTotalsReceived:
     """Newest totals of the versions, as the state has gathered them."""
 
     totals: tuple[VersionTotals, ...]
@@ -220,7 +220,7 @@
 
 
 @dataclass(frozen=True)
-class ClaimEnded:
+class ClaimOutcomeReceived:
     """The ledger has answered a claim; no outcome when it did not."""
 
     request_id: str
@@ -229,7 +229,7 @@
 
 
 @dataclass(frozen=True)
-class ClaimDue:
+class ClaimRetryDue:
     """It is time to look again at a request that runs elsewhere."""
 
     request_id: str
@@ -244,7 +244,7 @@
 
 
 @dataclass(frozen=True)
-class FirstChunk:
+class FirstChunkReceived:
     """The first piece of an answer is there; `may_pass` tells who gets it."""
 
     request_id: str
@@ -252,7 +252,7 @@
 
 
 @dataclass(frozen=True)
-class EndpointHeard:
+class EndpointNoticeReceived:
     """The head of an endpoint's answer is there, and says what the endpoint takes.
 
     `limit_per_s` is infinite if it names none, none if it cannot be read. The request
@@ -264,7 +264,7 @@
     endpoint: str
     limit_per_s: float | None
     sent_ms: float
-    run: bool
+    was_run: bool
     backoff_ms: float = 0.0
     leaving: bool = False
 
@@ -279,7 +279,7 @@
 
 
 @dataclass(frozen=True)
-class AnswerRecordEnded:
+class RecordOutcomeReceived:
     """The ledger has answered a record; no outcome when it did not."""
 
     request_id: str
@@ -294,7 +294,7 @@
 
 
 @dataclass(frozen=True)
-class CallerLeft:
+class CallerDisconnected:
     """The caller has closed the connection."""
 
     request_id: str
@@ -309,18 +309,18 @@
     ConfigurationChanged
     | LeaseRenewed
     | LoadReported
-    | Rated
-    | VersionTallied
-    | CrashesLearnt
+    | RatingReceived
+    | VersionTotalsReceived
+    | CrashRecordsReceived
     | RequestArrived
-    | ClaimEnded
-    | ClaimDue
+    | ClaimOutcomeReceived
+    | ClaimRetryDue
     | HedgeDue
-    | FirstChunk
-    | EndpointHeard
+    | FirstChunkReceived
+    | EndpointNoticeReceived
     | AttemptEnded
-    | AnswerRecordEnded
+    | RecordOutcomeReceived
     | DeadlinePassed
-    | CallerLeft
+    | CallerDisconnected
     | DrainStarted
 )
--- a/ashlatch/router/hedge.py
+++ b/ashlatch/router/hedge.py
@@ -10,7 +10,7 @@
 :license: MIT, see LICENSE for details.
 """
 
-from ashlatch.router.core import HANDLERS, Flight, RouterCore
+from ashlatch.router.core import HANDLERS, ActiveRequest, RouterCore
 from ashlatch.router.event import HedgeDue
 from ashlatch.router.planning_result import Plan
 from ashlatch.router.sending import plan_attempt, start_hedge
@@ -20,29 +20,32 @@
 
 @HANDLERS.on(HedgeDue)
 def _hedge_due(core: RouterCore, event: HedgeDue) -> None:
-    flight = core.flights.get(event.request_id)
-    if flight is None or not _still_waits(core, flight, event.attempt_id):
+    active = core.active_requests.get(event.request_id)
+    if active is None or not _needs_hedge(core, active, event.attempt_id):
         return
-    plan = _plan(core, flight)
+    plan = _plan_hedge(core, active)
     if plan is not None and core.hedge_budget.spend():
-        start_hedge(core, flight, plan)
+        start_hedge(core, active, plan)
 
 
-def _still_waits(core: RouterCore, flight: Flight, attempt_id: str) -> bool:
-    own = flight.leg is not None and flight.leg.attempt_id == attempt_id
-    answered = flight.given or flight.recording or flight.chunks_given
-    alone = flight.hedge is None
+def _needs_hedge(core: RouterCore, active: ActiveRequest, attempt_id: str) -> bool:
+    own = (
+        active.current_attempt is not None
+        and active.current_attempt.attempt_id == attempt_id
+    )
+    answered = active.responded or active.recording or active.stream_started
+    alone = active.hedge is None
     return own and alone and not answered and core.lease_valid(core.now_ms)
 
 
-def _plan(core: RouterCore, flight: Flight) -> Plan | None:
+def _plan_hedge(core: RouterCore, active: ActiveRequest) -> Plan | None:
     """The same version on another endpoint, if one has room.
 
     A hedge must not make others wait: under load there is none.
     """
-    assert flight.leg is not None
-    flight.tried |= {flight.leg.endpoint.name}
-    plan = plan_attempt(core, flight, flight.version)
+    assert active.current_attempt is not None
+    active.tried_endpoints |= {active.current_attempt.endpoint.name}
+    plan = plan_attempt(core, active, active.version)
     if not isinstance(plan, Plan):
         return None
     return plan if core.endpoints.load(plan.endpoint.name).has_room() else None
--- a/ashlatch/router/host.py
+++ b/ashlatch/router/host.py
@@ -35,30 +35,30 @@
 from ashlatch.router.core import RouterConfig, RouterCore
 from ashlatch.router.effect import (
     CancelAttempt,
-    GiveAnswer,
-    GiveProblem,
     ProposeAnswer,
     ProposeClaim,
     ProposeClose,
-    ScheduleClaim,
+    ReportCrashes,
+    ScheduleClaimRetry,
     ScheduleHedge,
+    SendAnswer,
+    SendProblem,
     StartAttempt,
-    TellCrashes,
     WriteLog,
 )
 from ashlatch.router.event import (
     Answered,
-    AnswerRecordEnded,
     AttemptEnded,
     AttemptResult,
     Broken,
-    ClaimDue,
-    ClaimEnded,
-    EndpointHeard,
+    ClaimOutcomeReceived,
+    ClaimRetryDue,
+    EndpointNoticeReceived,
     Event,
-    FirstChunk,
+    FirstChunkReceived,
     HedgeDue,
     NotSent,
+    RecordOutcomeReceived,
     Request,
     RequestArrived,
     RequestKind,
@@ -73,7 +73,7 @@
 EFFECTS = Handlers("router effect")
 
 # Importing the modules registers their handlers.
-_HANDLERS_OF = (admission, attempt, hedge, updates, notices)
+_HANDLER_MODULES = (admission, attempt, hedge, updates, notices)
 
 
 @dataclass(frozen=True)
@@ -85,20 +85,20 @@
     data: bytes
 
 
-Mail = Chunk | GiveAnswer | GiveProblem
+MailboxItem = Chunk | SendAnswer | SendProblem
 
 
 class Mailbox:
     """What one caller's thread waits for."""
 
     def __init__(self) -> None:
-        self._mail: queue.SimpleQueue[Mail] = queue.SimpleQueue()
+        self._mail: queue.SimpleQueue[MailboxItem] = queue.SimpleQueue()
 
-    def put(self, mail: Mail) -> None:
+    def put(self, mail: MailboxItem) -> None:
         """Leave something for the caller's thread."""
         self._mail.put(mail)
 
-    def get(self, timeout_ms: float) -> Mail | None:
+    def get(self, timeout_ms: float) -> MailboxItem | None:
         """The next thing, or none when the time is up."""
         try:
             return self._mail.get(timeout=max(0.0, timeout_ms) / 1000.0)
@@ -130,10 +130,10 @@
         self._mailboxes: dict[str, Mailbox] = {}
         self._cancelled: set[str] = set()
         self._attempts = ThreadPoolExecutor(settings.http.max_connections, "attempt")
-        self._unsaved = 0
-        self._unsaved_changed = threading.Condition()
-        self.answered: Callable[[Request, str, Answered], None] = lambda *_: None
-        self.crashes_found: Callable[[], None] = lambda: None
+        self._uncommitted = 0
+        self._uncommitted_changed = threading.Condition()
+        self.on_answer: Callable[[Request, str, Answered], None] = lambda *_: None
+        self.on_crash: Callable[[], None] = lambda: None
 
     def post(self, event: Event) -> None:
         """Hand an event to the core and perform what it asks for."""
@@ -146,22 +146,22 @@
         for effect in effects:
             EFFECTS.call(self, effect)
 
-    def open(self, request: Request) -> Mailbox:
+    def open_request(self, request: Request) -> Mailbox:
         """Take a caller's request."""
         mailbox = Mailbox()
         self._mailboxes[request.request_id] = mailbox
         self.post(RequestArrived(request))
         return mailbox
 
-    def close(self, request: Request) -> None:
+    def close_request(self, request: Request) -> None:
         """The caller's thread waits no longer."""
         self._mailboxes.pop(request.request_id, None)
 
     def in_flight(self) -> int:
         """Requests without a final answer, and answers not yet recorded."""
-        with self._unsaved_changed:
-            unsaved = self._unsaved
-        return len(self.core.flights) + unsaved
+        with self._uncommitted_changed:
+            unsaved = self._uncommitted
+        return len(self.core.active_requests) + unsaved
 
     def stop(self) -> None:
         """End the pools and the loop."""
@@ -170,63 +170,67 @@
 
     # Proposals: until they are committed, whatever happens to the caller.
 
-    def propose(self, command: Any, done: Callable[[Any], None], insist: bool) -> None:
+    def propose(
+        self, command: Any, done: Callable[[Any], None], until_committed: bool
+    ) -> None:
         """Commit a command; `done` gets its outcome, or `None` at a timeout.
 
         With `insist`, it is proposed again after a timeout until it is
         committed, and the stop of the process waits for it.
         """
-        if insist:
-            self._add_unsaved(1)
-        self._propose(command, done, insist)
+        if until_committed:
+            self._add_uncommitted(1)
+        self._propose(command, done, until_committed)
 
-    def _propose(self, command: Any, done: Callable[[Any], None], insist: bool) -> None:
+    def _propose(
+        self, command: Any, done: Callable[[Any], None], until_committed: bool
+    ) -> None:
         def ended(future: "Future[Any]") -> None:
             try:
                 outcome = future.result()
             except NoLeader:
                 done(None)
-                if insist:
-                    self._propose(command, lambda outcome: None, insist)
+                if until_committed:
+                    self._propose(command, lambda outcome: None, until_committed)
                 return
-            if insist:
-                self._add_unsaved(-1)
+            if until_committed:
+                self._add_uncommitted(-1)
             done(outcome)
 
         self.client.propose(command).add_done_callback(ended)
 
-    def _add_unsaved(self, change: int) -> None:
-        with self._unsaved_changed:
-            self._unsaved += change
-            self._unsaved_changed.notify_all()
+    def _add_uncommitted(self, change: int) -> None:
+        with self._uncommitted_changed:
+            self._uncommitted += change
+            self._uncommitted_changed.notify_all()
 
     # Attempts.
 
     def submit(self, work: Callable[[], None]) -> None:
         """Run something on the attempts' pool; a failure stops the process."""
-        self._attempts.submit(self._guarded, work)
+        self._attempts.submit(self._run_guarded, work)
 
     def cancel(self, attempt_id: str) -> None:
         """Break an attempt off as soon as it looks."""
         self._cancelled.add(attempt_id)
 
-    def _guarded(self, work: Callable[[], None]) -> None:
+    def _run_guarded(self, work: Callable[[], None]) -> None:
         try:
             work()
         except BaseException as error:
             self._failed(error)
             raise
 
-    def attempt(self, effect: StartAttempt) -> None:
+    def run_attempt(self, effect: StartAttempt) -> None:
         """Run one attempt on this thread."""
-        result = self._call(effect)
+        result = self._call_endpoint(effect)
         wanted = effect.attempt_id not in self._cancelled
         if isinstance(result, Broken) and not result.replied and wanted:
-            result = replace(result, ended=has_ended(effect.url))
+            result = replace(result, endpoint_gone=has_ended(effect.url))
         self._cancelled.discard(effect.attempt_id)
         request = effect.request
         if isinstance(result, Answered) and request.kind is RequestKind.CHAT:
-            self.answered(request, effect.version, result)
+            self.on_answer(request, effect.version, result)
         self.post(AttemptEnded(request.request_id, effect.attempt_id, result))
 
     def _may_send(self, effect: StartAttempt) -> bool:
@@ -235,7 +239,7 @@
         with self._lock:
             return self.core.may_send(monotonic_ms(), effect)
 
-    def _call(self, effect: StartAttempt) -> AttemptResult:
+    def _call_endpoint(self, effect: StartAttempt) -> AttemptResult:
         request = effect.request
         disposable = request.repeatable and not request.keyed
         left_ms = request.deadline_ms - monotonic_ms()
@@ -248,7 +252,7 @@
             lambda: self._may_send(effect),
             lambda: effect.attempt_id in self._cancelled,
         )
-        on_head = partial(self._heard, effect.endpoint, monotonic_ms())
+        on_head = partial(self._receive_head, effect.endpoint, monotonic_ms())
         table = self.core.planner.table
         if request.kind is RequestKind.SERVICE:
             price = table.pools[request.target].price_microusd_per_call
@@ -258,56 +262,58 @@
             version.input_price_microusd_per_ktoken,
             version.output_price_microusd_per_ktoken,
         )
-        forwarder = _Forwarder(self, effect)
+        forwarder = _ChunkForwarder(self, effect)
         call = EngineCall(effect, prices, bounds, forwarder.forward, on_head)
         try:
             return call.run()
         except ValueError as error:
             return Broken(str(error))
 
-    def _heard(self, endpoint: str, sent_ms: float, reply: Reply, run: bool) -> None:
+    def _receive_head(
+        self, endpoint: str, sent_ms: float, reply: Reply, was_run: bool
+    ) -> None:
         """The head of an endpoint's answer: what the endpoint says of itself."""
         notice = decode_notice(reply)
         with self._lock:
             restricted = self.core.endpoints.is_restricted(endpoint)
         if notice.empty and not restricted:
             return
-        heard = EndpointHeard(
+        heard = EndpointNoticeReceived(
             endpoint,
             notice.limit_per_s,
             sent_ms,
-            run,
+            was_run,
             notice.backoff_ms,
             notice.leaving,
         )
         self.post(heard)
 
-    def first_chunk(self, effect: StartAttempt) -> bool:
+    def accept_first_chunk(self, effect: StartAttempt) -> bool:
         """The first chunk of an attempt; whether the caller gets its stream."""
         request_id = effect.request.request_id
-        self.post(FirstChunk(request_id, effect.attempt_id))
+        self.post(FirstChunkReceived(request_id, effect.attempt_id))
         with self._lock:
-            return self.core.may_pass(request_id, effect.attempt_id)
+            return self.core.may_forward(request_id, effect.attempt_id)
 
-    def deliver(self, request_id: str, mail: Mail) -> None:
+    def deliver(self, request_id: str, mail: MailboxItem) -> None:
         """Leave something in a caller's mailbox, if the caller is there."""
         mailbox = self._mailboxes.get(request_id)
         if mailbox is not None:
             mailbox.put(mail)
 
 
-class _Forwarder:
+class _ChunkForwarder:
     """Passes the chunks of one attempt on to its caller."""
 
     def __init__(self, host: RouterHost, effect: StartAttempt) -> None:
         self._host = host
         self._effect = effect
-        self._passes: bool | None = True if effect.resume_chunks else None
+        self._accepted: bool | None = True if effect.resume_chunks else None
 
     def forward(self, data: bytes) -> None:
-        if self._passes is None:
-            self._passes = self._host.first_chunk(self._effect)
-        if self._passes:
+        if self._accepted is None:
+            self._accepted = self._host.accept_first_chunk(self._effect)
+        if self._accepted:
             chunk = Chunk(self._effect.attempt_id, self._effect.version, data)
             self._host.deliver(self._effect.request.request_id, chunk)
 
@@ -315,15 +321,15 @@
 @EFFECTS.on(ProposeClaim)
 def _propose_claim(host: RouterHost, effect: ProposeClaim) -> None:
     def done(outcome: Any) -> None:
-        host.post(ClaimEnded(effect.request_id, effect.claim, outcome))
+        host.post(ClaimOutcomeReceived(effect.request_id, effect.claim, outcome))
 
-    host.propose(effect.claim, done, insist=False)
+    host.propose(effect.claim, done, until_committed=False)
 
 
-@EFFECTS.on(ScheduleClaim)
-def _schedule_claim(host: RouterHost, effect: ScheduleClaim) -> None:
+@EFFECTS.on(ScheduleClaimRetry)
+def _schedule_claim_retry(host: RouterHost, effect: ScheduleClaimRetry) -> None:
     def due() -> None:
-        host.submit(lambda: host.post(ClaimDue(effect.request_id)))
+        host.submit(lambda: host.post(ClaimRetryDue(effect.request_id)))
 
     host.rpc.post(host.rpc.loop.call_later, effect.after_ms / 1000.0, due)
 
@@ -340,20 +346,20 @@
 
 @EFFECTS.on(ProposeClose)
 def _propose_close(host: RouterHost, effect: ProposeClose) -> None:
-    host.propose(effect.close, lambda outcome: None, insist=True)
+    host.propose(effect.close, lambda outcome: None, until_committed=True)
 
 
 @EFFECTS.on(ProposeAnswer)
 def _propose_answer(host: RouterHost, effect: ProposeAnswer) -> None:
     def done(outcome: Any) -> None:
-        host.post(AnswerRecordEnded(effect.request_id, outcome))
+        host.post(RecordOutcomeReceived(effect.request_id, outcome))
 
-    host.propose(effect.record, done, insist=True)
+    host.propose(effect.record, done, until_committed=True)
 
 
 @EFFECTS.on(StartAttempt)
 def _start_attempt(host: RouterHost, effect: StartAttempt) -> None:
-    host.submit(lambda: host.attempt(effect))
+    host.submit(lambda: host.run_attempt(effect))
 
 
 @EFFECTS.on(CancelAttempt)
@@ -361,21 +367,21 @@
     host.cancel(effect.attempt_id)
 
 
-@EFFECTS.on(GiveAnswer)
-def _give_answer(host: RouterHost, effect: GiveAnswer) -> None:
+@EFFECTS.on(SendAnswer)
+def _send_answer(host: RouterHost, effect: SendAnswer) -> None:
     host.metrics.count("answers")
     host.deliver(effect.request_id, effect)
 
 
-@EFFECTS.on(GiveProblem)
-def _give_problem(host: RouterHost, effect: GiveProblem) -> None:
+@EFFECTS.on(SendProblem)
+def _send_problem(host: RouterHost, effect: SendProblem) -> None:
     host.metrics.count(f"problems_{effect.problem.kind.name}")
     host.deliver(effect.request_id, effect)
 
 
-@EFFECTS.on(TellCrashes)
-def _tell_crashes(host: RouterHost, effect: TellCrashes) -> None:
-    host.rpc.post(host.crashes_found)
+@EFFECTS.on(ReportCrashes)
+def _report_crashes(host: RouterHost, effect: ReportCrashes) -> None:
+    host.rpc.post(host.on_crash)
 
 
 @EFFECTS.on(WriteLog)
--- a/ashlatch/router/notices.py
+++ b/ashlatch/router/notices.py
@@ -16,7 +16,7 @@
 from ashlatch.policy.rate_limit import NO_LIMIT
 from ashlatch.router.core import HANDLERS, RouterCore
 from ashlatch.router.effect import WriteLog
-from ashlatch.router.event import EndpointHeard
+from ashlatch.router.event import EndpointNoticeReceived
 
 __all__ = ["EndpointBackoff", "EndpointLeaves", "EndpointLimited"]
 
@@ -55,8 +55,8 @@
     endpoint: str
 
 
-@HANDLERS.on(EndpointHeard)
-def _endpoint_heard(core: RouterCore, event: EndpointHeard) -> None:
+@HANDLERS.on(EndpointNoticeReceived)
+def _endpoint_notice_received(core: RouterCore, event: EndpointNoticeReceived) -> None:
     _apply_backoff(core, event)
     if event.leaving and not core.endpoints.is_leaving(event.endpoint):
         core.endpoints.leaving.add(event.endpoint)
@@ -66,9 +66,9 @@
         _apply_limit(core, event, event.limit_per_s)
 
 
-def _apply_backoff(core: RouterCore, event: EndpointHeard) -> None:
+def _apply_backoff(core: RouterCore, event: EndpointNoticeReceived) -> None:
     if not event.backoff_ms:
-        core.endpoints.served(event.endpoint, event.sent_ms)
+        core.endpoints.record_served(event.endpoint, event.sent_ms)
         return
     backoff = core.endpoints.backoff(event.endpoint)
     before_ms = backoff.wait_ms(core.now_ms)
@@ -79,7 +79,7 @@
         core.effects.append(WriteLog(asked))
 
 
-def _apply_limit(core: RouterCore, event: EndpointHeard, per_s: float) -> None:
+def _apply_limit(core: RouterCore, event: EndpointNoticeReceived, per_s: float) -> None:
     limit = core.endpoints.limit(event.endpoint)
     before_per_s = limit.per_s
     if not limit.accepts(per_s, event.sent_ms):
@@ -87,7 +87,7 @@
     if per_s != NO_LIMIT:
         drawn = core.random.random()
         limit.set_rate(per_s, core.endpoints.sharers, drawn, core.now_ms)
-    elif event.run:
+    elif event.was_run:
         limit.clear()
     if limit.per_s != before_per_s:
         changed = EndpointLimited(
--- a/ashlatch/router/plan.py
+++ b/ashlatch/router/plan.py
@@ -20,23 +20,26 @@
 from ashlatch.policy.table import NamedEndpoint, RoutingTable
 from ashlatch.policy.version import VERSION_POLICIES, Goal, Option
 from ashlatch.resources import Route
-from ashlatch.router.endpoints import EndpointBook
+from ashlatch.router.endpoints import EndpointStates
 from ashlatch.router.event import Request
-from ashlatch.router.planning_result import Exclusion, NoPlan, Plan, WhyOut
-from ashlatch.router.rollouts import after_rollouts, is_replaced
+from ashlatch.router.planning_result import Exclusion, ExclusionReason, NoPlan, Plan
+from ashlatch.router.rollouts import apply_rollouts, has_suspected_successor
 from ashlatch.settings import PolicySettings
 
-__all__ = ["Planner", "Ready"]
+__all__ = ["Planner", "ReadyEndpoint"]
 
-OTHER_HALL_MS = 2.0
+OTHER_HALL_LATENCY_MS = 2.0
 EXPECTED_OUTPUT_TOKENS = 200
-OUTPUT_GAIN = 0.05
+OUTPUT_MEAN_GAIN = 0.05
 
-_WHY_OUT = {Barrier.BACKOFF: WhyOut.BACKOFF, Barrier.LIMITED: WhyOut.LIMITED}
+_EXCLUSION_OF_DENIAL = {
+    Barrier.BACKOFF: ExclusionReason.BACKOFF,
+    Barrier.LIMITED: ExclusionReason.LIMITED,
+}
 
 
 @dataclass(frozen=True)
-class Ready:
+class ReadyEndpoint:
     """An endpoint that may get work now, with what is known of it."""
 
     endpoint: NamedEndpoint
@@ -53,14 +56,14 @@
     hall: str
     generator: random.Random
     table: RoutingTable = RoutingTable()
-    dark_pools: set[str] = field(default_factory=set)
+    unreadable_pools: set[str] = field(default_factory=set)
     quality: QualityBook = field(default_factory=QualityBook)
     detectors: dict[str, Detector] = field(default_factory=dict)
     output_tokens: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.endpoints = EndpointBook(self.settings, self.generator)
-        self._offered: dict[str, tuple[NamedEndpoint, ...]] = {}
+        self.endpoints = EndpointStates(self.settings, self.generator)
+        self._subsets: dict[str, tuple[NamedEndpoint, ...]] = {}
         self.endpoint_policy = ENDPOINT_POLICIES.get(self.settings.endpoint)()
         self.version_policy = VERSION_POLICIES.get(self.settings.version)()
 
@@ -68,18 +71,18 @@
         """Take a newer table, and drop what is known of endpoints now gone."""
         self.table = table
         known = {e.name for pool in table.endpoints.values() for e in pool}
-        self.endpoints.keep_only(known)
+        self.endpoints.retain(known)
         self.endpoints.listed_leaving = table.leaving
-        self._offered = {
-            pool: self._own_subset(endpoints)
+        self._subsets = {
+            pool: self._choose_subset(endpoints)
             for pool, endpoints in table.endpoints.items()
         }
 
-    def offered(self, pool: str) -> tuple[NamedEndpoint, ...]:
+    def pool_subset(self, pool: str) -> tuple[NamedEndpoint, ...]:
         """The endpoints of a pool that this router talks to."""
-        return self._offered.get(pool, ())
+        return self._subsets.get(pool, ())
 
-    def _own_subset(
+    def _choose_subset(
         self, endpoints: tuple[NamedEndpoint, ...]
     ) -> tuple[NamedEndpoint, ...]:
         names = tuple(endpoint.name for endpoint in endpoints)
@@ -100,12 +103,12 @@
         spec = self.table.versions.get(version)
         return spec.output_price_microusd_per_ktoken if spec else 0
 
-    def suspended(self, version: str) -> bool:
+    def is_suspended(self, version: str) -> bool:
         """Whether a version looks bad by what has been seen of it."""
         found = self.detectors.get(version)
         return found is not None and found.bad
 
-    def suspected(self, version: str) -> bool:
+    def is_suspected(self, version: str) -> bool:
         """Whether to look closer at a version."""
         found = self.detectors.get(version)
         return found is not None and found.suspected
@@ -124,11 +127,11 @@
             if isinstance(kept, Plan):
                 return replace(kept, reason="kept_version", excluded=every)
             if not ready:
-                retry_ms = self._return_ms(excluded, now_ms)
+                retry_ms = self._retry_time_ms(excluded, now_ms)
                 return replace(kept, excluded=every, retry_ms=retry_ms)
             return replace(kept, excluded=every)
         route = self.table.routes[request.target]
-        plans = self._plans(request, now_ms, ready, excluded)
+        plans = self._plan_versions(request, now_ms, ready, excluded)
         if not plans:
             return self._no_plan(request, excluded, now_ms)
         native = self.table.cascades[route.cascade].rungs
@@ -144,9 +147,9 @@
             self.quality.shortfall(request.target, route.quality_target),
         )
         choice = self.version_policy.choose(options, goal, self.generator)
-        chosen = after_rollouts(self.table, request, choice.version, frozenset(plans))
+        chosen = apply_rollouts(self.table, request, choice.version, frozenset(plans))
         others = tuple(o for o in options if o.version != chosen)
-        if others and is_replaced(self.table, chosen, excluded):
+        if others and has_suspected_successor(self.table, chosen, excluded):
             # Its successor is only spared for now: another rung, not a return.
             choice = self.version_policy.choose(others, goal, self.generator)
             chosen = choice.version
@@ -154,7 +157,9 @@
         reason = choice.reason if chosen == choice.version else "rollout"
         return Plan(chosen, plan.endpoint, plan.expected_ms, reason, tuple(excluded))
 
-    def plan_above(self, request: Request, version: str, now_ms: float) -> Plan | None:
+    def plan_escalation(
+        self, request: Request, version: str, now_ms: float
+    ) -> Plan | None:
         """The cheapest rung above a version that can still answer in time."""
         rungs = self.table.rungs(request.target)
         if version not in rungs:
@@ -162,11 +167,11 @@
         ready = self._ready_endpoints(now_ms, frozenset(), [])
         for rung in rungs[rungs.index(version) + 1 :]:
             found = self._plan_version(request, rung, now_ms, ready)
-            if isinstance(found, Plan) and not self.suspended(rung):
+            if isinstance(found, Plan) and not self.is_suspended(rung):
                 return replace(found, reason="escalated")
         return None
 
-    def acceptable(self, request: Request) -> tuple[str, ...]:
+    def acceptable_versions(self, request: Request) -> tuple[str, ...]:
         """All versions of the route that the organisation may use."""
         return tuple(
             version
@@ -174,16 +179,16 @@
             if self.table.usable(request.organisation, version)
         )
 
-    def learn_output(self, version: str, tokens: int) -> None:
+    def record_output(self, version: str, tokens: int) -> None:
         """Remember how long the answers of a version are."""
         mean = self.output_tokens.get(version, float(tokens))
-        self.output_tokens[version] = mean + OUTPUT_GAIN * (tokens - mean)
+        self.output_tokens[version] = mean + OUTPUT_MEAN_GAIN * (tokens - mean)
 
-    def _plans(
+    def _plan_versions(
         self,
         request: Request,
         now_ms: float,
-        ready: list[Ready],
+        ready: list[ReadyEndpoint],
         excluded: list[Exclusion],
     ) -> dict[str, Plan]:
         plans: dict[str, Plan] = {}
@@ -194,15 +199,15 @@
                 excluded.extend(found.excluded)
                 continue
             plans[version] = found
-            why = self._doubt(version)
-            if why is None:
+            cause = self._version_exclusion(version)
+            if cause is None:
                 good[version] = found
             else:
-                excluded.append(Exclusion(version, why))
+                excluded.append(Exclusion(version, cause))
         # A version that looks bad is better than no answer at all.
         return good or plans
 
-    def _doubt(self, version: str) -> WhyOut | None:
+    def _version_exclusion(self, version: str) -> ExclusionReason | None:
         """Whether to spare a version: surely when it is suspended, and the
         more often the more it is suspected.
         """
@@ -210,40 +215,44 @@
         if detector is None:
             return None
         if detector.bad:
-            return WhyOut.SUSPENDED
+            return ExclusionReason.SUSPENDED
         spared = self.generator.random() < detector.spared_ratio
-        return WhyOut.SUSPECTED if spared else None
+        return ExclusionReason.SUSPECTED if spared else None
 
     def _ready_endpoints(
         self, now_ms: float, tried: frozenset[str], excluded: list[Exclusion]
-    ) -> list[Ready]:
+    ) -> list[ReadyEndpoint]:
         """The endpoints for models that may get work now, whatever they serve."""
         ready = []
-        for pool, endpoints in self._offered.items():
+        for pool, endpoints in self._subsets.items():
             if self.table.pools[pool].serves == "models":
-                ready += self._ready_of(pool, endpoints, now_ms, tried, excluded)
+                ready += self._ready_in_pool(pool, endpoints, now_ms, tried, excluded)
         return ready
 
-    def _ready_of(
+    def _ready_in_pool(
         self,
         pool: str,
         endpoints: tuple[NamedEndpoint, ...],
         now_ms: float,
         tried: frozenset[str],
         excluded: list[Exclusion],
-    ) -> list[Ready]:
+    ) -> list[ReadyEndpoint]:
         ready = []
         for endpoint in endpoints:
-            why = self._why_out(pool, endpoint, now_ms, tried)
-            if why is None:
+            cause = self._endpoint_exclusion(pool, endpoint, now_ms, tried)
+            if cause is None:
                 load = self.endpoints.load(endpoint.name)
-                ready.append(Ready(endpoint, load, self._candidate(endpoint, load)))
+                ready.append(
+                    ReadyEndpoint(endpoint, load, self._candidate(endpoint, load))
+                )
             else:
-                excluded.append(Exclusion(endpoint.name, why))
+                excluded.append(Exclusion(endpoint.name, cause))
         doubtful = [r for r in ready if self._may_shed(r.endpoint.name, now_ms)]
         if not doubtful or len(doubtful) == len(ready):
             return ready
-        excluded += [Exclusion(r.endpoint.name, WhyOut.TRIAL) for r in doubtful]
+        excluded += [
+            Exclusion(r.endpoint.name, ExclusionReason.TRIAL) for r in doubtful
+        ]
         return [r for r in ready if r not in doubtful]
 
     def _may_shed(self, endpoint: str, now_ms: float) -> bool:
@@ -252,24 +261,24 @@
         return backoff is not None and backoff.may_shed(now_ms)
 
     def _plan_version(
-        self, request: Request, version: str, now_ms: float, ready: list[Ready]
+        self, request: Request, version: str, now_ms: float, ready: list[ReadyEndpoint]
     ) -> Plan | NoPlan:
         if not self.table.allows(request.organisation, version):
-            return _none(version, WhyOut.NOT_ALLOWED, allowed=False)
+            return _no_plan_for(version, ExclusionReason.NOT_ALLOWED, allowed=False)
         if version in self.table.withdrawn:
-            return _none(version, WhyOut.WITHDRAWN, allowed=True)
+            return _no_plan_for(version, ExclusionReason.WITHDRAWN, allowed=True)
         serving = [r for r in ready if r.load.serves(version)]
         if not serving:
             # No report has named these yet: one that lacks the version says so, and has
             # not run the request.
             serving = [r for r in ready if r.load.report is None]
         if not serving:
-            excluded = (Exclusion(version, WhyOut.NO_ENDPOINT),)
+            excluded = (Exclusion(version, ExclusionReason.NO_ENDPOINT),)
             return NoPlan(True, False, self.settings.breaker_open_ms, excluded)
-        return self._pick(request, version, serving, now_ms)
+        return self._choose_endpoint(request, version, serving, now_ms)
 
-    def _pick(
-        self, request: Request, version: str, ready: list[Ready], now_ms: float
+    def _choose_endpoint(
+        self, request: Request, version: str, ready: list[ReadyEndpoint], now_ms: float
     ) -> Plan | NoPlan:
         offered = tuple(r.candidate for r in ready)
         chosen = self.endpoint_policy.choose(offered, request.prefix, self.generator)
@@ -277,14 +286,14 @@
             chosen = min(offered, key=lambda c: c.expected_ms)
         if now_ms + chosen.expected_ms > request.deadline_ms:
             late_ms = now_ms + chosen.expected_ms - request.deadline_ms
-            excluded = (Exclusion(version or request.target, WhyOut.TOO_LATE),)
+            excluded = (Exclusion(version or request.target, ExclusionReason.TOO_LATE),)
             return NoPlan(True, True, late_ms, excluded)
         endpoint = next(r.endpoint for r in ready if r.candidate is chosen)
         reason = self.endpoint_policy.name
         return Plan(version, endpoint, chosen.expected_ms, reason, ())
 
     def _candidate(self, endpoint: NamedEndpoint, load: EndpointLoad) -> Candidate:
-        way_ms = 0.0 if endpoint.spec.hall == self.hall else OTHER_HALL_MS
+        way_ms = 0.0 if endpoint.spec.hall == self.hall else OTHER_HALL_LATENCY_MS
         requests = load.requests()
         return Candidate(
             endpoint.name,
@@ -294,25 +303,25 @@
             load.wait_ms(requests) + load.service_ms + way_ms,
         )
 
-    def _why_out(
+    def _endpoint_exclusion(
         self,
         pool: str,
         endpoint: NamedEndpoint,
         now_ms: float,
         tried: frozenset[str],
-    ) -> WhyOut | None:
+    ) -> ExclusionReason | None:
         name = endpoint.name
         load = self.endpoints.load(name)
         barrier = self.endpoints.permission(name, now_ms).barrier
         if barrier is Barrier.LEAVING:
-            return WhyOut.LEAVING
+            return ExclusionReason.LEAVING
         if name in tried:
-            return WhyOut.TRIED
-        if pool not in self.dark_pools and load.report and load.stale(now_ms):
-            return WhyOut.SILENT
+            return ExclusionReason.TRIED
+        if pool not in self.unreadable_pools and load.report and load.stale(now_ms):
+            return ExclusionReason.STALE_REPORT
         if not self.endpoints.breaker(name).allows(now_ms):
-            return WhyOut.BREAKER_OPEN
-        return _WHY_OUT[barrier] if barrier else None
+            return ExclusionReason.BREAKER_OPEN
+        return _EXCLUSION_OF_DENIAL[barrier] if barrier else None
 
     def _option(self, request: Request, route: Route, plan: Plan) -> Option:
         spec = self.table.versions[plan.version]
@@ -334,20 +343,20 @@
     def _no_plan(
         self, request: Request, excluded: list[Exclusion], now_ms: float
     ) -> NoPlan:
-        allowed = bool(self.acceptable(request))
-        late = any(e.why is WhyOut.TOO_LATE for e in excluded)
-        retry_ms = self._return_ms(excluded, now_ms)
+        allowed = bool(self.acceptable_versions(request))
+        late = any(e.cause is ExclusionReason.TOO_LATE for e in excluded)
+        retry_ms = self._retry_time_ms(excluded, now_ms)
         if late:
-            waits = [load.wait_ms() for load, _ in self._reporting()]
+            waits = [load.wait_ms() for load, _ in self._scaled_loads()]
             retry_ms = min(waits, default=retry_ms)
         return NoPlan(allowed, late, max(retry_ms, 100.0), tuple(excluded))
 
-    def _return_ms(self, excluded: list[Exclusion], now_ms: float) -> float:
+    def _retry_time_ms(self, excluded: list[Exclusion], now_ms: float) -> float:
         """When an endpoint may be there again, by what bars it, or at all."""
         waits = [
             self.endpoints.permission(e.name, now_ms).wait_ms
             for e in excluded
-            if e.why in (WhyOut.LIMITED, WhyOut.BACKOFF)
+            if e.cause in (ExclusionReason.LIMITED, ExclusionReason.BACKOFF)
         ]
         return min(waits, default=self.settings.breaker_open_ms)
 
@@ -359,30 +368,32 @@
         """Choose an endpoint of a service's pool."""
         excluded: list[Exclusion] = []
         pool = request.target
-        ready = self._ready_of(pool, self.offered(pool), now_ms, tried, excluded)
+        ready = self._ready_in_pool(
+            pool, self.pool_subset(pool), now_ms, tried, excluded
+        )
         if not ready:
-            retry_ms = self._return_ms(excluded, now_ms)
+            retry_ms = self._retry_time_ms(excluded, now_ms)
             return NoPlan(True, False, retry_ms, tuple(excluded))
-        found = self._pick(request, "", ready, now_ms)
+        found = self._choose_endpoint(request, "", ready, now_ms)
         return replace(found, excluded=(*excluded, *found.excluded))
 
     # Capacity, for the limits.
 
     def slots(self) -> float:
         """The slots of all endpoints for models, by those that report here."""
-        return sum(load.slots * scale for load, scale in self._reporting())
+        return sum(load.slots * scale for load, scale in self._scaled_loads())
 
     def free_slots(self) -> float:
         """How many of them are free."""
         return sum(
             max(0.0, load.slots - load.requests()) * scale
-            for load, scale in self._reporting()
+            for load, scale in self._scaled_loads()
         )
 
-    def _reporting(self) -> list[tuple[EndpointLoad, float]]:
+    def _scaled_loads(self) -> list[tuple[EndpointLoad, float]]:
         """Loads with reports; each stands for as many as the subset leaves out."""
         found = []
-        for pool, endpoints in self._offered.items():
+        for pool, endpoints in self._subsets.items():
             scale = len(self.table.endpoints[pool]) / len(endpoints)
             for endpoint in endpoints:
                 load = self.endpoints.load(endpoint.name)
@@ -391,5 +402,5 @@
         return found
 
 
-def _none(version: str, why: WhyOut, allowed: bool) -> NoPlan:
-    return NoPlan(allowed, False, 0.0, (Exclusion(version, why),))
+def _no_plan_for(version: str, cause: ExclusionReason, allowed: bool) -> NoPlan:
+    return NoPlan(allowed, False, 0.0, (Exclusion(version, cause),))
--- a/ashlatch/router/planning_result.py
+++ b/ashlatch/router/planning_result.py
@@ -14,10 +14,10 @@
 
 from ashlatch.policy.table import NamedEndpoint
 
-__all__ = ["Exclusion", "NoPlan", "Plan", "WhyOut"]
+__all__ = ["Exclusion", "NoPlan", "Plan", "ExclusionReason"]
 
 
-class WhyOut(enum.Enum):
+class ExclusionReason(enum.Enum):
     """Why a version or an endpoint is not a candidate."""
 
     NOT_ALLOWED = "not_allowed"
@@ -27,7 +27,7 @@
     NO_ENDPOINT = "no_endpoint"
     TOO_LATE = "too_late"
     LEAVING = "leaving"
-    SILENT = "silent"
+    STALE_REPORT = "silent"
     BREAKER_OPEN = "breaker_open"
     TRIED = "tried"
     CRASHES = "crashes_endpoints"
@@ -41,10 +41,10 @@
     """What was left out, and why."""
 
     name: str
-    why: WhyOut
+    cause: ExclusionReason
 
     def __str__(self) -> str:
-        return f"{self.name}:{self.why.value}"
+        return f"{self.name}:{self.cause.value}"
 
 
 @dataclass(frozen=True)
@@ -71,4 +71,4 @@
     too_late: bool
     retry_ms: float
     excluded: tuple[Exclusion, ...]
-    held: bool = False
+    quarantined: bool = False
--- a/ashlatch/router/quarantine.py
+++ b/ashlatch/router/quarantine.py
@@ -15,17 +15,17 @@
 import xxhash
 
 from ashlatch.log import LogEvent
-from ashlatch.router.core import HANDLERS, Flight, RouterCore
-from ashlatch.router.effect import TellCrashes, WriteLog
-from ashlatch.router.event import CrashesLearnt, Request
+from ashlatch.router.core import HANDLERS, ActiveRequest, RouterCore
+from ashlatch.router.effect import ReportCrashes, WriteLog
+from ashlatch.router.event import CrashRecordsReceived, Request
 
 __all__ = [
     "RequestCrashed",
-    "content_of",
-    "crashed",
-    "digest_text",
-    "held_for_ms",
-    "survived",
+    "request_fingerprint",
+    "record_crash",
+    "format_fingerprint",
+    "quarantine_left_ms",
+    "record_completion",
 ]
 
 
@@ -45,7 +45,7 @@
     held_ms: int
 
 
-def content_of(request: Request) -> int:
+def request_fingerprint(request: Request) -> int:
     """What a request asks for, as a number: equal for a caller's repeats."""
     asked = (
         request.kind.value,
@@ -58,45 +58,47 @@
     return xxhash.xxh3_64_intdigest("\n".join(asked).encode())
 
 
-def digest_text(content: int) -> str:
+def format_fingerprint(fingerprint: int) -> str:
     """A content as logs and problems show it."""
-    return f"{content:016x}"
+    return f"{fingerprint:016x}"
 
 
-def held_for_ms(core: RouterCore, flight: Flight) -> float:
+def quarantine_left_ms(core: RouterCore, active: ActiveRequest) -> float:
     """How long a request is refused yet; 0 when it may be sent."""
-    return core.quarantine.held_ms(content_of(flight.request), _unix_ms(core, flight))
+    return core.quarantine.held_ms(
+        request_fingerprint(active.request), _unix_ms(core, active)
+    )
 
 
-def crashed(core: RouterCore, flight: Flight, endpoint: str) -> None:
+def record_crash(core: RouterCore, active: ActiveRequest, endpoint: str) -> None:
     """Hold the end of an endpoint against a request that was running there."""
-    content = content_of(flight.request)
-    unix_ms = _unix_ms(core, flight)
+    content = request_fingerprint(active.request)
+    unix_ms = _unix_ms(core, active)
     record = core.quarantine.crashed(content, endpoint, 0, unix_ms)
     event = RequestCrashed(
-        flight.request.request_id,
-        digest_text(content),
+        active.request.request_id,
+        format_fingerprint(content),
         endpoint,
         len(record.unsurvived),
         int(core.quarantine.held_ms(content, unix_ms)),
     )
     core.effects.append(WriteLog(event))
-    core.effects.append(TellCrashes())
+    core.effects.append(ReportCrashes())
 
 
-def survived(core: RouterCore, flight: Flight) -> None:
+def record_completion(core: RouterCore, active: ActiveRequest) -> None:
     """A request has run to its end: it crashes nothing."""
-    core.quarantine.survived(content_of(flight.request))
+    core.quarantine.survived(request_fingerprint(active.request))
 
 
-def _unix_ms(core: RouterCore, flight: Flight) -> int:
+def _unix_ms(core: RouterCore, active: ActiveRequest) -> int:
     """The time of day, by when the request came: a core has no clock of its own."""
-    passed_ms = core.now_ms - flight.arrived_ms
-    return flight.request.arrived_wall_ms + int(passed_ms)
+    passed_ms = core.now_ms - active.arrived_ms
+    return active.request.arrived_wall_ms + int(passed_ms)
 
 
-@HANDLERS.on(CrashesLearnt)
-def _learnt(core: RouterCore, event: CrashesLearnt) -> None:
+@HANDLERS.on(CrashRecordsReceived)
+def _crash_records_received(core: RouterCore, event: CrashRecordsReceived) -> None:
     for record in event.records:
         core.quarantine.learn(record)
         core.quarantine.confirm(record)
--- a/ashlatch/router/rollouts.py
+++ b/ashlatch/router/rollouts.py
@@ -11,14 +11,14 @@
 from ashlatch.policy.split import bucket_percent
 from ashlatch.policy.table import RoutingTable
 from ashlatch.router.event import Request
-from ashlatch.router.planning_result import Exclusion, WhyOut
+from ashlatch.router.planning_result import Exclusion, ExclusionReason
 
-__all__ = ["after_rollouts", "is_replaced"]
+__all__ = ["apply_rollouts", "has_suspected_successor"]
 
 FULL_SHARE_PERCENT = 100.0
 
 
-def after_rollouts(
+def apply_rollouts(
     table: RoutingTable, request: Request, version: str, usable: frozenset[str]
 ) -> str:
     """The version that answers in the place of the chosen one, or that itself."""
@@ -32,9 +32,11 @@
     return version
 
 
-def is_replaced(table: RoutingTable, version: str, excluded: list[Exclusion]) -> bool:
+def has_suspected_successor(
+    table: RoutingTable, version: str, excluded: list[Exclusion]
+) -> bool:
     """Whether all traffic has moved to a version that is spared just now."""
-    spared = {e.name for e in excluded if e.why is WhyOut.SUSPECTED}
+    spared = {e.name for e in excluded if e.cause is ExclusionReason.SUSPECTED}
     return any(
         rollout.from_version == version
         and rollout.share_percent >= FULL_SHARE_PERCENT
--- a/ashlatch/router/sending.py
+++ b/ashlatch/router/sending.py
@@ -15,11 +15,15 @@
 from ashlatch.http import problem as problems
 from ashlatch.http.problem import Problem
 from ashlatch.log import LogEvent
-from ashlatch.router.core import Flight, Leg, RouterCore
+from ashlatch.router.core import ActiveAttempt, ActiveRequest, RouterCore
 from ashlatch.router.effect import ScheduleHedge, StartAttempt, WriteLog
 from ashlatch.router.event import RequestKind
-from ashlatch.router.planning_result import Exclusion, NoPlan, Plan, WhyOut
-from ashlatch.router.quarantine import content_of, digest_text, held_for_ms
+from ashlatch.router.planning_result import Exclusion, ExclusionReason, NoPlan, Plan
+from ashlatch.router.quarantine import (
+    format_fingerprint,
+    quarantine_left_ms,
+    request_fingerprint,
+)
 
 __all__ = [
     "RouteChosen",
@@ -50,61 +54,73 @@
     revision: int
 
 
-def plan_attempt(core: RouterCore, flight: Flight, version: str) -> Plan | NoPlan:
+def plan_attempt(
+    core: RouterCore, active: ActiveRequest, version: str
+) -> Plan | NoPlan:
     """Choose where the next attempt goes; with `version`, only the endpoint."""
-    request = flight.request
-    held_ms = held_for_ms(core, flight)
+    request = active.request
+    held_ms = quarantine_left_ms(core, active)
     if held_ms:
-        why = Exclusion(digest_text(content_of(request)), WhyOut.CRASHES)
-        return NoPlan(True, False, held_ms, (why,), held=True)
+        cause = Exclusion(
+            format_fingerprint(request_fingerprint(request)), ExclusionReason.CRASHES
+        )
+        return NoPlan(True, False, held_ms, (cause,), quarantined=True)
     if request.kind is RequestKind.SERVICE:
-        return core.planner.plan_service(request, core.now_ms, flight.tried)
-    return core.planner.plan_chat(request, core.now_ms, flight.tried, version)
+        return core.planner.plan_service(request, core.now_ms, active.tried_endpoints)
+    return core.planner.plan_chat(request, core.now_ms, active.tried_endpoints, version)
 
 
-def no_plan_problem(core: RouterCore, flight: Flight, plan: NoPlan) -> Problem:
+def no_plan_problem(core: RouterCore, active: ActiveRequest, plan: NoPlan) -> Problem:
     """What to tell a caller when there is no plan."""
     detail = ",".join(str(exclusion) for exclusion in plan.excluded)
     if not plan.allowed:
-        return Problem(problems.NOT_ALLOWED, detail, core.not_run(flight))
+        return Problem(problems.NOT_ALLOWED, detail, core.not_run(active))
     kind = problems.OVERLOADED if plan.too_late else problems.NO_ENDPOINT
-    if plan.held:
+    if plan.quarantined:
         kind = problems.QUARANTINED
-    return Problem(kind, detail, core.not_run(flight), plan.retry_ms)
+    return Problem(kind, detail, core.not_run(active), plan.retry_ms)
 
 
 def start_attempt(
-    core: RouterCore, flight: Flight, plan: Plan, resume_chunks: int = 0
+    core: RouterCore, active: ActiveRequest, plan: Plan, resume_chunks: int = 0
 ) -> None:
     """Send the request as planned; `resume_chunks` were passed on before."""
-    flight.version = plan.version
-    flight.leg = _send(core, flight, plan, resume_chunks)
-    _plan_hedge(core, flight)
+    active.version = plan.version
+    active.current_attempt = _send_attempt(core, active, plan, resume_chunks)
+    _schedule_hedge(core, active)
 
 
-def start_hedge(core: RouterCore, flight: Flight, plan: Plan) -> None:
+def start_hedge(core: RouterCore, active: ActiveRequest, plan: Plan) -> None:
     """Send the same request to a second endpoint as well."""
-    flight.hedge = _send(core, flight, plan)
+    active.hedge = _send_attempt(core, active, plan)
 
 
-def _plan_hedge(core: RouterCore, flight: Flight) -> None:
-    request = flight.request
-    after_ms = core.hedging.after_ms(flight.version, request.stream)
+def _schedule_hedge(core: RouterCore, active: ActiveRequest) -> None:
+    request = active.request
+    after_ms = core.hedging.after_ms(active.version, request.stream)
     if after_ms is None or request.kind is not RequestKind.CHAT:
         return
-    if request.repeatable and flight.leg is not None and not flight.chunks_given:
-        attempt_id = flight.leg.attempt_id
+    if (
+        request.repeatable
+        and active.current_attempt is not None
+        and not active.stream_started
+    ):
+        attempt_id = active.current_attempt.attempt_id
         core.effects.append(ScheduleHedge(request.request_id, attempt_id, after_ms))
 
 
-def _send(core: RouterCore, flight: Flight, plan: Plan, resume_chunks: int = 0) -> Leg:
-    request = flight.request
-    flight.tries += 1
-    attempt_id = f"{request.request_id}-{flight.tries}"
-    core.assert_allowed(flight)
+def _send_attempt(
+    core: RouterCore, active: ActiveRequest, plan: Plan, resume_chunks: int = 0
+) -> ActiveAttempt:
+    request = active.request
+    active.attempt_count += 1
+    attempt_id = f"{request.request_id}-{active.attempt_count}"
+    core.assert_allowed(active)
     load = core.endpoints.load(plan.endpoint.name)
-    leg = Leg(attempt_id, plan.endpoint, core.now_ms, load.has_room())
-    core.endpoints.sent(plan.endpoint.name, core.now_ms)
+    active_attempt = ActiveAttempt(
+        attempt_id, plan.endpoint, core.now_ms, load.has_room()
+    )
+    core.endpoints.record_sent(plan.endpoint.name, core.now_ms)
     chosen = RouteChosen(
         request.request_id,
         attempt_id,
@@ -132,4 +148,4 @@
             resume_chunks,
         )
     )
-    return leg
+    return active_attempt
--- a/ashlatch/router/updates.py
+++ b/ashlatch/router/updates.py
@@ -24,8 +24,8 @@
     DrainStarted,
     LeaseRenewed,
     LoadReported,
-    Rated,
-    VersionTallied,
+    RatingReceived,
+    VersionTotalsReceived,
 )
 
 __all__ = ["ConfigurationApplied", "VersionSuspended"]
@@ -63,14 +63,14 @@
     # The ledger may have given such a session another version meanwhile.
     for key, pin in list(core.pins.items()):
         organisation, _ = key
-        touched = organisation in event.touched_organisations
-        if touched or pin.version in event.touched_versions:
+        touched = organisation in event.changed_organisations
+        if touched or pin.version in event.changed_versions:
             del core.pins[key]
     endpoints = {e.name for pool in table.endpoints.values() for e in pool}
     core.evidence.keep(endpoints, set(table.versions))
     # A version that is withdrawn, or let back, is judged afresh.
     for version in list(core.planner.detectors):
-        if version not in table.versions or version in event.touched_versions:
+        if version not in table.versions or version in event.changed_versions:
             del core.planner.detectors[version]
     applied = ConfigurationApplied(
         core.config.vm,
@@ -87,8 +87,8 @@
 def _lease_renewed(core: RouterCore, event: LeaseRenewed) -> None:
     if not core.lease_valid(core.now_ms):
         # Meanwhile others may have taken over what this router had claimed.
-        for flight in core.flights.values():
-            flight.history_known &= not flight.request.keyed
+        for active in core.active_requests.values():
+            active.history_known &= not active.request.keyed
     core.lease_until_ms = max(core.lease_until_ms, event.until_ms)
     routers = max(1, event.routers)
     core.limits.router_share = 1.0 / routers
@@ -98,19 +98,19 @@
 @HANDLERS.on(LoadReported)
 def _load_reported(core: RouterCore, event: LoadReported) -> None:
     if not event.fresh:
-        core.planner.dark_pools.add(event.pool)
+        core.planner.unreadable_pools.add(event.pool)
         return
-    core.planner.dark_pools.discard(event.pool)
-    own = {endpoint.name for endpoint in core.planner.offered(event.pool)}
+    core.planner.unreadable_pools.discard(event.pool)
+    own = {endpoint.name for endpoint in core.planner.pool_subset(event.pool)}
     for report in event.reports:
         if report.endpoint in own:
             core.endpoints.load(report.endpoint).reported(report)
-            core.found(core.evidence.reported(report))
+            core.add_findings(core.evidence.reported(report))
     core.endpoints.leaving |= event.leaving & own
 
 
-@HANDLERS.on(Rated)
-def _rated(core: RouterCore, event: Rated) -> None:
+@HANDLERS.on(RatingReceived)
+def _rating_received(core: RouterCore, event: RatingReceived) -> None:
     spec = core.planner.table.versions.get(event.version)
     if spec is None:
         return
@@ -120,15 +120,15 @@
     detector = core.planner.detector(event.version)
     was_bad = detector.bad
     detector.add_rating(event.rating)
-    _log_if_new(core, event.version, was_bad)
+    _log_new_suspension(core, event.version, was_bad)
 
 
-@HANDLERS.on(VersionTallied)
-def _tallied(core: RouterCore, event: VersionTallied) -> None:
+@HANDLERS.on(VersionTotalsReceived)
+def _version_totals_received(core: RouterCore, event: VersionTotalsReceived) -> None:
     tallies = {}
     for totals in event.totals:
-        seen = core.seen_totals.get(totals.version, VersionTally())
-        core.seen_totals[totals.version] = totals.tally
+        seen = core.last_totals.get(totals.version, VersionTally())
+        core.last_totals[totals.version] = totals.tally
         tally = totals.tally.since(seen)
         if tally != VersionTally():
             tallies[totals.version] = tally
@@ -136,7 +136,7 @@
     were_bad = {version: planner.detector(version).bad for version in tallies}
     take_tallies(planner.detectors, core.paces, tallies, planner.price, core.now_ms)
     for version, was_bad in were_bad.items():
-        _log_if_new(core, version, was_bad)
+        _log_new_suspension(core, version, was_bad)
 
 
 @HANDLERS.on(DrainStarted)
@@ -144,7 +144,7 @@
     core.draining = True
 
 
-def _log_if_new(core: RouterCore, version: str, was_bad: bool) -> None:
+def _log_new_suspension(core: RouterCore, version: str, was_bad: bool) -> None:
     detector = core.planner.detector(version)
     if detector.bad and not was_bad:
         reasons = ",".join(sorted(detector.reasons))
--- a/bench/core.py
+++ b/bench/core.py
@@ -13,9 +13,9 @@
 from ashlatch.router.event import (
     AttemptEnded,
     ConfigurationChanged,
-    Full,
     LeaseRenewed,
     LoadReported,
+    Rejected,
     RequestArrived,
 )
 from bench.table import row, title
@@ -76,8 +76,12 @@
         for effect in core.step(1000.0, RequestArrived(asked)):
             if isinstance(effect, StartAttempt):
                 # End it, so that the state stays as it was.
-                ended = AttemptEnded(asked.request_id, effect.attempt_id, Full("", 1.0))
-                core.flights[asked.request_id].tried |= set(core.endpoints.loads)
+                ended = AttemptEnded(
+                    asked.request_id, effect.attempt_id, Rejected("", 1.0)
+                )
+                core.active_requests[asked.request_id].tried_endpoints |= set(
+                    core.endpoints.loads
+                )
                 core.step(1000.0, ended)
     return DECISIONS / (time.perf_counter() - began_s)
 
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -20,20 +20,20 @@
 from ashlatch.router.core import RouterConfig, RouterCore
 from ashlatch.router.effect import (
     Effect,
-    GiveAnswer,
-    GiveProblem,
     ProposeAnswer,
+    SendAnswer,
+    SendProblem,
     StartAttempt,
 )
 from ashlatch.router.event import (
     Answered,
-    AnswerRecordEnded,
     AttemptEnded,
     ConfigurationChanged,
     DeadlinePassed,
-    Full,
     LeaseRenewed,
     LoadReported,
+    RecordOutcomeReceived,
+    Rejected,
     Request,
     RequestArrived,
 )
@@ -175,13 +175,13 @@
                 case StartAttempt():
                     self.send(core, effect)
                 case ProposeAnswer(request_id, _):
-                    done = AnswerRecordEnded(request_id, AnswerAccepted(1))
+                    done = RecordOutcomeReceived(request_id, AnswerAccepted(1))
                     self.perform(core, core.step(self.now_ms, done))
-                case GiveAnswer(request_id):
+                case SendAnswer(request_id):
                     name = self.names[request_id]
                     if self.now_ms <= self.arrived_ms[request_id] + DEADLINE_MS:
                         self.in_time[name] += 1
-                case GiveProblem(request_id, problem):
+                case SendProblem(request_id, problem):
                     self.refused(request_id, problem.retry_ms or 1000.0)
 
     def refused(self, request_id: str, retry_ms: float) -> None:
@@ -200,7 +200,7 @@
             self.tell(core, effect, result)
 
         if not self.attempt(effect.endpoint, ended):
-            self.tell(core, effect, Full("full", 500.0))
+            self.tell(core, effect, Rejected("full", 500.0))
 
     def tell(self, core: RouterCore, effect: StartAttempt, result: Any) -> None:
         event = AttemptEnded(effect.request.request_id, effect.attempt_id, result)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -88,28 +88,29 @@
     Mutant(
         "stream-begun-anew",
         "ashlatch/router/attempt.py",
-        "    if flight.chunks_given:\n        # Another",
+        "    if active.stream_started:\n        # Another",
         "    if False:\n        # Another",
         TRAFFIC,
     ),
     Mutant(
         "hedge-of-unrepeatable",
         "ashlatch/router/sending.py",
-        "    if request.repeatable and flight.leg is not None",
-        "    if flight.leg is not None",
+        "        request.repeatable\n        and active.current_attempt is not None",
+        "        active.current_attempt is not None",
         TRAFFIC,
     ),
     Mutant(
         "both-streams-pass",
         "ashlatch/router/core.py",
-        "        return flight.chunks_given and flight.leg.attempt_id == attempt_id",
+        "        return active.stream_started"
+        " and active.current_attempt.attempt_id == attempt_id",
         "        return True",
         TRAFFIC,
     ),
     Mutant(
         "loser-is-recorded",
         "ashlatch/router/core.py",
-        "            self.losers[hedge.attempt_id] = hedge.endpoint.name\n",
+        "            self.cancelled_attempts[hedge.attempt_id] = hedge.endpoint.name\n",
         "",
         ROUTER,
     ),
@@ -201,14 +202,14 @@
     Mutant(
         "no-check-of-version-at-send",
         "ashlatch/router/core.py",
-        "table.usable(request.organisation, attempt.version)",
-        "table.allows(request.organisation, attempt.version) or True",
+        "table.usable(request.organisation, effect.version)",
+        "table.allows(request.organisation, effect.version) or True",
         TRAFFIC,
     ),
     Mutant(
         "no-check-of-lease-at-send",
         "ashlatch/router/core.py",
-        "        if now_ms + SEND_MARGIN_MS >= self.lease_until_ms:\n"
+        "        if now_ms + LEASE_MARGIN_MS >= self.lease_until_ms:\n"
         "            return False\n",
         "",
         MANY,
@@ -216,7 +217,9 @@
     Mutant(
         "no-check-of-leaving-at-send",
         "ashlatch/router/core.py",
-        "if not self.endpoints.open_permission(attempt.endpoint, now_ms).granted:",
+        "if not self.endpoints.permission_ignoring_limit(\n"
+        "            effect.endpoint, now_ms\n"
+        "        ).granted:",
         "if False:",
         TRAFFIC,
     ),
@@ -253,13 +256,13 @@
         "stop-forgets-callers",
         "ashlatch/router/updates.py",
         "    core.draining = True\n",
-        "    core.draining = True\n    core.flights.clear()\n",
+        "    core.draining = True\n    core.active_requests.clear()\n",
         TRAFFIC,
     ),
     Mutant(
         "not-run-after-lapse",
         "ashlatch/router/core.py",
-        "        if flight.request.keyed and not self.lease_valid(self.now_ms):\n"
+        "        if active.request.keyed and not self.lease_valid(self.now_ms):\n"
         "            return None\n",
         "",
         ROUTER,
@@ -267,14 +270,14 @@
     Mutant(
         "not-run-after-break",
         "ashlatch/router/attempt.py",
-        "        case Broken():\n            flight.maybe_ran = True\n",
+        "        case Broken():\n            active.maybe_ran = True\n",
         "        case Broken():\n",
         TRAFFIC,
     ),
     Mutant(
         "retry-of-unrepeatable",
         "ashlatch/router/attempt.py",
-        "    if not flight.request.repeatable:\n        detail = f",
+        "    if not active.request.repeatable:\n        detail = f",
         "    if False:\n        detail = f",
         TRAFFIC,
     ),
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -15,29 +15,29 @@
 from ashlatch.router.effect import (
     CancelAttempt,
     Effect,
-    GiveAnswer,
-    GiveProblem,
     ProposeAnswer,
     ProposeClaim,
     ProposeClose,
     ScheduleHedge,
+    SendAnswer,
+    SendProblem,
     StartAttempt,
 )
 from ashlatch.router.event import (
     Answered,
-    AnswerRecordEnded,
     AttemptEnded,
     Broken,
-    ClaimEnded,
+    ClaimOutcomeReceived,
     ConfigurationChanged,
     DeadlinePassed,
     DrainStarted,
-    FirstChunk,
-    Full,
+    FirstChunkReceived,
     HedgeDue,
     LeaseRenewed,
     LoadReported,
     NotSent,
+    RecordOutcomeReceived,
+    Rejected,
     Request,
     RequestArrived,
     RequestKind,
@@ -153,10 +153,10 @@
     def claim_granted(self, effects: list[Effect], version: str = "") -> list[Effect]:
         claim = self.one(effects, ProposeClaim).claim
         granted = ClaimGranted(1, version or claim.candidate.version)
-        return self.step(ClaimEnded("q1", claim, granted))
+        return self.step(ClaimOutcomeReceived("q1", claim, granted))
 
     def problem(self, effects: list[Effect]) -> Any:
-        return self.one(effects, GiveProblem).problem
+        return self.one(effects, SendProblem).problem
 
 
 class AdmissionTest(RouterTest):
@@ -258,7 +258,7 @@
             attempt = self.one(effects, StartAttempt)
             versions.add(attempt.version)
             self.end(attempt, ANSWER)
-            self.step(AnswerRecordEnded(name, AnswerAccepted(1)))
+            self.step(RecordOutcomeReceived(name, AnswerAccepted(1)))
         return versions
 
 
@@ -267,7 +267,7 @@
         effects = self.arrive(session="s", keyed=True)
         claim = self.one(effects, ProposeClaim).claim
         later = NOW_MS + 5000.0
-        granted = ClaimEnded("q1", claim, ClaimGranted(1, "v1"))
+        granted = ClaimOutcomeReceived("q1", claim, ClaimGranted(1, "v1"))
         problem = self.problem(self.step(granted, later))
         self.assertEqual("no_endpoint", problem.kind.name)
         self.assertEqual("e1:silent,e2:silent,v1:no_endpoint", problem.detail)
@@ -303,10 +303,10 @@
 
     def test_the_first_chunk_decides_which_stream_is_given(self) -> None:
         first, second = self.hedged(stream=True)
-        effects = self.step(FirstChunk("q1", second.attempt_id))
+        effects = self.step(FirstChunkReceived("q1", second.attempt_id))
         self.assertEqual(first.attempt_id, self.one(effects, CancelAttempt).attempt_id)
-        self.step(FirstChunk("q1", first.attempt_id))
-        passes = [self.core.may_pass("q1", a.attempt_id) for a in (first, second)]
+        self.step(FirstChunkReceived("q1", first.attempt_id))
+        passes = [self.core.may_forward("q1", a.attempt_id) for a in (first, second)]
         self.assertEqual([False, True], passes)
 
     def test_when_one_of_two_fails_the_other_goes_on(self) -> None:
@@ -337,7 +337,7 @@
             hedges += len(again) > 0
             for sent in [attempt, *(e for e in again if isinstance(e, StartAttempt))]:
                 self.end(sent, ANSWER)
-            self.step(AnswerRecordEnded(name, AnswerAccepted(1)))
+            self.step(RecordOutcomeReceived(name, AnswerAccepted(1)))
         self.assertLessEqual(hedges, 0.05 * 300 + 10)
 
     def test_nothing_is_left_of_a_request_that_is_given_up(self) -> None:
@@ -347,7 +347,9 @@
         self.assertEqual({first.attempt_id, second.attempt_id}, cancelled)
         for sent in (first, second):
             self.end(sent, Broken("cancelled"))
-        self.assertEqual(({}, {}), (self.core.flights, self.core.losers))
+        self.assertEqual(
+            ({}, {}), (self.core.active_requests, self.core.cancelled_attempts)
+        )
 
 
 class SessionTest(RouterTest):
@@ -382,10 +384,10 @@
     def test_an_answer_waits_for_its_record(self) -> None:
         attempt = self.one(self.arrive(), StartAttempt)
         effects = self.end(attempt, ANSWER)
-        self.assertEqual([], [e for e in effects if isinstance(e, GiveAnswer)])
+        self.assertEqual([], [e for e in effects if isinstance(e, SendAnswer)])
         self.one(effects, ProposeAnswer)
-        given = self.step(AnswerRecordEnded("q1", AnswerAccepted(1)))
-        self.assertEqual(b"yes", self.one(given, GiveAnswer).answer.body)
+        given = self.step(RecordOutcomeReceived("q1", AnswerAccepted(1)))
+        self.assertEqual(b"yes", self.one(given, SendAnswer).answer.body)
 
     def test_what_may_not_be_repeated_is_not(self) -> None:
         attempt = self.one(self.claim_granted(self.arrive(**ORDER)), StartAttempt)
@@ -397,9 +399,9 @@
 
     def test_a_refusal_of_the_endpoint_is_tried_elsewhere(self) -> None:
         attempt = self.one(self.arrive(), StartAttempt)
-        again = self.one(self.end(attempt, Full("full", 100.0)), StartAttempt)
+        again = self.one(self.end(attempt, Rejected("full", 100.0)), StartAttempt)
         self.assertNotEqual(attempt.endpoint, again.endpoint)
-        problem = self.problem(self.end(again, Full("full", 100.0)))
+        problem = self.problem(self.end(again, Rejected("full", 100.0)))
         self.assertIs(True, problem.not_run)
 
     def test_not_run_is_not_said_of_a_keyed_request_after_the_lease(self) -> None:
@@ -428,8 +430,8 @@
         better = self.one(self.end(attempt, POOR), StartAttempt)
         record = self.one(self.end(better, Broken("reset")), ProposeAnswer).record
         self.assertEqual("v1", record.version)
-        given = self.step(AnswerRecordEnded("q1", AnswerAccepted(1)))
-        self.assertEqual(b"poor", self.one(given, GiveAnswer).answer.body)
+        given = self.step(RecordOutcomeReceived("q1", AnswerAccepted(1)))
+        self.assertEqual(b"poor", self.one(given, SendAnswer).answer.body)
 
     def test_a_session_does_not_climb(self) -> None:
         effects = self.claim_granted(self.arrive(session="s"), "v1")
@@ -439,7 +441,7 @@
 
     def test_a_broken_stream_is_resumed_where_it_was(self) -> None:
         attempt = self.one(self.arrive(stream=True), StartAttempt)
-        self.step(FirstChunk("q1", attempt.attempt_id))
+        self.step(FirstChunkReceived("q1", attempt.attempt_id))
         again = self.one(self.end(attempt, Broken("reset", 7)), StartAttempt)
         self.assertEqual(
             (attempt.endpoint, attempt.version, 7),
@@ -448,7 +450,7 @@
 
     def test_a_stream_whose_endpoint_is_gone_is_not_begun_anew(self) -> None:
         attempt = self.one(self.arrive(stream=True), StartAttempt)
-        self.step(FirstChunk("q1", attempt.attempt_id))
+        self.step(FirstChunkReceived("q1", attempt.attempt_id))
         again = self.one(self.end(attempt, Broken("reset", 7)), StartAttempt)
         problem = self.problem(self.end(again, NotSent("refused")))
         self.assertEqual("attempt_failed", problem.kind.name)
@@ -456,7 +458,7 @@
 
     def test_a_poor_stream_that_was_seen_does_not_climb(self) -> None:
         attempt = self.one(self.arrive(stream=True), StartAttempt)
-        self.step(FirstChunk("q1", attempt.attempt_id))
+        self.step(FirstChunkReceived("q1", attempt.attempt_id))
         self.one(self.end(attempt, POOR), ProposeAnswer)
 
     def test_retries_have_a_budget(self) -> None:
@@ -464,10 +466,10 @@
         for number in range(200):
             effects = self.arrive(request_id=f"q{number}")
             attempt = self.one(effects, StartAttempt)
-            effects = self.end(attempt, Full("full", 100.0))
+            effects = self.end(attempt, Rejected("full", 100.0))
             retries += sum(isinstance(e, StartAttempt) for e in effects)
             for again in [e for e in effects if isinstance(e, StartAttempt)]:
-                self.end(again, Full("full", 100.0))
+                self.end(again, Rejected("full", 100.0))
         self.assertLessEqual(retries, 0.1 * 200 + 10)
 
     def test_a_missed_deadline_is_told_at_once(self) -> None:
--- a/tests/test_router_backoff.py
+++ b/tests/test_router_backoff.py
@@ -11,7 +11,7 @@
 from ashlatch.policy.rate_limit import NO_LIMIT
 from ashlatch.router import notices
 from ashlatch.router.effect import Effect, ScheduleHedge, StartAttempt
-from ashlatch.router.event import Broken, EndpointHeard, Full, HedgeDue
+from ashlatch.router.event import Broken, EndpointNoticeReceived, HedgeDue, Rejected
 from tests.lean import lean
 from tests.shedding import GRACE_S, WITHIN_BACKOFF_MAX
 from tests.test_router import NOW_MS, ORDER, RouterTest
@@ -62,11 +62,13 @@
     def back_off(
         self, endpoint: str, backoff_ms: float, now_ms: float = NOW_MS
     ) -> list[Effect]:
-        heard = EndpointHeard(endpoint, NO_LIMIT, now_ms, False, backoff_ms)
+        heard = EndpointNoticeReceived(endpoint, NO_LIMIT, now_ms, False, backoff_ms)
         return self.step(heard, now_ms)
 
     def leave(self, endpoint: str) -> list[Effect]:
-        return self.step(EndpointHeard(endpoint, NO_LIMIT, NOW_MS, True, leaving=True))
+        return self.step(
+            EndpointNoticeReceived(endpoint, NO_LIMIT, NOW_MS, True, leaving=True)
+        )
 
     def sent(self, effects: list[Effect]) -> StartAttempt | None:
         return next((e for e in effects if isinstance(e, StartAttempt)), None)
@@ -96,7 +98,7 @@
         self.assertEqual(1500.0, self.problem(effects).retry_ms)
 
     def test_a_repeat(self) -> None:
-        for result in (Broken("closed"), Full("full", 100.0)):
+        for result in (Broken("closed"), Rejected("full", 100.0)):
             sent = self.sent(self.arrive(request_id=f"q-{result.reason}"))
             assert sent is not None
             self.assertIsNone(self.sent(self.end(sent, result)))
@@ -109,14 +111,14 @@
         hedge = HedgeDue(due.request_id, due.attempt_id)
         self.assertIsNone(self.sent(self.step(hedge)))
         self.core.endpoints.backoffs.clear()
-        self.core.flights["q1"].tried = frozenset()
+        self.core.active_requests["q1"].tried_endpoints = frozenset()
         self.assertIsNotNone(self.sent(self.step(hedge)))
 
     def resumes(self, stop: Callable[[str], object]) -> bool:
         """Whether a stream is resumed at an endpoint after something."""
         sent = self.sent(self.arrive(stream=True))
         assert sent is not None
-        self.core.flights["q1"].chunks_given = True
+        self.core.active_requests["q1"].stream_started = True
         stop(sent.endpoint)
         broken = dataclasses.replace(Broken("closed"), chunks=2)
         return self.sent(self.end(sent, broken)) is not None
@@ -145,7 +147,7 @@
         self.assertFalse(self.sent_after(self.leave))
 
     def test_an_answer_in_between_does_not_end_it(self) -> None:
-        self.step(EndpointHeard("e1", NO_LIMIT, NOW_MS + 1.0, True))
+        self.step(EndpointNoticeReceived("e1", NO_LIMIT, NOW_MS + 1.0, True))
         wait_ms = self.core.endpoints.permission("e1", NOW_MS).wait_ms
         self.assertEqual(3000.0, wait_ms)
 
@@ -153,9 +155,11 @@
         """The others go elsewhere until its answer is there."""
         later_ms = NOW_MS + 3000.0
         planner = self.core.planner
-        planner.endpoints.sent("e1", later_ms)
+        planner.endpoints.record_sent("e1", later_ms)
         self.assertTrue(planner.endpoints.backoff("e1").may_shed(later_ms))
-        self.step(EndpointHeard("e1", NO_LIMIT, later_ms, True), later_ms + 5.0)
+        self.step(
+            EndpointNoticeReceived("e1", NO_LIMIT, later_ms, True), later_ms + 5.0
+        )
         self.assertFalse(planner.endpoints.backoff("e1").may_shed(later_ms + 5.0))
 
 
--- a/tests/test_router_crashes.py
+++ b/tests/test_router_crashes.py
@@ -16,14 +16,14 @@
 from ashlatch.http import problem as problems
 from ashlatch.policy.detector import VersionTally
 from ashlatch.policy.quarantine import CrashRecord, Quarantine
-from ashlatch.router.effect import Effect, GiveProblem, StartAttempt
+from ashlatch.router.effect import Effect, SendProblem, StartAttempt
 from ashlatch.router.event import (
     AttemptEnded,
     Broken,
-    CrashesLearnt,
+    CrashRecordsReceived,
     RequestArrived,
 )
-from ashlatch.router.quarantine import content_of
+from ashlatch.router.quarantine import request_fingerprint
 from ashlatch.store.command import NoteCrashes
 from ashlatch.store.machine import Machine
 from tests.deployment import KENYA, wait_for_endpoints
@@ -31,7 +31,7 @@
 from tests.system import HOST, Fake, wait_until
 from tests.test_router import ANSWER, NOW_MS, ORDER, RouterTest, request
 
-ENDED = Broken("closed", ended=True)
+ENDED = Broken("closed", endpoint_gone=True)
 CRASHES_MAX = 3
 # Within the time in which an endpoint that answers again shows its failures to be the
 # version's.
@@ -54,7 +54,7 @@
         return next((e for e in effects if isinstance(e, StartAttempt)), None)
 
     def problem(self, effects: list[Effect]) -> problems.Problem:
-        (given,) = (e for e in effects if isinstance(e, GiveProblem))
+        (given,) = (e for e in effects if isinstance(e, SendProblem))
         return given.problem
 
     def end(self, sent: StartAttempt, result: object) -> list[Effect]:
@@ -93,14 +93,14 @@
             attempt = self.sent(self.attempt_of(number))
             if attempt is not None:
                 self.end(attempt, Broken("closed"))
-        content = content_of(request())
+        content = request_fingerprint(request())
         self.assertEqual(0, self.core.quarantine.crashes(content))
 
     def test_an_answer_clears(self) -> None:
         attempt = self.sent(self.attempt_of(1))
         assert attempt is not None
         again = self.sent(self.end(attempt, ENDED))
-        content = content_of(request())
+        content = request_fingerprint(request())
         self.assertEqual(1, self.core.quarantine.crashes(content))
         assert again is not None
         self.end(again, ANSWER)
@@ -108,30 +108,30 @@
 
     def test_what_others_found_is_held_here(self) -> None:
         other = Quarantine()
-        content = content_of(request())
+        content = request_fingerprint(request())
         for number in range(CRASHES_MAX):
             other.crashed(content, f"e{number}", 0, AT - 5000 * number)
-        self.step(CrashesLearnt(other.to_tell()))
+        self.step(CrashRecordsReceived(other.to_tell()))
         self.assertIsNone(self.sent(self.attempt_of(1)))
 
     def test_a_stream_is_not_resumed_any_more(self) -> None:
         other = Quarantine()
-        content = content_of(request())
+        content = request_fingerprint(request())
         for number in range(CRASHES_MAX - 1):
             other.crashed(content, f"x{number}", 0, AT - 5000 * number)
-        self.step(CrashesLearnt(other.to_tell()))
+        self.step(CrashRecordsReceived(other.to_tell()))
         attempt = self.sent(self.attempt_of(1, stream=True))
         assert attempt is not None
-        self.core.flights["q1"].chunks_given = True
+        self.core.active_requests["q1"].stream_started = True
         effects = self.end(attempt, dataclasses.replace(ENDED, chunks=2))
         self.assertIsNone(self.sent(effects))
 
     def test_orders_count_too(self) -> None:
-        content = content_of(request(**ORDER))
+        content = request_fingerprint(request(**ORDER))
         other = Quarantine()
         for number in range(CRASHES_MAX):
             other.crashed(content, f"s{number}", 0, AT - 5000 * number)
-        self.step(CrashesLearnt(other.to_tell()))
+        self.step(CrashRecordsReceived(other.to_tell()))
         effects = self.attempt_of(1, **ORDER)
         self.assertEqual(problems.QUARANTINED, self.problem(effects).kind)
 
--- a/tests/test_router_limits.py
+++ b/tests/test_router_limits.py
@@ -18,12 +18,12 @@
 from ashlatch.policy.rate_limit import NO_LIMIT
 from ashlatch.router import notices
 from ashlatch.router.core import RouterConfig, RouterCore
-from ashlatch.router.effect import Effect, GiveProblem, ScheduleHedge, StartAttempt
+from ashlatch.router.effect import Effect, ScheduleHedge, SendProblem, StartAttempt
 from ashlatch.router.event import (
     AttemptEnded,
     Broken,
     ConfigurationChanged,
-    EndpointHeard,
+    EndpointNoticeReceived,
     Event,
     HedgeDue,
     LeaseRenewed,
@@ -82,7 +82,7 @@
         run: bool = True,
         now_ms: float = NOW_MS,
     ) -> list[Effect]:
-        return self.step(EndpointHeard(endpoint, per_s, sent_ms, run), now_ms)
+        return self.step(EndpointNoticeReceived(endpoint, per_s, sent_ms, run), now_ms)
 
     def sent(self, effects: list[Effect]) -> StartAttempt | None:
         return next((e for e in effects if isinstance(e, StartAttempt)), None)
@@ -130,14 +130,14 @@
         self.assertIsNone(self.sent(self.step(hedge)))
         # Without the limit there would have been one.
         self.heard("e1", NO_LIMIT, NOW_MS + 1.0)
-        self.core.flights["q1"].tried = frozenset()
+        self.core.active_requests["q1"].tried_endpoints = frozenset()
         self.assertIsNotNone(self.sent(self.step(hedge)))
 
     def test_a_stream_that_breaks_is_not_resumed_past_it(self) -> None:
         self.heard("e1", NO_LIMIT, NOW_MS + 1.0)
         sent = self.sent(self.arrive(stream=True))
         assert sent is not None
-        self.core.flights["q1"].chunks_given = True
+        self.core.active_requests["q1"].stream_started = True
         self.heard(sent.endpoint, 1.0)
         effects = self.end(sent, dataclasses.replace(Broken("closed"), chunks=2))
         self.assertIsNone(self.sent(effects))
@@ -158,7 +158,10 @@
         self.report(later_ms)
         sent = self.sent(self.step(RequestArrived(request()), later_ms))
         assert sent is not None
-        self.step(AttemptEnded("q1", sent.attempt_id, Broken("", ended=True)), later_ms)
+        self.step(
+            AttemptEnded("q1", sent.attempt_id, Broken("", endpoint_gone=True)),
+            later_ms,
+        )
         self.assertFalse(self.core.endpoints.limit(sent.endpoint).limited)
 
 
@@ -176,7 +179,7 @@
         for core in cores:
             self.step(core, ConfigurationChanged(table()), 0.0)
             self.step(core, LeaseRenewed(1e9, routers), 0.0)
-            self.step(core, EndpointHeard("s1", per_s, 0.0, True), 0.0)
+            self.step(core, EndpointNoticeReceived("s1", per_s, 0.0, True), 0.0)
         drawn = random.Random(seed)
         came_s = []
         now_ms = 0.0
@@ -192,7 +195,7 @@
                     self.step(core, ended, now_ms)
                 else:
                     self.assertFalse(
-                        isinstance(effect, GiveProblem) and not effect.problem.not_run
+                        isinstance(effect, SendProblem) and not effect.problem.not_run
                     )
         return came_s
 
--- a/tests/test_shared_slowness.py
+++ b/tests/test_shared_slowness.py
@@ -35,7 +35,7 @@
 )
 from ashlatch.router import updates
 from ashlatch.router.core import RouterConfig, RouterCore
-from ashlatch.router.event import VersionTallied, VersionTotals
+from ashlatch.router.event import VersionTotals, VersionTotalsReceived
 from ashlatch.store.command import Resource
 from ashlatch.store.protocol import VersionReport
 
@@ -215,9 +215,11 @@
             for _ in range(60):
                 self.traffic.answers({NEW: 20, LARGE: 1}, slowdowns)
                 totals = self.traffic.totals.items()
-                event = VersionTallied(tuple(VersionTotals(v, t) for v, t in totals))
+                event = VersionTotalsReceived(
+                    tuple(VersionTotals(v, t) for v, t in totals)
+                )
                 core.step(core.now_ms + EXCHANGE_MS, event)
-        self.assertFalse(core.planner.suspended(NEW))
+        self.assertFalse(core.planner.is_suspended(NEW))
 
 
 class OwnSlownessTest(testtools.TestCase):
--- a/tests/traffic.py
+++ b/tests/traffic.py
@@ -25,33 +25,33 @@
 from ashlatch.router.effect import (
     CancelAttempt,
     Effect,
-    GiveAnswer,
-    GiveProblem,
     ProposeAnswer,
     ProposeClaim,
     ProposeClose,
-    ScheduleClaim,
+    ScheduleClaimRetry,
     ScheduleHedge,
+    SendAnswer,
+    SendProblem,
     StartAttempt,
 )
 from ashlatch.router.event import (
     Answered,
-    AnswerRecordEnded,
     AttemptEnded,
     AttemptResult,
     Broken,
-    CallerLeft,
-    ClaimDue,
-    ClaimEnded,
+    CallerDisconnected,
+    ClaimOutcomeReceived,
+    ClaimRetryDue,
     DeadlinePassed,
     DrainStarted,
     Event,
-    FirstChunk,
-    Full,
+    FirstChunkReceived,
     HedgeDue,
     LeaseRenewed,
     LoadReported,
     NotSent,
+    RecordOutcomeReceived,
+    Rejected,
     Request,
     RequestArrived,
     RequestKind,
@@ -342,17 +342,17 @@
                 self.pending.append(Pending(sim, effect, close))
             case ProposeAnswer(_, record):
                 self.pending.append(Pending(sim, effect, record))
-            case ScheduleClaim(request_id, _):
-                self.due.append(Due(sim, ClaimDue(request_id)))
+            case ScheduleClaimRetry(request_id, _):
+                self.due.append(Due(sim, ClaimRetryDue(request_id)))
             case ScheduleHedge(request_id, attempt_id, _):
                 self.due.append(Due(sim, HedgeDue(request_id, attempt_id)))
             case StartAttempt():
                 self.starting.append(Running(sim, effect))
             case CancelAttempt():
                 pass
-            case GiveAnswer():
+            case SendAnswer():
                 self.check_answer(sim, effect)
-            case GiveProblem():
+            case SendProblem():
                 self.check_problem(sim, effect)
 
     # Steps of a schedule.
@@ -469,9 +469,11 @@
         if not self.alive(sim):
             return
         if isinstance(effect, ProposeClaim):
-            self.step(sim, ClaimEnded(effect.request_id, effect.claim, outcome))
+            self.step(
+                sim, ClaimOutcomeReceived(effect.request_id, effect.claim, outcome)
+            )
         elif isinstance(effect, ProposeAnswer) and not item.told:
-            self.step(sim, AnswerRecordEnded(effect.request_id, outcome))
+            self.step(sim, RecordOutcomeReceived(effect.request_id, outcome))
 
     def connect(self) -> None:
         """An attempt begins to connect."""
@@ -491,7 +493,7 @@
         if late or roll < 0.1:
             self.end(running, NotSent("connect"))
         elif roll < 0.2:
-            self.end(running, Full("full", 100.0))
+            self.end(running, Rejected("full", 100.0))
         elif not item.sim.core.may_send(self.clock(item.sim), item.effect):
             self.end(running, NotSent("not sent any more"))
         else:
@@ -505,8 +507,8 @@
         key = (request.organisation, request.key)
         self.runs[key] += 1
         self.sent += 1
-        flight = item.sim.core.flights[request.request_id]
-        self.hedged += flight.hedge is not None
+        active = item.sim.core.active_requests[request.request_id]
+        self.hedged += active.hedge is not None
         if request.request_id in self.refused:
             raise RuleBroken(f"R6: {key} runs after it was refused as not run")
         if not request.repeatable and self.runs[key] > 1:
@@ -583,8 +585,8 @@
             return
         attempt_id = item.effect.attempt_id
         if item.chunks == 1:
-            self.step(item.sim, FirstChunk(request_id, attempt_id))
-            item.passes = item.sim.core.may_pass(request_id, attempt_id)
+            self.step(item.sim, FirstChunkReceived(request_id, attempt_id))
+            item.passes = item.sim.core.may_forward(request_id, attempt_id)
         if not item.passes:
             return
         seen = self.seen.setdefault(request_id, [])
@@ -608,7 +610,7 @@
             request_id = self.random.choice(list(self.open))
             sim = self.open[request_id]
             if self.alive(sim):
-                self.step(sim, CallerLeft(request_id))
+                self.step(sim, CallerDisconnected(request_id))
 
     def crash(self, name: str) -> None:
         sim = self.sims[name]
@@ -633,17 +635,19 @@
         sim.suspended_at_ms = None
 
     def drain(self, name: str) -> None:
-        """An ordered stop: all in flight must end with an answer (R9)."""
+        """An ordered stop: all in active must end with an answer (R9)."""
         sim = self.sims[name]
         if sim.frozen:
             return
         self.step(sim, DrainStarted())
         for _ in range(3000):
-            if not sim.core.flights:
+            if not sim.core.active_requests:
                 break
             self.calm(100.0 if self.random.random() < 0.2 else 0.0)
-        if sim.core.flights:
-            raise RuleBroken(f"R9: {len(sim.core.flights)} cut by a stop of {name}")
+        if sim.core.active_requests:
+            raise RuleBroken(
+                f"R9: {len(sim.core.active_requests)} cut by a stop of {name}"
+            )
         if sim in self.open.values():
             raise RuleBroken(f"R9: a caller of {name} never hears")
         self.crash(name)
@@ -697,7 +701,7 @@
             raise RuleBroken(f"R5: {request_id} is answered twice")
         return self.requests[request_id]
 
-    def check_answer(self, sim: Sim, given: GiveAnswer) -> None:
+    def check_answer(self, sim: Sim, given: SendAnswer) -> None:
         request = self.close(sim, given.request_id)
         key = (request.organisation, request.key)
         own = f"{request.organisation}/{request.key}#".encode()
@@ -711,7 +715,7 @@
         if not self.billed[key]:
             raise RuleBroken(f"R4: {key} is answered and not billed")
 
-    def check_problem(self, sim: Sim, given: GiveProblem) -> None:
+    def check_problem(self, sim: Sim, given: SendProblem) -> None:
         request = self.close(sim, given.request_id)
         key = (request.organisation, request.key)
         if given.problem.kind is problems.OUTCOME_UNKNOWN:
