--- a/ashlatch/router/attempt.py
+++ b/ashlatch/router/attempt.py
@@ -17,7 +17,7 @@
     close_claim,
     complete_with_answer,
     fail_request,
-    is_disposable,
+    is_cancellable,
     remove_request,
 )
 from ashlatch.router.core import (
@@ -104,7 +104,7 @@
 def _handle_answer(core: RouterCore, active: ActiveRequest, result: Answered) -> None:
     request = active.request
     active.maybe_ran = True
-    if active.responded and is_disposable(request):
+    if active.responded and is_cancellable(request):
         close_claim(core, active)
         remove_request(core, active)
         return
@@ -289,7 +289,7 @@
     active = core.active_requests.get(event.request_id)
     if active is None or active.responded:
         return
-    if not is_disposable(active.request):
+    if not is_cancellable(active.request):
         return
     active.maybe_ran = active.current_attempt is not None
     problem = Problem(
--- a/ashlatch/router/completion.py
+++ b/ashlatch/router/completion.py
@@ -36,7 +36,7 @@
     "remove_request",
     "complete_with_answer",
     "fail_request",
-    "is_disposable",
+    "is_cancellable",
 ]
 
 
@@ -58,7 +58,7 @@
     revision: int
 
 
-def is_disposable(request: Request) -> bool:
+def is_cancellable(request: Request) -> bool:
     """Checks whether a request may be cancelled when its caller is gone.
 
     That is so if it may be repeated and the caller gave no key to fetch the answer
@@ -82,7 +82,7 @@
             replayed,
         )
     )
-    _log_end(core, active, answer.status, None)
+    _log_completion(core, active, answer.status, None)
     core.limits.ended(request.organisation)
     remove_request(core, active)
 
@@ -94,7 +94,7 @@
     running = active.current_attempt is not None and not active.recording
     if running and problem.kind is problems.DEADLINE_PASSED:
         # The claim is closed and the request removed when the attempt ends.
-        if active.current_attempt is not None and is_disposable(active.request):
+        if active.current_attempt is not None and is_cancellable(active.request):
             core.effects.append(CancelAttempt(active.current_attempt.attempt_id))
     elif not active.recording:
         close_claim(core, active)
@@ -110,7 +110,7 @@
     """
     request = active.request
     core.effects.append(SendProblem(request.request_id, problem))
-    _log_end(core, active, problem.kind.status, problem)
+    _log_completion(core, active, problem.kind.status, problem)
     if admitted:
         core.limits.ended(request.organisation)
     cancelled = (
@@ -136,7 +136,7 @@
     core.active_requests.pop(active.request.request_id, None)
 
 
-def _log_end(
+def _log_completion(
     core: RouterCore, active: ActiveRequest, status: int, problem: Problem | None
 ) -> None:
     request = active.request
--- a/ashlatch/router/core.py
+++ b/ashlatch/router/core.py
@@ -165,8 +165,8 @@
     def add_findings(self, findings: list[Finding]) -> None:
         """Adds results that are now attributed to the versions to their tallies."""
         for finding in findings:
-            tally = self.tallies.get(finding.version, VersionTally())
-            self.tallies[finding.version] = tally.plus(finding.tally)
+            total = self.tallies.get(finding.version, VersionTally())
+            self.tallies[finding.version] = total.plus(finding.tally)
 
     @property
     def endpoints(self) -> EndpointStates:
--- a/ashlatch/router/daemon.py
+++ b/ashlatch/router/daemon.py
@@ -142,7 +142,7 @@
         self._server.start()
 
     def stop(self) -> int:
-        """Drains the router: refuses new requests, completes those in flight, then stops.
+        """Refuses new requests, completes those in flight, then stops.
 
         Returns the number of requests that were still in flight at the end.
         """
--- a/ashlatch/router/event.py
+++ b/ashlatch/router/event.py
@@ -258,8 +258,8 @@
 
     `limit_per_s` is infinite if the endpoint names no rate limit, None if the limit
     can't be parsed. The request was sent at `sent_ms` or later; `was_run` tells whether
-    the endpoint has run it. `backoff_ms` is how long the endpoint wants no requests from
-    this router, `leaving` whether it is about to stop.
+    the endpoint has run it. `backoff_ms` is how long the endpoint wants no requests
+    from this router, `leaving` whether it is about to stop.
     """
 
     endpoint: str
--- a/ashlatch/router/host.py
+++ b/ashlatch/router/host.py
@@ -209,7 +209,7 @@
     # Attempts.
 
     def submit(self, work: Callable[[], None]) -> None:
-        """Runs a function on the thread pool for attempts; an error stops the process."""
+        """Runs a function on the attempt thread pool; an error stops the process."""
         self._attempts.submit(self._run_guarded, work)
 
     def cancel(self, attempt_id: str) -> None:
@@ -295,7 +295,7 @@
         self.post(notice_event)
 
     def accept_first_chunk(self, effect: StartAttempt) -> bool:
-        """Posts an attempt's first chunk; returns whether the caller gets its stream."""
+        """Posts an attempt's first chunk; returns whether its stream is forwarded."""
         request_id = effect.request.request_id
         self.post(FirstChunkReceived(request_id, effect.attempt_id))
         with self._lock:
--- a/ashlatch/router/plan.py
+++ b/ashlatch/router/plan.py
@@ -121,7 +121,10 @@
     def plan_chat(
         self, request: Request, now_ms: float, tried: frozenset[str], version: str = ""
     ) -> Plan | NoPlan:
-        """Chooses a version and an endpoint for a chat; with `version`, only the endpoint."""
+        """Chooses a version and an endpoint for a chat.
+
+        With `version`, chooses only the endpoint.
+        """
         excluded: list[Exclusion] = []
         ready = self._ready_endpoints(now_ms, tried, excluded)
         if version:
@@ -390,7 +393,7 @@
     # Capacity, for the limits.
 
     def slots(self) -> float:
-        """Returns the slots of all reporting endpoints, scaled from the local subset."""
+        """Returns the slots of the reporting endpoints, scaled up from the subset."""
         return sum(load.slots * scale for load, scale in self._scaled_loads())
 
     def free_slots(self) -> float:
--- a/ashlatch/router/rollouts.py
+++ b/ashlatch/router/rollouts.py
@@ -21,7 +21,7 @@
 def apply_rollouts(
     table: RoutingTable, request: Request, version: str, usable: frozenset[str]
 ) -> str:
-    """Returns the version that a roll-out has moved this request to, or the chosen one."""
+    """Returns the version that a roll-out moves this request to, or `version`."""
     for rollout in table.rollouts:
         if rollout.from_version != version or rollout.to_version not in usable:
             continue
