--- a/ashlatch/router/daemon.py
+++ b/ashlatch/router/daemon.py
@@ -149,8 +149,8 @@
         self.host.post(DrainStarted())
         emit(log, DrainBegun(self.settings.vm, self.host.in_flight()))
         time.sleep(self.settings.drain_ms / 1000.0)
-        limit_s = monotonic_s() + self.settings.deadline_max_ms / 1000.0
-        while self.host.in_flight() and monotonic_s() < limit_s:
+        deadline_s = monotonic_s() + self.settings.deadline_max_ms / 1000.0
+        while self.host.in_flight() and monotonic_s() < deadline_s:
             time.sleep(STOP_CHECK_S)
         unfinished = self.host.in_flight()
         self._server.stop()
@@ -240,12 +240,12 @@
             if not spec.report_url:
                 continue
             try:
-                offered = self.host.core.planner.pool_subset(pool)
+                subset = self.host.core.planner.pool_subset(pool)
                 report = read_pool(
                     spec.report_url,
                     monotonic_ms(),
                     self.settings.load_poll_ms,
-                    tuple(endpoint.name for endpoint in offered),
+                    tuple(endpoint.name for endpoint in subset),
                 )
             except PlatformUnreadable:
                 self.host.post(LoadReported(pool, (), frozenset(), fresh=False))
@@ -325,13 +325,13 @@
         return Response(body, content_type="application/json")
 
     def _read_request(self, http: HttpRequest, organisation: str) -> Request:
-        clock = ArrivalTime(monotonic_ms(), unix_ms(), self.settings.deadline_max_ms)
+        arrival = ArrivalTime(monotonic_ms(), unix_ms(), self.settings.deadline_max_ms)
         table = self.host.core.planner.table
         if http.path == "/v1/chat/completions" and http.method == "POST":
-            return read_chat(http, organisation, table, clock)
+            return read_chat(http, organisation, table, arrival)
         if http.path.startswith(SERVICES):
             pool, _, path = http.path.removeprefix(SERVICES).partition("/")
-            return read_service(http, organisation, pool, path, table, clock)
+            return read_service(http, organisation, pool, path, table, arrival)
         raise BadRequest(Problem(problems.NOT_FOUND, http.path))
 
     def _serve(self, http: HttpRequest, request: Request) -> Response:
