--- a/bench/hedge.py
+++ b/bench/hedge.py
@@ -25,7 +25,7 @@
     if stream:
         streamed = chat_stream(url, KEY, ROUTE)
         assert streamed.done, streamed.error
-        return (streamed.chunk_s[0] - began_s) * 1000.0
+        return (streamed.chunk_times_s[0] - began_s) * 1000.0
     reply = chat(url, KEY, ROUTE)
     assert reply.status == 200, reply
     return (time.monotonic() - began_s) * 1000.0
--- a/bench/router.py
+++ b/bench/router.py
@@ -6,7 +6,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from bench.table import percentile, row, title
-from tests.chat import Stream, chat, chat_stream
+from tests.chat import StreamedAnswer, chat, chat_stream
 from tests.lean import KEY, ROUTE, Lean, lean
 from tests.system import Daemon
 
@@ -61,8 +61,8 @@
     return took_ms
 
 
-def gaps_ms(stream: Stream) -> list[float]:
-    pairs = zip(stream.chunk_s, stream.chunk_s[1:], strict=False)
+def gaps_ms(stream: StreamedAnswer) -> list[float]:
+    pairs = zip(stream.chunk_times_s, stream.chunk_times_s[1:], strict=False)
     return [(later - earlier) * 1000.0 for earlier, later in pairs]
 
 
--- a/tests/chat.py
+++ b/tests/chat.py
@@ -10,7 +10,7 @@
 
 
 @dataclass
-class Stream:
+class StreamedAnswer:
     """What a streamed answer consisted of."""
 
     status: int
@@ -18,7 +18,7 @@
     text: str = ""
     done: bool = False
     error: Any = None
-    chunk_s: list[float] = field(default_factory=list)
+    chunk_times_s: list[float] = field(default_factory=list)
 
 
 def chat_body(model: str, text: str = "hello", **extra: Any) -> dict[str, Any]:
@@ -55,7 +55,7 @@
 
 def chat_stream(
     url: str, key: str, model: str, text: str = "hello", **named: str
-) -> Stream:
+) -> StreamedAnswer:
     """A streamed answer, read to its end."""
     connection = http.client.HTTPConnection(url.removeprefix("http://"), timeout=60)
     try:
@@ -64,19 +64,19 @@
         connection.request("POST", path, body, headers(key, **named))
         response = connection.getresponse()
         fields = {k.lower(): v for k, v in response.getheaders()}
-        stream = Stream(response.status, fields)
+        stream = StreamedAnswer(response.status, fields)
         if response.status != 200:
             stream.error = json.loads(response.read())
             return stream
         failing = False
         for line in response:
-            failing = _take(stream, line.strip(), failing)
+            failing = _apply_line(stream, line.strip(), failing)
         return stream
     finally:
         connection.close()
 
 
-def _take(stream: Stream, line: bytes, failing: bool) -> bool:
+def _apply_line(stream: StreamedAnswer, line: bytes, failing: bool) -> bool:
     if line == b"event: error":
         return True
     if not line.startswith(b"data: "):
@@ -87,7 +87,7 @@
     elif failing:
         stream.error = json.loads(payload)
     else:
-        stream.chunk_s.append(time.monotonic())
+        stream.chunk_times_s.append(time.monotonic())
         for choice in json.loads(payload).get("choices", ()):
             stream.text += choice["delta"].get("content", "")
     return False
--- a/tests/demo.py
+++ b/tests/demo.py
@@ -74,8 +74,8 @@
     check(whole.status == 200, f"a whole answer, from {version}")
     stream = chat_stream(second, KENYA_KEY, "draft-quotation", "Quote 40 chains.")
     check(
-        stream.done and len(stream.chunk_s) > 10,
-        f"a streamed answer, {len(stream.chunk_s)} chunks, from "
+        stream.done and len(stream.chunk_times_s) > 10,
+        f"a streamed answer, {len(stream.chunk_times_s)} chunks, from "
         f"{stream.headers['ashlatch-version']}",
     )
     order = {"item": "chain", "count": 40}
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -50,7 +50,7 @@
     Usage,
 )
 
-_HANDLERS_OF = (admission, attempt, hedge, updates)
+_HANDLER_MODULES = (admission, attempt, hedge, updates)
 
 NOW_MS = 1000.0
 ANSWER = Answered(StoredAnswer(200, "text/plain", b"yes"), Usage(1, 2, 3), 50.0, 5.0)
@@ -114,7 +114,7 @@
     return dataclasses.replace(plain, **changed)
 
 
-POOR = dataclasses.replace(
+POOR_ANSWER = dataclasses.replace(
     ANSWER, answer=StoredAnswer(200, "text/plain", b"poor"), poor=True
 )
 ORDER = {"kind": RequestKind.SERVICE, "target": "orders", "repeatable": False}
@@ -126,9 +126,9 @@
         self.core = RouterCore(RouterConfig("r/1", "r", "logan"))
         self.step(ConfigurationChanged(table()))
         self.step(LeaseRenewed(NOW_MS + 60_000.0, 1))
-        self.report()
+        self.report_loads()
 
-    def report(self, at_ms: float = NOW_MS, *queued: int) -> None:
+    def report_loads(self, at_ms: float = NOW_MS, *queued: int) -> None:
         counts = queued or (0, 0)
         reports = tuple(
             LoadReport(name, at_ms, 0, waiting, 4, frozenset(("v1", "v2")))
@@ -142,53 +142,53 @@
     def arrive(self, **changed: Any) -> list[Effect]:
         return self.step(RequestArrived(request(**changed)))
 
-    def one(self, effects: list[Effect], kind: type) -> Any:
+    def only_effect(self, effects: list[Effect], kind: type) -> Any:
         (found,) = [effect for effect in effects if isinstance(effect, kind)]
         return found
 
-    def end(self, attempt: StartAttempt, result: Any) -> list[Effect]:
+    def end_attempt(self, attempt: StartAttempt, result: Any) -> list[Effect]:
         request_id = attempt.request.request_id
         return self.step(AttemptEnded(request_id, attempt.attempt_id, result))
 
-    def claim_granted(self, effects: list[Effect], version: str = "") -> list[Effect]:
-        claim = self.one(effects, ProposeClaim).claim
+    def grant_claim(self, effects: list[Effect], version: str = "") -> list[Effect]:
+        claim = self.only_effect(effects, ProposeClaim).claim
         granted = ClaimGranted(1, version or claim.candidate.version)
         return self.step(ClaimOutcomeReceived("q1", claim, granted))
 
-    def problem(self, effects: list[Effect]) -> Any:
-        return self.one(effects, SendProblem).problem
+    def only_problem(self, effects: list[Effect]) -> Any:
+        return self.only_effect(effects, SendProblem).problem
 
 
 class AdmissionTest(RouterTest):
     def test_without_a_lease_nothing_is_taken(self) -> None:
         later = NOW_MS + 60_000.0
-        problem = self.problem(self.step(RequestArrived(request()), later))
+        problem = self.only_problem(self.step(RequestArrived(request()), later))
         self.assertEqual("no_configuration", problem.kind.name)
         self.assertIs(True, problem.not_run)
 
     def test_an_early_no_to_a_keyed_request_does_not_say_not_run(self) -> None:
         """It may have run under its key before."""
         self.step(DrainStarted())
-        self.assertIsNone(self.problem(self.arrive(keyed=True)).not_run)
-        self.assertIs(True, self.problem(self.arrive(keyed=False)).not_run)
+        self.assertIsNone(self.only_problem(self.arrive(keyed=True)).not_run)
+        self.assertIs(True, self.only_problem(self.arrive(keyed=False)).not_run)
 
     def test_a_withdrawn_version_is_not_chosen(self) -> None:
         self.step(ConfigurationChanged(table(11, withdrawal__v1={})))
         for number in range(50):
             effects = self.arrive(request_id=f"q{number}")
-            self.assertEqual("v2", self.one(effects, StartAttempt).version)
+            self.assertEqual("v2", self.only_effect(effects, StartAttempt).version)
 
     def test_a_version_withdrawn_before_the_send_is_not_sent(self) -> None:
-        attempt = self.one(self.arrive(), StartAttempt)
+        attempt = self.only_effect(self.arrive(), StartAttempt)
         self.assertTrue(self.core.may_send(NOW_MS, attempt))
         changed = {f"withdrawal__{attempt.version}": dict[str, Any]()}
         self.step(ConfigurationChanged(table(11, **changed)))
         self.assertFalse(self.core.may_send(NOW_MS, attempt))
 
     def test_what_would_come_too_late_is_refused_at_once(self) -> None:
-        self.report(NOW_MS + 1, 400, 400)
+        self.report_loads(NOW_MS + 1, 400, 400)
         effects = self.arrive(deadline_ms=NOW_MS + 2000.0)
-        problem = self.problem(effects)
+        problem = self.only_problem(effects)
         self.assertEqual("overloaded", problem.kind.name)
         self.assertIs(True, problem.not_run)
         self.assertGreater(problem.retry_ms, 10_000.0)
@@ -205,15 +205,15 @@
             effects = self.arrive(request_id=f"big{number}")
             served += [e for e in effects if isinstance(e, StartAttempt)]
         effects = self.arrive(request_id="small", organisation="small")
-        self.one(effects, StartAttempt)
+        self.only_effect(effects, StartAttempt)
         refused = self.arrive(request_id="more")
-        self.assertEqual("fair_share", self.problem(refused).kind.name)
+        self.assertEqual("fair_share", self.only_problem(refused).kind.name)
 
     def test_the_rate_of_an_organisation_is_kept(self) -> None:
         slow = {"allowed_models": ["m"], "rate_per_s": 10.0, "burst_requests": 1.0}
         self.step(ConfigurationChanged(table(11, organisation__org=slow)))
-        self.one(self.arrive(request_id="first"), StartAttempt)
-        problem = self.problem(self.arrive(request_id="second"))
+        self.only_effect(self.arrive(request_id="first"), StartAttempt)
+        problem = self.only_problem(self.arrive(request_id="second"))
         self.assertEqual("rate_limited", problem.kind.name)
         self.assertAlmostEqual(100.0, problem.retry_ms, delta=1.0)
 
@@ -246,29 +246,29 @@
         # it one in a hundred; neither may go back to v1.
         for error_sum in (7.0, 0.14):
             self.core.planner.detector("v0").error_sum = error_sum
-            versions = self.versions_of(1000)
+            versions = self.send_requests(1000)
             self.assertEqual({"v0", "v2"}, versions, f"error_sum {error_sum}")
 
-    def versions_of(self, requests: int) -> set[str]:
+    def send_requests(self, requests: int) -> set[str]:
         """What so many requests are sent to, each answered before the next."""
         versions = set()
         for number in range(requests):
             name = f"q{len(self.core.tallies)}-{number}"
             effects = self.arrive(request_id=name, key=name)
-            attempt = self.one(effects, StartAttempt)
+            attempt = self.only_effect(effects, StartAttempt)
             versions.add(attempt.version)
-            self.end(attempt, ANSWER)
+            self.end_attempt(attempt, ANSWER)
             self.step(RecordOutcomeReceived(name, AnswerAccepted(1)))
         return versions
 
 
-class ReasonTest(RouterTest):
+class ExclusionReasonTest(RouterTest):
     def test_a_refusal_names_each_endpoint_and_why(self) -> None:
         effects = self.arrive(session="s", keyed=True)
-        claim = self.one(effects, ProposeClaim).claim
+        claim = self.only_effect(effects, ProposeClaim).claim
         later = NOW_MS + 5000.0
         granted = ClaimOutcomeReceived("q1", claim, ClaimGranted(1, "v1"))
-        problem = self.problem(self.step(granted, later))
+        problem = self.only_problem(self.step(granted, later))
         self.assertEqual("no_endpoint", problem.kind.name)
         self.assertEqual("e1:silent,e2:silent,v1:no_endpoint", problem.detail)
 
@@ -281,30 +281,34 @@
                 for _ in range(200):
                     self.core.hedging.took(version, stream, 50.0)
 
-    def hedged(self, **changed: Any) -> tuple[StartAttempt, StartAttempt]:
+    def hedge_request(self, **changed: Any) -> tuple[StartAttempt, StartAttempt]:
         """A request whose first attempt is slow, and its hedge."""
         effects = self.arrive(**changed)
-        due = self.one(effects, ScheduleHedge)
+        due = self.only_effect(effects, ScheduleHedge)
         self.assertEqual(75.0, due.after_ms)
         again = self.step(HedgeDue(due.request_id, due.attempt_id))
-        return self.one(effects, StartAttempt), self.one(again, StartAttempt)
+        return self.only_effect(effects, StartAttempt), self.only_effect(
+            again, StartAttempt
+        )
 
     def test_a_slow_attempt_gets_a_second_one_elsewhere(self) -> None:
-        first, second = self.hedged()
+        first, second = self.hedge_request()
         self.assertEqual(first.version, second.version)
         self.assertNotEqual(first.endpoint, second.endpoint)
-        effects = self.end(second, ANSWER)
-        self.one(effects, ProposeAnswer)
-        cancel = self.one(effects, CancelAttempt)
+        effects = self.end_attempt(second, ANSWER)
+        self.only_effect(effects, ProposeAnswer)
+        cancel = self.only_effect(effects, CancelAttempt)
         self.assertEqual(first.attempt_id, cancel.attempt_id)
         # The loser answers all the same: nothing more comes of it.
-        self.assertEqual([], self.end(first, ANSWER))
+        self.assertEqual([], self.end_attempt(first, ANSWER))
         self.assertEqual(0, self.core.endpoints.load(first.endpoint).in_flight)
 
     def test_the_first_chunk_decides_which_stream_is_given(self) -> None:
-        first, second = self.hedged(stream=True)
+        first, second = self.hedge_request(stream=True)
         effects = self.step(FirstChunkReceived("q1", second.attempt_id))
-        self.assertEqual(first.attempt_id, self.one(effects, CancelAttempt).attempt_id)
+        self.assertEqual(
+            first.attempt_id, self.only_effect(effects, CancelAttempt).attempt_id
+        )
         self.step(FirstChunkReceived("q1", first.attempt_id))
         passes = [self.core.may_forward("q1", a.attempt_id) for a in (first, second)]
         self.assertEqual([False, True], passes)
@@ -312,19 +316,19 @@
     def test_when_one_of_two_fails_the_other_goes_on(self) -> None:
         for failed in (0, 1):
             name = f"q{failed}"
-            both = self.hedged(request_id=name, key=name)
-            self.assertEqual([], self.end(both[failed], Broken("reset")))
-            self.one(self.end(both[1 - failed], ANSWER), ProposeAnswer)
+            both = self.hedge_request(request_id=name, key=name)
+            self.assertEqual([], self.end_attempt(both[failed], Broken("reset")))
+            self.only_effect(self.end_attempt(both[1 - failed], ANSWER), ProposeAnswer)
 
     def test_what_may_not_be_repeated_is_not_hedged(self) -> None:
-        effects = self.claim_granted(self.arrive(repeatable=False))
-        self.one(effects, StartAttempt)
+        effects = self.grant_claim(self.arrive(repeatable=False))
+        self.only_effect(effects, StartAttempt)
         self.assertEqual([], [e for e in effects if isinstance(e, ScheduleHedge)])
 
     def test_a_hedge_makes_nobody_wait(self) -> None:
         effects = self.arrive()
-        due = self.one(effects, ScheduleHedge)
-        self.report(NOW_MS + 1, 4, 4)
+        due = self.only_effect(effects, ScheduleHedge)
+        self.report_loads(NOW_MS + 1, 4, 4)
         self.assertEqual([], self.step(HedgeDue("q1", due.attempt_id)))
 
     def test_hedges_have_a_budget(self) -> None:
@@ -332,21 +336,21 @@
         for number in range(300):
             name = f"q{number}"
             effects = self.arrive(request_id=name, key=name)
-            attempt = self.one(effects, StartAttempt)
+            attempt = self.only_effect(effects, StartAttempt)
             again = self.step(HedgeDue(name, attempt.attempt_id))
             hedges += len(again) > 0
             for sent in [attempt, *(e for e in again if isinstance(e, StartAttempt))]:
-                self.end(sent, ANSWER)
+                self.end_attempt(sent, ANSWER)
             self.step(RecordOutcomeReceived(name, AnswerAccepted(1)))
         self.assertLessEqual(hedges, 0.05 * 300 + 10)
 
     def test_nothing_is_left_of_a_request_that_is_given_up(self) -> None:
-        first, second = self.hedged()
+        first, second = self.hedge_request()
         effects = self.step(DeadlinePassed("q1"))
         cancelled = {e.attempt_id for e in effects if isinstance(e, CancelAttempt)}
         self.assertEqual({first.attempt_id, second.attempt_id}, cancelled)
         for sent in (first, second):
-            self.end(sent, Broken("cancelled"))
+            self.end_attempt(sent, Broken("cancelled"))
         self.assertEqual(
             ({}, {}), (self.core.active_requests, self.core.cancelled_attempts)
         )
@@ -354,23 +358,25 @@
 
 class SessionTest(RouterTest):
     def test_a_known_pin_needs_no_claim(self) -> None:
-        effects = self.claim_granted(self.arrive(session="s"), "v2")
-        self.assertEqual("v2", self.one(effects, StartAttempt).version)
+        effects = self.grant_claim(self.arrive(session="s"), "v2")
+        self.assertEqual("v2", self.only_effect(effects, StartAttempt).version)
         effects = self.arrive(request_id="q2", session="s")
-        self.assertEqual("v2", self.one(effects, StartAttempt).version)
+        self.assertEqual("v2", self.only_effect(effects, StartAttempt).version)
 
     def test_a_pin_is_asked_again_when_its_version_was_touched(self) -> None:
         """It was withdrawn and let back between two polls."""
-        self.claim_granted(self.arrive(session="s"), "v2")
+        self.grant_claim(self.arrive(session="s"), "v2")
         touched = ConfigurationChanged(table(12), frozenset({"v2"}))
         self.step(touched)
         effects = self.arrive(request_id="q2", session="s")
-        self.one(effects, ProposeClaim)
+        self.only_effect(effects, ProposeClaim)
 
     def test_a_retry_keeps_the_sessions_version(self) -> None:
-        effects = self.claim_granted(self.arrive(session="s"), "v2")
-        attempt = self.one(effects, StartAttempt)
-        again = self.one(self.end(attempt, NotSent("refused")), StartAttempt)
+        effects = self.grant_claim(self.arrive(session="s"), "v2")
+        attempt = self.only_effect(effects, StartAttempt)
+        again = self.only_effect(
+            self.end_attempt(attempt, NotSent("refused")), StartAttempt
+        )
         self.assertEqual("v2", again.version)
         self.assertNotEqual(attempt.endpoint, again.endpoint)
 
@@ -382,107 +388,119 @@
         self.core.planner.version_policy = VERSION_POLICIES.get("cheapest")()
 
     def test_an_answer_waits_for_its_record(self) -> None:
-        attempt = self.one(self.arrive(), StartAttempt)
-        effects = self.end(attempt, ANSWER)
+        attempt = self.only_effect(self.arrive(), StartAttempt)
+        effects = self.end_attempt(attempt, ANSWER)
         self.assertEqual([], [e for e in effects if isinstance(e, SendAnswer)])
-        self.one(effects, ProposeAnswer)
+        self.only_effect(effects, ProposeAnswer)
         given = self.step(RecordOutcomeReceived("q1", AnswerAccepted(1)))
-        self.assertEqual(b"yes", self.one(given, SendAnswer).answer.body)
+        self.assertEqual(b"yes", self.only_effect(given, SendAnswer).answer.body)
 
     def test_what_may_not_be_repeated_is_not(self) -> None:
-        attempt = self.one(self.claim_granted(self.arrive(**ORDER)), StartAttempt)
-        effects = self.end(attempt, Broken("reset"))
-        problem = self.problem(effects)
+        attempt = self.only_effect(self.grant_claim(self.arrive(**ORDER)), StartAttempt)
+        effects = self.end_attempt(attempt, Broken("reset"))
+        problem = self.only_problem(effects)
         self.assertEqual("outcome_unknown", problem.kind.name)
         self.assertIsNone(problem.not_run)
-        self.assertIs(False, self.one(effects, ProposeClose).close.not_run)
+        self.assertIs(False, self.only_effect(effects, ProposeClose).close.not_run)
 
     def test_a_refusal_of_the_endpoint_is_tried_elsewhere(self) -> None:
-        attempt = self.one(self.arrive(), StartAttempt)
-        again = self.one(self.end(attempt, Rejected("full", 100.0)), StartAttempt)
+        attempt = self.only_effect(self.arrive(), StartAttempt)
+        again = self.only_effect(
+            self.end_attempt(attempt, Rejected("full", 100.0)), StartAttempt
+        )
         self.assertNotEqual(attempt.endpoint, again.endpoint)
-        problem = self.problem(self.end(again, Rejected("full", 100.0)))
+        problem = self.only_problem(self.end_attempt(again, Rejected("full", 100.0)))
         self.assertIs(True, problem.not_run)
 
     def test_not_run_is_not_said_of_a_keyed_request_after_the_lease(self) -> None:
         """Another router may have taken it over and run it."""
-        effects = self.claim_granted(self.arrive(keyed=True))
-        attempt = self.one(effects, StartAttempt)
+        effects = self.grant_claim(self.arrive(keyed=True))
+        attempt = self.only_effect(effects, StartAttempt)
         lapsed_ms = NOW_MS + 60_001.0
         ended = AttemptEnded("q1", attempt.attempt_id, NotSent("refused"))
-        self.assertIsNone(self.problem(self.step(ended, lapsed_ms)).not_run)
+        self.assertIsNone(self.only_problem(self.step(ended, lapsed_ms)).not_run)
 
     def test_a_late_result_of_an_older_attempt_is_nothing(self) -> None:
-        attempt = self.one(self.arrive(), StartAttempt)
-        self.end(attempt, NotSent("refused"))
-        self.assertEqual([], self.end(attempt, ANSWER))
+        attempt = self.only_effect(self.arrive(), StartAttempt)
+        self.end_attempt(attempt, NotSent("refused"))
+        self.assertEqual([], self.end_attempt(attempt, ANSWER))
 
     def test_a_poor_answer_is_asked_again_of_the_next_rung(self) -> None:
-        attempt = self.one(self.arrive(), StartAttempt)
+        attempt = self.only_effect(self.arrive(), StartAttempt)
         self.assertEqual("v1", attempt.version)
-        better = self.one(self.end(attempt, POOR), StartAttempt)
+        better = self.only_effect(self.end_attempt(attempt, POOR_ANSWER), StartAttempt)
         self.assertEqual("v2", better.version)
-        record = self.one(self.end(better, ANSWER), ProposeAnswer).record
+        record = self.only_effect(
+            self.end_attempt(better, ANSWER), ProposeAnswer
+        ).record
         self.assertEqual("v2", record.version)
 
     def test_a_poor_answer_is_better_than_none(self) -> None:
-        attempt = self.one(self.arrive(), StartAttempt)
-        better = self.one(self.end(attempt, POOR), StartAttempt)
-        record = self.one(self.end(better, Broken("reset")), ProposeAnswer).record
+        attempt = self.only_effect(self.arrive(), StartAttempt)
+        better = self.only_effect(self.end_attempt(attempt, POOR_ANSWER), StartAttempt)
+        record = self.only_effect(
+            self.end_attempt(better, Broken("reset")), ProposeAnswer
+        ).record
         self.assertEqual("v1", record.version)
         given = self.step(RecordOutcomeReceived("q1", AnswerAccepted(1)))
-        self.assertEqual(b"poor", self.one(given, SendAnswer).answer.body)
+        self.assertEqual(b"poor", self.only_effect(given, SendAnswer).answer.body)
 
     def test_a_session_does_not_climb(self) -> None:
-        effects = self.claim_granted(self.arrive(session="s"), "v1")
-        attempt = self.one(effects, StartAttempt)
-        record = self.one(self.end(attempt, POOR), ProposeAnswer).record
+        effects = self.grant_claim(self.arrive(session="s"), "v1")
+        attempt = self.only_effect(effects, StartAttempt)
+        record = self.only_effect(
+            self.end_attempt(attempt, POOR_ANSWER), ProposeAnswer
+        ).record
         self.assertEqual("v1", record.version)
 
     def test_a_broken_stream_is_resumed_where_it_was(self) -> None:
-        attempt = self.one(self.arrive(stream=True), StartAttempt)
+        attempt = self.only_effect(self.arrive(stream=True), StartAttempt)
         self.step(FirstChunkReceived("q1", attempt.attempt_id))
-        again = self.one(self.end(attempt, Broken("reset", 7)), StartAttempt)
+        again = self.only_effect(
+            self.end_attempt(attempt, Broken("reset", 7)), StartAttempt
+        )
         self.assertEqual(
             (attempt.endpoint, attempt.version, 7),
             (again.endpoint, again.version, again.resume_chunks),
         )
 
     def test_a_stream_whose_endpoint_is_gone_is_not_begun_anew(self) -> None:
-        attempt = self.one(self.arrive(stream=True), StartAttempt)
+        attempt = self.only_effect(self.arrive(stream=True), StartAttempt)
         self.step(FirstChunkReceived("q1", attempt.attempt_id))
-        again = self.one(self.end(attempt, Broken("reset", 7)), StartAttempt)
-        problem = self.problem(self.end(again, NotSent("refused")))
+        again = self.only_effect(
+            self.end_attempt(attempt, Broken("reset", 7)), StartAttempt
+        )
+        problem = self.only_problem(self.end_attempt(again, NotSent("refused")))
         self.assertEqual("attempt_failed", problem.kind.name)
         self.assertIs(False, problem.not_run)
 
     def test_a_poor_stream_that_was_seen_does_not_climb(self) -> None:
-        attempt = self.one(self.arrive(stream=True), StartAttempt)
+        attempt = self.only_effect(self.arrive(stream=True), StartAttempt)
         self.step(FirstChunkReceived("q1", attempt.attempt_id))
-        self.one(self.end(attempt, POOR), ProposeAnswer)
+        self.only_effect(self.end_attempt(attempt, POOR_ANSWER), ProposeAnswer)
 
     def test_retries_have_a_budget(self) -> None:
         retries = 0
         for number in range(200):
             effects = self.arrive(request_id=f"q{number}")
-            attempt = self.one(effects, StartAttempt)
-            effects = self.end(attempt, Rejected("full", 100.0))
+            attempt = self.only_effect(effects, StartAttempt)
+            effects = self.end_attempt(attempt, Rejected("full", 100.0))
             retries += sum(isinstance(e, StartAttempt) for e in effects)
             for again in [e for e in effects if isinstance(e, StartAttempt)]:
-                self.end(again, Rejected("full", 100.0))
+                self.end_attempt(again, Rejected("full", 100.0))
         self.assertLessEqual(retries, 0.1 * 200 + 10)
 
     def test_a_missed_deadline_is_told_at_once(self) -> None:
         self.arrive()
-        problem = self.problem(self.step(DeadlinePassed("q1")))
+        problem = self.only_problem(self.step(DeadlinePassed("q1")))
         self.assertEqual("deadline_passed", problem.kind.name)
         self.assertIs(False, problem.not_run)
 
     def test_an_order_past_its_deadline_is_recorded_all_the_same(self) -> None:
-        attempt = self.one(self.claim_granted(self.arrive(**ORDER)), StartAttempt)
-        problem = self.problem(self.step(DeadlinePassed("q1")))
+        attempt = self.only_effect(self.grant_claim(self.arrive(**ORDER)), StartAttempt)
+        problem = self.only_problem(self.step(DeadlinePassed("q1")))
         self.assertIsNone(problem.not_run)
-        self.one(self.end(attempt, ANSWER), ProposeAnswer)
+        self.only_effect(self.end_attempt(attempt, ANSWER), ProposeAnswer)
 
 
 class UnreportedEndpointTest(RouterTest):
@@ -495,24 +513,26 @@
     beside load).
     """
 
-    def report(self, at_ms: float = NOW_MS, *queued: int) -> None:
+    def report_loads(self, at_ms: float = NOW_MS, *queued: int) -> None:
         known = LoadReport("e1", at_ms, 0, 0, 4, frozenset(("v1", "v2")))
         self.step(LoadReported("lm", (known,), frozenset()))
 
     def test_it_is_tried_where_there_is_no_other(self) -> None:
-        first = self.one(self.arrive(), StartAttempt)
+        first = self.only_effect(self.arrive(), StartAttempt)
         self.assertEqual("e1", first.endpoint)
-        second = self.one(self.end(first, NotSent("refused")), StartAttempt)
+        second = self.only_effect(
+            self.end_attempt(first, NotSent("refused")), StartAttempt
+        )
         self.assertEqual("e2", second.endpoint)
 
     def test_one_that_is_known_goes_first(self) -> None:
         for number in range(20):
-            sent = self.one(self.arrive(request_id=f"q{number}"), StartAttempt)
+            sent = self.only_effect(self.arrive(request_id=f"q{number}"), StartAttempt)
             self.assertEqual("e1", sent.endpoint)
 
     def test_one_that_has_said_what_it_serves_is_believed(self) -> None:
         """It is not tried for another version."""
         other = LoadReport("e2", NOW_MS, 0, 0, 4, frozenset(("v3",)))
         self.step(LoadReported("lm", (other,), frozenset()))
-        first = self.one(self.arrive(), StartAttempt)
-        self.problem(self.end(first, NotSent("refused")))
+        first = self.only_effect(self.arrive(), StartAttempt)
+        self.only_problem(self.end_attempt(first, NotSent("refused")))
--- a/tests/test_router_backoff.py
+++ b/tests/test_router_backoff.py
@@ -16,7 +16,7 @@
 from tests.shedding import GRACE_S, WITHIN_BACKOFF_MAX
 from tests.test_router import NOW_MS, ORDER, RouterTest
 
-_HANDLERS_OF = (notices,)
+_HANDLER_MODULES = (notices,)
 
 
 class SheddingChatTest(testtools.TestCase):
@@ -24,7 +24,7 @@
 
     BACKOFF_S = 2.0
 
-    def play(self, length_s: float, **control: object) -> list[float]:
+    def request_times(self, length_s: float, **control: object) -> list[float]:
         """When the preferred engine got requests of 20 a second, since its control."""
         with lean(routers=1) as found:
             for _ in range(60):
@@ -41,7 +41,7 @@
             return sorted(ms / 1000.0 for ms in came_ms if ms > begin_s * 1000.0)
 
     def test_an_engine_that_sheds_gets_nothing_until_its_backoff_is_over(self) -> None:
-        came_s = self.play(4.5, backoff_s=self.BACKOFF_S)
+        came_s = self.request_times(4.5, backoff_s=self.BACKOFF_S)
         self.assertTrue(came_s)
         for asked_s in came_s:
             begin_s, end_s = asked_s + GRACE_S, asked_s + self.BACKOFF_S
@@ -49,7 +49,7 @@
             self.assertTrue(within <= WITHIN_BACKOFF_MAX, f"{within} within a backoff")
 
     def test_an_engine_that_says_it_leaves_gets_nothing_more(self) -> None:
-        self.assertEqual(1, len(self.play(2.0, announces_leaving=True)))
+        self.assertEqual(1, len(self.request_times(2.0, announces_leaving=True)))
 
 
 class CoreTest(RouterTest):
@@ -57,51 +57,51 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.back_off("e1", 3000.0)
+        self.receive_backoff("e1", 3000.0)
 
-    def back_off(
+    def receive_backoff(
         self, endpoint: str, backoff_ms: float, now_ms: float = NOW_MS
     ) -> list[Effect]:
         heard = EndpointNoticeReceived(endpoint, NO_LIMIT, now_ms, False, backoff_ms)
         return self.step(heard, now_ms)
 
-    def leave(self, endpoint: str) -> list[Effect]:
+    def receive_leaving(self, endpoint: str) -> list[Effect]:
         return self.step(
             EndpointNoticeReceived(endpoint, NO_LIMIT, NOW_MS, True, leaving=True)
         )
 
-    def sent(self, effects: list[Effect]) -> StartAttempt | None:
+    def first_attempt(self, effects: list[Effect]) -> StartAttempt | None:
         return next((e for e in effects if isinstance(e, StartAttempt)), None)
 
     def test_the_other_endpoint_serves(self) -> None:
         for number in range(10):
-            sent = self.sent(self.arrive(request_id=f"q{number}"))
+            sent = self.first_attempt(self.arrive(request_id=f"q{number}"))
             assert sent is not None
             self.assertEqual("e2", sent.endpoint)
 
     def test_all_back_off(self) -> None:
-        self.back_off("e2", 1500.0)
-        problem = self.problem(self.arrive())
+        self.receive_backoff("e2", 1500.0)
+        problem = self.only_problem(self.arrive())
         self.assertTrue(problem.not_run)
         self.assertEqual(1500.0, problem.retry_ms)
 
     def test_a_session_is_told_when_to_return(self) -> None:
-        self.back_off("e2", 1500.0)
+        self.receive_backoff("e2", 1500.0)
         effects = self.arrive(session="s1")
-        self.assertIsNone(self.sent(effects))
-        self.assertEqual(1500.0, self.problem(effects).retry_ms)
+        self.assertIsNone(self.first_attempt(effects))
+        self.assertEqual(1500.0, self.only_problem(effects).retry_ms)
 
     def test_a_service_call(self) -> None:
-        self.back_off("s1", 1500.0)
+        self.receive_backoff("s1", 1500.0)
         effects = self.arrive(**ORDER)
-        self.assertIsNone(self.sent(effects))
-        self.assertEqual(1500.0, self.problem(effects).retry_ms)
+        self.assertIsNone(self.first_attempt(effects))
+        self.assertEqual(1500.0, self.only_problem(effects).retry_ms)
 
     def test_a_repeat(self) -> None:
         for result in (Broken("closed"), Rejected("full", 100.0)):
-            sent = self.sent(self.arrive(request_id=f"q-{result.reason}"))
+            sent = self.first_attempt(self.arrive(request_id=f"q-{result.reason}"))
             assert sent is not None
-            self.assertIsNone(self.sent(self.end(sent, result)))
+            self.assertIsNone(self.first_attempt(self.end_attempt(sent, result)))
 
     def test_a_hedge(self) -> None:
         for _ in range(200):
@@ -109,42 +109,44 @@
             self.core.hedging.took("v2", False, 50.0)
         due = next(e for e in self.arrive() if isinstance(e, ScheduleHedge))
         hedge = HedgeDue(due.request_id, due.attempt_id)
-        self.assertIsNone(self.sent(self.step(hedge)))
+        self.assertIsNone(self.first_attempt(self.step(hedge)))
         self.core.endpoints.backoffs.clear()
         self.core.active_requests["q1"].tried_endpoints = frozenset()
-        self.assertIsNotNone(self.sent(self.step(hedge)))
+        self.assertIsNotNone(self.first_attempt(self.step(hedge)))
 
-    def resumes(self, stop: Callable[[str], object]) -> bool:
+    def is_resumed_after(self, stop: Callable[[str], object]) -> bool:
         """Whether a stream is resumed at an endpoint after something."""
-        sent = self.sent(self.arrive(stream=True))
+        sent = self.first_attempt(self.arrive(stream=True))
         assert sent is not None
         self.core.active_requests["q1"].stream_started = True
         stop(sent.endpoint)
         broken = dataclasses.replace(Broken("closed"), chunks=2)
-        return self.sent(self.end(sent, broken)) is not None
+        return self.first_attempt(self.end_attempt(sent, broken)) is not None
 
     def test_a_stream_is_resumed(self) -> None:
-        self.assertTrue(self.resumes(lambda endpoint: None))
+        self.assertTrue(self.is_resumed_after(lambda endpoint: None))
 
     def test_a_stream_is_not_resumed_within_a_backoff(self) -> None:
-        self.assertFalse(self.resumes(lambda e: self.back_off(e, 3000.0)))
+        self.assertFalse(
+            self.is_resumed_after(lambda e: self.receive_backoff(e, 3000.0))
+        )
 
     def test_a_stream_is_not_resumed_where_the_endpoint_leaves(self) -> None:
-        self.assertFalse(self.resumes(self.leave))
+        self.assertFalse(self.is_resumed_after(self.receive_leaving))
 
-    def sent_after(self, stop: Callable[[str], object]) -> bool:
+    def may_send_after(self, stop: Callable[[str], object]) -> bool:
         """Whether a request that waits for a connection is sent after something."""
-        sent = self.sent(self.arrive())
+        sent = self.first_attempt(self.arrive())
         assert sent is not None
         self.assertTrue(self.core.may_send(NOW_MS, sent))
         stop(sent.endpoint)
         return self.core.may_send(NOW_MS, sent)
 
     def test_a_request_that_waits_is_not_sent_within_a_backoff(self) -> None:
-        self.assertFalse(self.sent_after(lambda e: self.back_off(e, 3000.0)))
+        self.assertFalse(self.may_send_after(lambda e: self.receive_backoff(e, 3000.0)))
 
     def test_a_request_that_waits_is_not_sent_to_who_leaves(self) -> None:
-        self.assertFalse(self.sent_after(self.leave))
+        self.assertFalse(self.may_send_after(self.receive_leaving))
 
     def test_an_answer_in_between_does_not_end_it(self) -> None:
         self.step(EndpointNoticeReceived("e1", NO_LIMIT, NOW_MS + 1.0, True))
--- a/tests/test_router_crashes.py
+++ b/tests/test_router_crashes.py
@@ -31,138 +31,148 @@
 from tests.system import HOST, Fake, wait_until
 from tests.test_router import ANSWER, NOW_MS, ORDER, RouterTest, request
 
-ENDED = Broken("closed", endpoint_gone=True)
+ENDPOINT_GONE = Broken("closed", endpoint_gone=True)
 CRASHES_MAX = 3
 # Within the time in which an endpoint that answers again shows its failures to be the
 # version's.
-BACK_MS = 500.0
+RECOVERY_MS = 500.0
 # Within this time all routers know of a crash.
-KNOWN_S = 0.3
+PROPAGATION_S = 0.3
 # What a question of the system under test asks for.
-TEXT = "how much"
-AT = 1_800_000_000_000
+CRASHING_TEXT = "how much"
+ARRIVED_WALL_MS = 1_800_000_000_000
 
 
-class SuspectsTest(RouterTest):
+class QuarantineTest(RouterTest):
     """One core; each request is a try of its own for the same content."""
 
-    def attempt_of(self, number: int, **changed: object) -> list[Effect]:
-        wanted = request(request_id=f"q{number}", arrived_wall_ms=AT, **changed)
+    def arrive_numbered(self, number: int, **changed: object) -> list[Effect]:
+        wanted = request(
+            request_id=f"q{number}", arrived_wall_ms=ARRIVED_WALL_MS, **changed
+        )
         return self.step(RequestArrived(wanted))
 
-    def sent(self, effects: list[Effect]) -> StartAttempt | None:
+    def first_attempt(self, effects: list[Effect]) -> StartAttempt | None:
         return next((e for e in effects if isinstance(e, StartAttempt)), None)
 
-    def problem(self, effects: list[Effect]) -> problems.Problem:
+    def only_problem(self, effects: list[Effect]) -> problems.Problem:
         (given,) = (e for e in effects if isinstance(e, SendProblem))
         return given.problem
 
-    def end(self, sent: StartAttempt, result: object) -> list[Effect]:
+    def end_attempt(self, sent: StartAttempt, result: object) -> list[Effect]:
         ended = AttemptEnded(sent.request.request_id, sent.attempt_id, result)  # type: ignore[arg-type]
         return self.step(ended)
 
-    def crash(self, tries: int) -> list[Effect]:
+    def crash_endpoints(self, tries: int) -> list[Effect]:
         """Tries whose endpoints end, until there is nothing more to send."""
         effects: list[Effect] = []
         for number in range(tries):
             # Each crash is of a later time; the core knows it by the arrival.
-            wall_ms = AT + 5000 * number
+            wall_ms = ARRIVED_WALL_MS + 5000 * number
             wanted = request(request_id=f"q{number}", arrived_wall_ms=wall_ms)
             effects = self.step(RequestArrived(wanted))
-            while (attempt := self.sent(effects)) is not None:
-                effects = self.end(attempt, ENDED)
+            while (attempt := self.first_attempt(effects)) is not None:
+                effects = self.end_attempt(attempt, ENDPOINT_GONE)
         return effects
 
     def test_held_after_three_crashes(self) -> None:
-        self.crash(CRASHES_MAX)
-        effects = self.attempt_of(99)
-        self.assertIsNone(self.sent(effects))
-        problem = self.problem(effects)
+        self.crash_endpoints(CRASHES_MAX)
+        effects = self.arrive_numbered(99)
+        self.assertIsNone(self.first_attempt(effects))
+        problem = self.only_problem(effects)
         self.assertEqual(problems.QUARANTINED, problem.kind)
         self.assertTrue(problem.not_run)
         assert problem.retry_ms is not None
         self.assertTrue(problem.retry_ms > 500_000.0)
 
     def test_other_requests_are_sent(self) -> None:
-        self.crash(CRASHES_MAX)
-        self.assertIsNotNone(self.sent(self.attempt_of(99, body_digest="other")))
-        self.assertIsNotNone(self.sent(self.attempt_of(98, path="/x")))
+        self.crash_endpoints(CRASHES_MAX)
+        self.assertIsNotNone(
+            self.first_attempt(self.arrive_numbered(99, body_digest="other"))
+        )
+        self.assertIsNotNone(self.first_attempt(self.arrive_numbered(98, path="/x")))
 
     def test_a_cut_connection_is_no_crash(self) -> None:
         for number in range(2 * CRASHES_MAX):
-            attempt = self.sent(self.attempt_of(number))
+            attempt = self.first_attempt(self.arrive_numbered(number))
             if attempt is not None:
-                self.end(attempt, Broken("closed"))
+                self.end_attempt(attempt, Broken("closed"))
         content = request_fingerprint(request())
         self.assertEqual(0, self.core.quarantine.crashes(content))
 
     def test_an_answer_clears(self) -> None:
-        attempt = self.sent(self.attempt_of(1))
+        attempt = self.first_attempt(self.arrive_numbered(1))
         assert attempt is not None
-        again = self.sent(self.end(attempt, ENDED))
+        again = self.first_attempt(self.end_attempt(attempt, ENDPOINT_GONE))
         content = request_fingerprint(request())
         self.assertEqual(1, self.core.quarantine.crashes(content))
         assert again is not None
-        self.end(again, ANSWER)
+        self.end_attempt(again, ANSWER)
         self.assertEqual(0, self.core.quarantine.crashes(content))
 
     def test_what_others_found_is_held_here(self) -> None:
         other = Quarantine()
         content = request_fingerprint(request())
         for number in range(CRASHES_MAX):
-            other.crashed(content, f"e{number}", 0, AT - 5000 * number)
+            other.crashed(content, f"e{number}", 0, ARRIVED_WALL_MS - 5000 * number)
         self.step(CrashRecordsReceived(other.to_tell()))
-        self.assertIsNone(self.sent(self.attempt_of(1)))
+        self.assertIsNone(self.first_attempt(self.arrive_numbered(1)))
 
     def test_a_stream_is_not_resumed_any_more(self) -> None:
         other = Quarantine()
         content = request_fingerprint(request())
         for number in range(CRASHES_MAX - 1):
-            other.crashed(content, f"x{number}", 0, AT - 5000 * number)
+            other.crashed(content, f"x{number}", 0, ARRIVED_WALL_MS - 5000 * number)
         self.step(CrashRecordsReceived(other.to_tell()))
-        attempt = self.sent(self.attempt_of(1, stream=True))
+        attempt = self.first_attempt(self.arrive_numbered(1, stream=True))
         assert attempt is not None
         self.core.active_requests["q1"].stream_started = True
-        effects = self.end(attempt, dataclasses.replace(ENDED, chunks=2))
-        self.assertIsNone(self.sent(effects))
+        effects = self.end_attempt(
+            attempt, dataclasses.replace(ENDPOINT_GONE, chunks=2)
+        )
+        self.assertIsNone(self.first_attempt(effects))
 
     def test_orders_count_too(self) -> None:
         content = request_fingerprint(request(**ORDER))
         other = Quarantine()
         for number in range(CRASHES_MAX):
-            other.crashed(content, f"s{number}", 0, AT - 5000 * number)
+            other.crashed(content, f"s{number}", 0, ARRIVED_WALL_MS - 5000 * number)
         self.step(CrashRecordsReceived(other.to_tell()))
-        effects = self.attempt_of(1, **ORDER)
-        self.assertEqual(problems.QUARANTINED, self.problem(effects).kind)
+        effects = self.arrive_numbered(1, **ORDER)
+        self.assertEqual(problems.QUARANTINED, self.only_problem(effects).kind)
 
 
-class VersionTest(SuspectsTest):
+class VersionTest(QuarantineTest):
     def test_a_version_is_neither_blamed_nor_cleared(self) -> None:
         """Its endpoints end under two requests and one answers again at once."""
         attempts = []
         for number in range(2):
-            sent = self.sent(self.attempt_of(number, body_digest=f"d{number}"))
+            sent = self.first_attempt(
+                self.arrive_numbered(number, body_digest=f"d{number}")
+            )
             assert sent is not None
             attempts.append(sent)
         for attempt in attempts:
-            self.end(attempt, ENDED)
+            self.end_attempt(attempt, ENDPOINT_GONE)
         version = attempts[0].version
         tally = self.core.tallies.get(version, VersionTally())
         self.assertEqual((0, 0), (tally.errors, tally.answers))
-        later_ms = NOW_MS + BACK_MS
-        self.report(later_ms)
-        wanted = request(request_id="q99", body_digest="well", arrived_wall_ms=AT)
-        well = self.sent(self.step(RequestArrived(wanted), later_ms))
+        later_ms = NOW_MS + RECOVERY_MS
+        self.report_loads(later_ms)
+        wanted = request(
+            request_id="q99", body_digest="well", arrived_wall_ms=ARRIVED_WALL_MS
+        )
+        well = self.first_attempt(self.step(RequestArrived(wanted), later_ms))
         assert well is not None
         self.step(AttemptEnded("q99", well.attempt_id, ANSWER), later_ms)
         self.assertEqual(0, self.core.tallies[well.version].errors)
 
 
-class StateTest(testtools.TestCase):
+class StoredCrashesTest(testtools.TestCase):
     def records(self) -> tuple[CrashRecord, ...]:
         quarantine = Quarantine()
-        quarantine.crashed(7, "e1", 0, AT)
-        quarantine.crashed(8, "e1", 0, AT)
+        quarantine.crashed(7, "e1", 0, ARRIVED_WALL_MS)
+        quarantine.crashed(8, "e1", 0, ARRIVED_WALL_MS)
         return quarantine.to_tell()
 
     def test_it_is_in_the_snapshot(self) -> None:
@@ -204,11 +214,11 @@
         with lean() as found:
             self.start_engines(found)
             for engine in found.engines:
-                engine.control(crash_on=TEXT)
+                engine.control(crash_on=CRASHING_TEXT)
             for number in range(self.TRIES):
                 found.ask(number % len(found.system.routers))
-                time.sleep(KNOWN_S)
-            ended = sum(not alive(engine) for engine in found.engines)
+                time.sleep(PROPAGATION_S)
+            ended = sum(not is_listening(engine) for engine in found.engines)
             self.assertEqual(CRASHES_MAX, ended)
             for router in range(len(found.system.routers)):
                 last = found.ask(router)
@@ -229,6 +239,6 @@
         wait_until(found.every_router_answers, "every router answers")
 
 
-def alive(engine: Fake) -> bool:
+def is_listening(engine: Fake) -> bool:
     """Whether an engine's process listens."""
     return not has_ended(engine.url)
--- a/tests/test_router_failures.py
+++ b/tests/test_router_failures.py
@@ -11,13 +11,13 @@
 
 import testtools
 
-from tests.chat import Stream, chat_body, chat_stream, headers, service
+from tests.chat import StreamedAnswer, chat_body, chat_stream, headers, service
 from tests.lean import KEY, ORDERS, ROUTE, Lean, Load, lean
 from tests.system import HOST, request, wait_until
 
 
 @contextlib.contextmanager
-def stuck_listener() -> Iterator[str]:
+def full_listener() -> Iterator[str]:
     """The URL of a listener whose queue is full: no connection ever stands."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.socket())
@@ -31,7 +31,7 @@
         yield f"http://{HOST}:{address[1]}"
 
 
-SLOW = ("--token-ms", "20", "--output-tokens", "100")
+SLOW_ENGINE = ("--token-ms", "20", "--output-tokens", "100")
 STREAMS = 6
 MARGIN_MS = 100.0
 
@@ -70,30 +70,30 @@
     def test_a_claim_whose_router_died_before_it_sent_anything(self) -> None:
         """The endpoints take no connection, so nothing is ever sent."""
         patient = {"connect_timeout_ms": 20_000}
-        with lean(router_extra=patient) as found, stuck_listener() as stuck:
+        with lean(router_extra=patient) as found, full_listener() as stuck:
             system = found.system
             real = [dict(vm) for vm in system.vms]
-            self.list_urls(found, [{**vm, "url": stuck} for vm in real])
+            self.publish_vms(found, [{**vm, "url": stuck} for vm in real])
             with concurrent.futures.ThreadPoolExecutor(2) as pool:
                 calls = [
                     pool.submit(found.order, "claimed-order"),
                     pool.submit(lambda: found.ask(Idempotency_Key="claimed-question")),
                 ]
                 log = system.routers[0].process
-                wait_until(lambda: self.connecting(log.log), "both are claimed")
+                wait_until(lambda: self.both_connecting(log.log), "both are claimed")
                 log.kill()
                 for call in calls:
                     self.assertIsInstance(call.exception(), OSError)
-            self.list_urls(found, real)
-            order = wait_until(lambda: self.final(found), "a final word")
+            self.publish_vms(found, real)
+            order = wait_until(lambda: self.final_problem(found), "a final word")
             self.assertTrue(order["type"].endswith("outcome_unknown"), order)
             self.assertIsNone(order["not_run"])
             self.assertEqual(0, found.ran("claimed-order"))
             # Until the platform has read the engines again they count as
             # silent, and the caller is told when to come back.
-            wait_until(lambda: self.answered(found), "the question is answered")
+            wait_until(lambda: self.is_answered(found), "the question is answered")
 
-    def answered(self, found: Lean) -> bool:
+    def is_answered(self, found: Lean) -> bool:
         reply = found.ask(1, Idempotency_Key="claimed-question")
         if reply.status == 200:
             return True
@@ -103,7 +103,7 @@
         self.assertIn("retry-after", reply.headers)
         return False
 
-    def list_urls(self, found: Lean, vms: list[dict[str, Any]]) -> None:
+    def publish_vms(self, found: Lean, vms: list[dict[str, Any]]) -> None:
         found.system.vms = vms
         found.system.publish_vms()
         wanted = {vm["url"] for vm in vms}
@@ -116,13 +116,13 @@
 
         wait_until(in_force, "the endpoints' addresses are in force")
 
-    def connecting(self, log: str) -> bool:
+    def both_connecting(self, log: str) -> bool:
         lines = [line for line in log.splitlines() if "event=route_chosen" in line]
         # The last two decisions are the two calls; nothing has ended since.
         ended = log.rfind("event=request_ended")
         return sum(log.find(line) > ended for line in lines[-2:]) == 2
 
-    def final(self, found: Lean) -> dict[str, Any] | None:
+    def final_problem(self, found: Lean) -> dict[str, Any] | None:
         reply = found.order("claimed-order", 1, Ashlatch_Deadline_Ms="5000")
         self.assertIsNot(True, reply.json["not_run"])
         self.assertNotEqual(200, reply.status)
@@ -136,7 +136,7 @@
         with lean() as found, Load(found, 2):
             with concurrent.futures.ThreadPoolExecutor(4) as pool:
                 stop_s = time.monotonic() + 9.0
-                askers = [pool.submit(self.keep_asking, found, stop_s) for _ in "1234"]
+                askers = [pool.submit(self.ask_until, found, stop_s) for _ in "1234"]
                 frozen = found.system.routers[1].process
                 time.sleep(1.0)
                 frozen.signal(signal.SIGSTOP)
@@ -155,7 +155,7 @@
             ]
             self.assertEqual([], late)
 
-    def keep_asking(self, found: Lean, stop_s: float) -> int:
+    def ask_until(self, found: Lean, stop_s: float) -> int:
         answered = 0
         while time.monotonic() < stop_s:
             try:
@@ -256,7 +256,7 @@
 
 class StopTest(testtools.TestCase):
     def test_a_stop_cuts_no_stream(self) -> None:
-        with lean(engine_arguments=SLOW) as found:
+        with lean(engine_arguments=SLOW_ENGINE) as found:
             router = found.system.routers[0]
             with concurrent.futures.ThreadPoolExecutor(8) as pool:
                 calls = [
@@ -266,24 +266,26 @@
                 wait_until(lambda: found.running() == STREAMS, "streams run")
                 # The streams must outlast the questions below, however busy
                 # the machine is: they crawl until the refusal has been seen.
-                self.pace(found, 500.0)
+                self.set_token_time(found, 500.0)
                 router.process.signal(signal.SIGTERM)
-                refused = wait_until(lambda: self.refused(found), "new work is refused")
+                refused = wait_until(
+                    lambda: self.draining_problem(found), "new work is refused"
+                )
                 self.assertIs(True, refused["not_run"])
                 self.assertEqual(STREAMS, found.running())
-                self.pace(found, 1.0)
-                streams: list[Stream] = [call.result() for call in calls]
+                self.set_token_time(found, 1.0)
+                streams: list[StreamedAnswer] = [call.result() for call in calls]
             for stream in streams:
                 self.assertEqual((200, True), (stream.status, stream.done), str(stream))
                 self.assertEqual(100, len(stream.text.split()))
             self.assertEqual(0, router.process.popen.wait(10.0))
             self.assertIn("in_flight=0", router.process.log.splitlines()[-1])
 
-    def pace(self, found: Lean, token_ms: float) -> None:
+    def set_token_time(self, found: Lean, token_ms: float) -> None:
         for engine in found.engines:
             engine.control(token_ms=token_ms)
 
-    def refused(self, found: Lean) -> dict[str, object] | None:
+    def draining_problem(self, found: Lean) -> dict[str, object] | None:
         # An order is quick: a question that is still let in would be in flight
         # until the router has stopped.
         url = found.system.routers[0].url
@@ -314,9 +316,9 @@
                 self.assertNotIn("Traceback", reply.body.decode())
             unknown = request(path, "POST", chat_body(ROUTE), headers("wrong"))
             self.assertEqual(401, unknown.status)
-            self.check_bytes(found)
+            self.check_malformed_bytes(found)
 
-    def check_bytes(self, found: Lean) -> None:
+    def check_malformed_bytes(self, found: Lean) -> None:
         """Bytes that are no HTTP, and no gRPC, harm nobody."""
         system = found.system
         daemons = [system.routers[0], *system.states, *system.controls]
--- a/tests/test_router_limits.py
+++ b/tests/test_router_limits.py
@@ -33,12 +33,12 @@
 from tests.limited import allowed, most_within
 from tests.test_router import ANSWER, NOW_MS, ORDER, RouterTest, request, table
 
-_HANDLERS_OF = (notices,)
+_HANDLER_MODULES = (notices,)
 
 LIMIT_PER_S = 1.0
 REQUESTS_PER_S = 30
-LENGTH_S = 9.0
-KNOWN_S = 3.0
+DURATION_S = 9.0
+PROPAGATION_S = 3.0
 
 
 class LimitedChatTest(testtools.TestCase):
@@ -51,13 +51,13 @@
             begun_s = time.time()
             pending: list[Future[int]] = []
             with ThreadPoolExecutor(24) as callers:
-                while time.time() < begun_s + LENGTH_S:
+                while time.time() < begun_s + DURATION_S:
                     router = len(pending) % len(found.system.routers)
                     pending.append(callers.submit(self.ask, found, router))
                     time.sleep(1.0 / REQUESTS_PER_S)
                 statuses = [call.result() for call in pending]
             came_s = [run["at_ms"] / 1000.0 for run in limited.get("runs")]
-            most = most_within([at for at in came_s if at > begun_s + KNOWN_S])
+            most = most_within([at for at in came_s if at > begun_s + PROPAGATION_S])
             self.assertTrue(most <= allowed(LIMIT_PER_S), str(most))
             # The other engine has room for all that the organisation may ask.
             self.assertEqual(set(), set(statuses) - {200, 429})
@@ -72,9 +72,9 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.heard("e1", 1.0)
+        self.receive_limit("e1", 1.0)
 
-    def heard(
+    def receive_limit(
         self,
         endpoint: str,
         per_s: float,
@@ -84,40 +84,40 @@
     ) -> list[Effect]:
         return self.step(EndpointNoticeReceived(endpoint, per_s, sent_ms, run), now_ms)
 
-    def sent(self, effects: list[Effect]) -> StartAttempt | None:
+    def first_attempt(self, effects: list[Effect]) -> StartAttempt | None:
         return next((e for e in effects if isinstance(e, StartAttempt)), None)
 
     def test_the_other_endpoint_serves(self) -> None:
         for number in range(10):
-            sent = self.sent(self.arrive(request_id=f"q{number}"))
+            sent = self.first_attempt(self.arrive(request_id=f"q{number}"))
             assert sent is not None
             self.assertEqual("e2", sent.endpoint)
 
     def test_no_endpoint_has_room(self) -> None:
-        self.heard("e2", 0.5)
-        problem = self.problem(self.arrive())
+        self.receive_limit("e2", 0.5)
+        problem = self.only_problem(self.arrive())
         self.assertTrue(problem.not_run)
         self.assertTrue(1000.0 <= problem.retry_ms <= 2000.0, str(problem.retry_ms))
 
     def test_a_session_keeps_its_version_and_is_told_when_to_return(self) -> None:
         """What is bound to a version waits for an endpoint, not for another version."""
-        self.heard("e2", 0.5)
+        self.receive_limit("e2", 0.5)
         effects = self.arrive(session="s1")
-        self.assertIsNone(self.sent(effects))
-        problem = self.problem(effects)
+        self.assertIsNone(self.first_attempt(effects))
+        problem = self.only_problem(effects)
         self.assertTrue(problem.retry_ms >= 1000.0, str(problem.retry_ms))
 
     def test_a_service_call(self) -> None:
-        self.heard("s1", 2.0)
+        self.receive_limit("s1", 2.0)
         effects = self.arrive(**ORDER)
-        self.assertIsNone(self.sent(effects))
-        self.assertTrue(500.0 <= self.problem(effects).retry_ms <= 1000.0)
+        self.assertIsNone(self.first_attempt(effects))
+        self.assertTrue(500.0 <= self.only_problem(effects).retry_ms <= 1000.0)
 
     def test_a_repeat(self) -> None:
         """After a failure at the other endpoint there is none left."""
-        sent = self.sent(self.arrive())
+        sent = self.first_attempt(self.arrive())
         assert sent is not None
-        self.assertIsNone(self.sent(self.end(sent, Broken("closed"))))
+        self.assertIsNone(self.first_attempt(self.end_attempt(sent, Broken("closed"))))
 
     def test_a_hedge(self) -> None:
         for _ in range(200):
@@ -127,36 +127,38 @@
         due = next((e for e in effects if isinstance(e, ScheduleHedge)), None)
         assert due is not None
         hedge = HedgeDue(due.request_id, due.attempt_id)
-        self.assertIsNone(self.sent(self.step(hedge)))
+        self.assertIsNone(self.first_attempt(self.step(hedge)))
         # Without the limit there would have been one.
-        self.heard("e1", NO_LIMIT, NOW_MS + 1.0)
+        self.receive_limit("e1", NO_LIMIT, NOW_MS + 1.0)
         self.core.active_requests["q1"].tried_endpoints = frozenset()
-        self.assertIsNotNone(self.sent(self.step(hedge)))
+        self.assertIsNotNone(self.first_attempt(self.step(hedge)))
 
     def test_a_stream_that_breaks_is_not_resumed_past_it(self) -> None:
-        self.heard("e1", NO_LIMIT, NOW_MS + 1.0)
-        sent = self.sent(self.arrive(stream=True))
+        self.receive_limit("e1", NO_LIMIT, NOW_MS + 1.0)
+        sent = self.first_attempt(self.arrive(stream=True))
         assert sent is not None
         self.core.active_requests["q1"].stream_started = True
-        self.heard(sent.endpoint, 1.0)
-        effects = self.end(sent, dataclasses.replace(Broken("closed"), chunks=2))
-        self.assertIsNone(self.sent(effects))
+        self.receive_limit(sent.endpoint, 1.0)
+        effects = self.end_attempt(
+            sent, dataclasses.replace(Broken("closed"), chunks=2)
+        )
+        self.assertIsNone(self.first_attempt(effects))
 
     def test_it_ends(self) -> None:
         self.assertTrue(self.core.endpoints.limit("e1").limited)
         # An answer to a request that was sent before the limit was named.
-        self.heard("e1", NO_LIMIT, NOW_MS - 1.0)
+        self.receive_limit("e1", NO_LIMIT, NOW_MS - 1.0)
         self.assertTrue(self.core.endpoints.limit("e1").limited)
-        self.heard("e1", NO_LIMIT, NOW_MS + 1.0, run=False)
+        self.receive_limit("e1", NO_LIMIT, NOW_MS + 1.0, run=False)
         self.assertTrue(self.core.endpoints.limit("e1").limited)
-        self.heard("e1", NO_LIMIT, NOW_MS + 1.0)
+        self.receive_limit("e1", NO_LIMIT, NOW_MS + 1.0)
         self.assertFalse(self.core.endpoints.limit("e1").limited)
 
     def test_another_life(self) -> None:
-        self.heard("e2", 1.0)
+        self.receive_limit("e2", 1.0)
         later_ms = NOW_MS + 2000.0
-        self.report(later_ms)
-        sent = self.sent(self.step(RequestArrived(request()), later_ms))
+        self.report_loads(later_ms)
+        sent = self.first_attempt(self.step(RequestArrived(request()), later_ms))
         assert sent is not None
         self.step(
             AttemptEnded("q1", sent.attempt_id, Broken("", endpoint_gone=True)),
@@ -165,13 +167,13 @@
         self.assertFalse(self.core.endpoints.limit(sent.endpoint).limited)
 
 
-class SharedTest(testtools.TestCase):
+class SharedLimitTest(testtools.TestCase):
     """Several cores in virtual time, before one endpoint with a limit that all know."""
 
     def step(self, core: RouterCore, event: Event, now_ms: float) -> list[Effect]:
         return core.step(now_ms, event)
 
-    def play(self, routers: int, per_s: float, seed: int) -> list[float]:
+    def request_times(self, routers: int, per_s: float, seed: int) -> list[float]:
         """When the endpoint gets requests; each router wants ten a second."""
         cores = [
             RouterCore(RouterConfig(f"r/{n}", "r", "logan")) for n in range(routers)
@@ -203,25 +205,25 @@
         for routers in (1, 2, 3, 7):
             for per_s in (0.0, 0.5, 2.0, 8.0):
                 for seed in range(3):
-                    came_s = self.play(routers, per_s, seed)
+                    came_s = self.request_times(routers, per_s, seed)
                     most = most_within(came_s)
                     self.assertTrue(most <= allowed(per_s), f"{routers} {per_s} {most}")
 
     def test_it_is_used(self) -> None:
         for routers in (1, 3, 7):
-            came_s = self.play(routers, 4.0, 1)
+            came_s = self.request_times(routers, 4.0, 1)
             self.assertTrue(len(came_s) > 0.7 * 4.0 * 30.0, str(len(came_s)))
 
 
 class HeaderTest(testtools.TestCase):
-    def named(self, *text: str) -> float | None:
+    def decode_limit(self, *text: str) -> float | None:
         names = ("ashlatch-requests-per-s",)
         reply = Reply(200, dict(zip(names, text, strict=False)))
         return decode_notice(reply).limit_per_s
 
     def test_what_a_reply_names(self) -> None:
-        self.assertEqual(2.5, self.named("2.5"))
-        self.assertEqual(0.0, self.named("0"))
-        self.assertEqual(NO_LIMIT, self.named())
+        self.assertEqual(2.5, self.decode_limit("2.5"))
+        self.assertEqual(0.0, self.decode_limit("0"))
+        self.assertEqual(NO_LIMIT, self.decode_limit())
         for text in ("", "few", "nan", "inf", "-1"):
-            self.assertIs(None, self.named(text), text)
+            self.assertIs(None, self.decode_limit(text), text)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -132,6 +132,6 @@
         for seed in range(worlds):
             try:
                 run(seed, steps, chance, False)
-            except (simulation.CheckFailed, traffic.RuleBroken):
+            except (simulation.CheckFailed, traffic.RuleViolation):
                 broken += 1
         return broken
--- a/tests/traffic.py
+++ b/tests/traffic.py
@@ -72,7 +72,7 @@
 from ashlatch.store.machine import Machine
 from ashlatch.store.protocol import RouterReply
 
-_HANDLERS_OF = (admission, attempt, hedge, updates)
+_HANDLER_MODULES = (admission, attempt, hedge, updates)
 
 LEASE_MS = 2000.0
 CONNECT_MS = 500.0
@@ -85,12 +85,12 @@
 STREAM_CHUNKS = 4
 
 
-class RuleBroken(AssertionError):
+class RuleViolation(AssertionError):
     """A schedule broke one of the ten rules."""
 
 
 @dataclass(eq=False)
-class Sim:
+class SimulatedRouter:
     """One start of one router."""
 
     name: str
@@ -98,7 +98,7 @@
     builder: TableBuilder = field(default_factory=TableBuilder)
     frozen: bool = False
     suspended_at_ms: float | None = None
-    left_out_ms: float = 0.0
+    uncounted_ms: float = 0.0
     polled_ms: float = 0.0
 
     @property
@@ -107,7 +107,7 @@
 
 
 @dataclass(frozen=True)
-class Spec:
+class SpecRevision:
     """What a resource said as of a revision; none when it was not there."""
 
     revision: int
@@ -115,49 +115,49 @@
 
 
 @dataclass
-class Due:
+class PendingEvent:
     """An event that its router has yet to hear."""
 
-    sim: Sim
+    sim: SimulatedRouter
     event: Event
 
 
 @dataclass
-class Pending:
+class PendingCommand:
     """A command on its way to the state."""
 
-    sim: Sim
+    sim: SimulatedRouter
     effect: ProposeClaim | ProposeClose | ProposeAnswer
     command: Command
-    told: bool = False
+    reported: bool = False
 
 
 @dataclass
-class Sending:
+class ConnectingAttempt:
     """An attempt between the last check and the first byte."""
 
-    sim: Sim
+    sim: SimulatedRouter
     effect: StartAttempt
     began_ms: float
 
 
 @dataclass
-class Running:
+class RunningAttempt:
     """An attempt that the endpoint is working on, with the chunks passed on."""
 
-    sim: Sim
+    sim: SimulatedRouter
     effect: StartAttempt
     chunks: int = 0
-    passes: bool = True
+    forwarded: bool = True
 
 
 @dataclass(frozen=True)
-class SeenChunk:
+class ReceivedChunk:
     """A piece of a stream as a caller got it. Each endpoint words its own."""
 
     endpoint: str
     version: str
-    place: int
+    position: int
 
 
 class World:
@@ -171,30 +171,30 @@
         self.now_ms = 100_000.0
         self.machine = Machine()
         self.leases = Leases(LeaseConfig(LEASE_MS), -1e9)
-        self.starts = 0
-        self.changes = 0
-        self.pending: list[Pending] = []
-        self.starting: list[Running] = []
-        self.sending: list[Sending] = []
-        self.running: list[Running] = []
-        self.due: list[Due] = []
+        self.start_count = 0
+        self.change_count = 0
+        self.pending_commands: list[PendingCommand] = []
+        self.starting: list[RunningAttempt] = []
+        self.sending: list[ConnectingAttempt] = []
+        self.running: list[RunningAttempt] = []
+        self.pending_events: list[PendingEvent] = []
         self.requests: dict[str, Request] = {}
-        self.open: dict[str, Sim] = {}
+        self.open: dict[str, SimulatedRouter] = {}
         self.runs: Counter[tuple[str, str]] = Counter()
         self.refused: set[str] = set()
         self.unknown: set[tuple[str, str]] = set()
         self.answers: dict[tuple[str, str], bytes] = {}
-        self.seen: dict[str, list[SeenChunk]] = {}
+        self.received_chunks: dict[str, list[ReceivedChunk]] = {}
         self.streamed = 0
         self.hedged = 0
         self.billed: Counter[tuple[str, str]] = Counter()
         self.session_version: dict[tuple[str, str], str] = {}
-        self.history: dict[ResourceId, list[Spec]] = {}
-        self.reached = 0
-        self.quiet_since_ms = self.now_ms
+        self.history: dict[ResourceId, list[SpecRevision]] = {}
+        self.in_force_revision = 0
+        self.in_force_since_ms = self.now_ms
         self.sent = 0
-        self.taken: set[tuple[str, str]] = set()
-        self.numbers = 0
+        self.revoked: set[tuple[str, str]] = set()
+        self.request_count = 0
         self.configure()
         self.sims = {name: self.new_sim(name) for name in ROUTERS}
 
@@ -249,10 +249,10 @@
     def put(self, kind: str, name: str, spec: dict[str, Any]) -> None:
         parsed = parse(kind, json.dumps(spec).encode())
         current = self.resource(kind, name)
-        self.changes += 1
+        self.change_count += 1
         self.commit(
             PutResource(
-                f"c{self.changes}",
+                f"c{self.change_count}",
                 "op",
                 kind,
                 name,
@@ -265,9 +265,11 @@
     def delete(self, kind: str, name: str) -> None:
         current = self.resource(kind, name)
         if current is not None:
-            self.changes += 1
+            self.change_count += 1
             self.commit(
-                DeleteResource(f"c{self.changes}", "op", kind, name, current.revision)
+                DeleteResource(
+                    f"c{self.change_count}", "op", kind, name, current.revision
+                )
             )
 
     def resource(self, kind: str, name: str) -> Any:
@@ -280,21 +282,23 @@
             assert isinstance(command, PutResource | DeleteResource)
             spec = command.spec if isinstance(command, PutResource) else None
             key = ResourceId(command.kind, command.name)
-            first = [Spec(0, None)]
-            self.history.setdefault(key, first).append(Spec(outcome.revision, spec))
+            first = [SpecRevision(0, None)]
+            self.history.setdefault(key, first).append(
+                SpecRevision(outcome.revision, spec)
+            )
         return outcome
 
     # Routers.
 
-    def new_sim(self, name: str) -> Sim:
-        self.starts += 1
+    def new_sim(self, name: str) -> SimulatedRouter:
+        self.start_count += 1
         eager = PolicySettings(hedge_ratio=1.0, hedge_samples_min=1)
-        config = RouterConfig(f"{name}/{self.starts}", name, "logan", eager)
-        sim = Sim(name, RouterCore(config))
+        config = RouterConfig(f"{name}/{self.start_count}", name, "logan", eager)
+        sim = SimulatedRouter(name, RouterCore(config))
         self.poll(name, sim)
         return sim
 
-    def poll(self, name: str, sim: Sim | None = None) -> None:
+    def poll(self, name: str, sim: SimulatedRouter | None = None) -> None:
         """One heartbeat: the reply is applied at once, the lease from before."""
         sim = sim or self.sims[name]
         if sim.frozen:
@@ -319,35 +323,37 @@
         self.step(sim, LeaseRenewed(sent_ms + LEASE_MS, len(ROUTERS)))
         self.report_load(sim)
 
-    def report_load(self, sim: Sim) -> None:
+    def report_load(self, sim: SimulatedRouter) -> None:
         reports = tuple(
             LoadReport(name, self.clock(sim), 0, 0, 8, frozenset(VERSIONS))
             for name in ENDPOINTS
         )
         self.step(sim, LoadReported("lm", reports, frozenset()))
 
-    def clock(self, sim: Sim) -> float:
+    def clock(self, sim: SimulatedRouter) -> float:
         """The time as a router has it."""
-        return self.now_ms - sim.left_out_ms
+        return self.now_ms - sim.uncounted_ms
 
-    def step(self, sim: Sim, event: Event) -> None:
+    def step(self, sim: SimulatedRouter, event: Event) -> None:
         for effect in sim.core.step(self.clock(sim), event):
             self.perform(sim, effect)
 
-    def perform(self, sim: Sim, effect: Effect) -> None:
+    def perform(self, sim: SimulatedRouter, effect: Effect) -> None:
         match effect:
             case ProposeClaim(_, claim):
-                self.pending.append(Pending(sim, effect, claim))
+                self.pending_commands.append(PendingCommand(sim, effect, claim))
             case ProposeClose(close):
-                self.pending.append(Pending(sim, effect, close))
+                self.pending_commands.append(PendingCommand(sim, effect, close))
             case ProposeAnswer(_, record):
-                self.pending.append(Pending(sim, effect, record))
+                self.pending_commands.append(PendingCommand(sim, effect, record))
             case ScheduleClaimRetry(request_id, _):
-                self.due.append(Due(sim, ClaimRetryDue(request_id)))
+                self.pending_events.append(PendingEvent(sim, ClaimRetryDue(request_id)))
             case ScheduleHedge(request_id, attempt_id, _):
-                self.due.append(Due(sim, HedgeDue(request_id, attempt_id)))
+                self.pending_events.append(
+                    PendingEvent(sim, HedgeDue(request_id, attempt_id))
+                )
             case StartAttempt():
-                self.starting.append(Running(sim, effect))
+                self.starting.append(RunningAttempt(sim, effect))
             case CancelAttempt():
                 pass
             case SendAnswer():
@@ -363,19 +369,19 @@
         gone |= set(self.machine.state.ledger.running) - set(self.leases.routers)
         for router in sorted(gone):
             self.commit(RouterGone(router))
-        self.note_in_force()
+        self.update_in_force()
         for request_id, sim in list(self.open.items()):
             request = self.requests[request_id]
             if self.now_ms >= request.deadline_ms and self.alive(sim):
                 self.step(sim, DeadlinePassed(request_id))
 
-    def alive(self, sim: Sim) -> bool:
+    def alive(self, sim: SimulatedRouter) -> bool:
         return self.exists(sim) and not sim.frozen
 
-    def exists(self, sim: Sim) -> bool:
+    def exists(self, sim: SimulatedRouter) -> bool:
         return self.sims.get(sim.name) is sim
 
-    def draw(self, items: list[Any]) -> Any:
+    def pop_random(self, items: list[Any]) -> Any:
         """Take one item out, unless its router is frozen just now."""
         if not items:
             return None
@@ -384,26 +390,26 @@
             return None
         return items.pop(place)
 
-    def tell_later(self, sim: Sim, event: Event) -> None:
+    def deliver_event(self, sim: SimulatedRouter, event: Event) -> None:
         """Hand an event over, now or when the router goes on."""
         if self.alive(sim):
             self.step(sim, event)
         elif self.exists(sim):
-            self.due.append(Due(sim, event))
+            self.pending_events.append(PendingEvent(sim, event))
 
-    def note_in_force(self) -> None:
+    def update_in_force(self) -> None:
         """Remember what is in force: every router with a lease has it."""
         committed = self.machine.state.configuration.revision
         reached = self.leases.in_force_revision(self.now_ms, committed)
-        if self.reached < reached == committed:
-            self.quiet_since_ms = self.now_ms
-        self.reached = max(self.reached, reached)
+        if self.in_force_revision < reached == committed:
+            self.in_force_since_ms = self.now_ms
+        self.in_force_revision = max(self.in_force_revision, reached)
 
-    def specs(self, kind: str, name: str) -> list[bytes | None]:
+    def valid_specs(self, kind: str, name: str) -> list[bytes | None]:
         """What a router may go by now: the spec in force, and newer ones."""
-        history = self.history.get(ResourceId(kind, name), [Spec(0, None)])
-        newer = [s.spec for s in history if s.revision > self.reached]
-        in_force = [s.spec for s in history if s.revision <= self.reached]
+        history = self.history.get(ResourceId(kind, name), [SpecRevision(0, None)])
+        newer = [s.spec for s in history if s.revision > self.in_force_revision]
+        in_force = [s.spec for s in history if s.revision <= self.in_force_revision]
         return in_force[-1:] + newer
 
     def request(self) -> None:
@@ -412,14 +418,14 @@
         sim = self.sims[pick.choice(ROUTERS)]
         if sim.frozen:
             return
-        self.numbers += 1
+        self.request_count += 1
         keyed = pick.random() < 0.6
-        number = pick.randrange(40) if keyed else self.numbers
-        key = f"key-{number}" if keyed else f"own-{self.numbers}"
+        number = pick.randrange(40) if keyed else self.request_count
+        key = f"key-{number}" if keyed else f"own-{self.request_count}"
         # All that a key stands for follows from its number.
         service = number % 3 == 0
         request = Request(
-            request_id=f"q{self.numbers}",
+            request_id=f"q{self.request_count}",
             kind=RequestKind.SERVICE if service else RequestKind.CHAT,
             organisation=ORGANISATIONS[number % 2],
             target="orders" if service else "ask",
@@ -439,69 +445,71 @@
             input_tokens=10,
             output_tokens_max=100,
         )
-        self.ask(sim, request)
+        self.send_request(sim, request)
 
-    def ask(self, sim: Sim, request: Request) -> None:
+    def send_request(self, sim: SimulatedRouter, request: Request) -> None:
         self.requests[request.request_id] = request
         self.open[request.request_id] = sim
         self.step(sim, RequestArrived(request))
 
     def commit_one(self) -> None:
         """The state takes a command; its answer may be lost."""
-        item = self.draw(self.pending)
+        item = self.pop_random(self.pending_commands)
         if item is None or (not self.exists(item.sim) and self.random.random() < 0.5):
             return
         fate = self.random.random()
         if fate < 0.05:
-            self.tell(item, None)
+            self.deliver_outcome(item, None)
             return
         outcome = self.commit(item.command)
         if isinstance(outcome, AnswerAccepted):
-            self.count_bill(item.command)
-        self.tell(item, None if fate < 0.10 else outcome)
+            self.record_bill(item.command)
+        self.deliver_outcome(item, None if fate < 0.10 else outcome)
 
-    def tell(self, item: Pending, outcome: Any) -> None:
+    def deliver_outcome(self, item: PendingCommand, outcome: Any) -> None:
         """The router hears of its command, as its host would tell it."""
         sim, effect = item.sim, item.effect
         again = outcome is None and not isinstance(effect, ProposeClaim)
         if again:
-            self.pending.append(Pending(sim, effect, item.command, told=True))
+            self.pending_commands.append(
+                PendingCommand(sim, effect, item.command, reported=True)
+            )
         if not self.alive(sim):
             return
         if isinstance(effect, ProposeClaim):
             self.step(
                 sim, ClaimOutcomeReceived(effect.request_id, effect.claim, outcome)
             )
-        elif isinstance(effect, ProposeAnswer) and not item.told:
+        elif isinstance(effect, ProposeAnswer) and not item.reported:
             self.step(sim, RecordOutcomeReceived(effect.request_id, outcome))
 
     def connect(self) -> None:
         """An attempt begins to connect."""
-        item = self.draw(self.starting)
+        item = self.pop_random(self.starting)
         if item is None or not self.exists(item.sim):
             return
-        self.sending.append(Sending(item.sim, item.effect, self.now_ms))
+        self.sending.append(ConnectingAttempt(item.sim, item.effect, self.now_ms))
 
     def send_one(self) -> None:
-        item = self.draw(self.sending)
+        item = self.pop_random(self.sending)
         if item is None or not self.exists(item.sim):
             return
         # A connection that takes longer than its limit is never made.
         late = self.now_ms > item.began_ms + CONNECT_MS
-        running = Running(item.sim, item.effect)
+        running = RunningAttempt(item.sim, item.effect)
         roll = self.random.random()
         if late or roll < 0.1:
-            self.end(running, NotSent("connect"))
+            self.end_attempt(running, NotSent("connect"))
         elif roll < 0.2:
-            self.end(running, Rejected("full", 100.0))
+            self.end_attempt(running, Rejected("full", 100.0))
         elif not item.sim.core.may_send(self.clock(item.sim), item.effect):
-            self.end(running, NotSent("not sent any more"))
+            self.end_attempt(running, NotSent("not sent any more"))
         else:
-            self.run(item)
+            self.run_request(item)
             running.chunks = item.effect.resume_chunks
             self.running.append(running)
 
-    def run(self, item: Sending) -> None:
+    def run_request(self, item: ConnectingAttempt) -> None:
         """The endpoint runs it: the rules about what may run are checked."""
         request = item.effect.request
         key = (request.organisation, request.key)
@@ -510,43 +518,43 @@
         active = item.sim.core.active_requests[request.request_id]
         self.hedged += active.hedge is not None
         if request.request_id in self.refused:
-            raise RuleBroken(f"R6: {key} runs after it was refused as not run")
+            raise RuleViolation(f"R6: {key} runs after it was refused as not run")
         if not request.repeatable and self.runs[key] > 1:
-            raise RuleBroken(f"R7: {key} runs twice")
-        specs = self.specs("endpoint", item.effect.endpoint)
+            raise RuleViolation(f"R7: {key} runs twice")
+        specs = self.valid_specs("endpoint", item.effect.endpoint)
         if all(spec is not None and b'"leaving":true' in spec for spec in specs):
-            raise RuleBroken(f"R8: {item.effect.endpoint} is leaving")
+            raise RuleViolation(f"R8: {item.effect.endpoint} is leaving")
         if request.kind is RequestKind.CHAT:
             self.check_version(request, item.effect.version)
 
     def check_version(self, request: Request, version: str) -> None:
-        if all(spec is not None for spec in self.specs("withdrawal", version)):
-            raise RuleBroken(f"R2: {version} is withdrawn")
-        specs = self.specs("organisation", request.organisation)
+        if all(spec is not None for spec in self.valid_specs("withdrawal", version)):
+            raise RuleViolation(f"R2: {version} is withdrawn")
+        specs = self.valid_specs("organisation", request.organisation)
         model = b'"dear"' if version == "v3" else b'"cheap"'
         if all(spec is None or model not in spec for spec in specs):
-            raise RuleBroken(f"R1: {request.organisation} on {version}")
+            raise RuleViolation(f"R1: {request.organisation} on {version}")
         # While a withdrawal is accepted and not in force yet, routers differ.
         committed = self.machine.state.configuration.revision
-        settled = committed == self.reached
-        if not settled or request.arrived_wall_ms < self.quiet_since_ms:
+        settled = committed == self.in_force_revision
+        if not settled or request.arrived_wall_ms < self.in_force_since_ms:
             return
         if not request.session:
             return
         session = (request.organisation, request.session)
         before = self.session_version.setdefault(session, version)
-        if before != version and self.still_usable(request.organisation, before):
-            raise RuleBroken(f"R3: {session} from {before} to {version}")
+        if before != version and self.never_revoked(request.organisation, before):
+            raise RuleViolation(f"R3: {session} from {before} to {version}")
         self.session_version[session] = version
 
-    def still_usable(self, organisation: str, version: str) -> bool:
+    def never_revoked(self, organisation: str, version: str) -> bool:
         """Whether nothing, ever, took the version from the organisation."""
-        return (organisation, version) not in self.taken
+        return (organisation, version) not in self.revoked
 
-    def end(self, item: Running, result: AttemptResult) -> None:
+    def end_attempt(self, item: RunningAttempt, result: AttemptResult) -> None:
         request_id = item.effect.request.request_id
         event = AttemptEnded(request_id, item.effect.attempt_id, result)
-        self.tell_later(item.sim, event)
+        self.deliver_event(item.sim, event)
 
     def finish_one(self) -> None:
         """An endpoint answers, or the connection breaks."""
@@ -564,7 +572,7 @@
         if request.stream and self.random.random() < 0.5:
             self.pass_chunk(item)
         if self.random.random() < 0.25:
-            self.end(item, Broken("reset", item.chunks))
+            self.end_attempt(item, Broken("reset", item.chunks))
             return
         if request.stream:
             while item.chunks < STREAM_CHUNKS:
@@ -572,36 +580,36 @@
         body = f"{request.organisation}/{request.key}#{item.effect.attempt_id}"
         answer = StoredAnswer(200, "text/plain", body.encode())
         poor = request.kind is RequestKind.CHAT and self.random.random() < 0.15
-        self.end(item, Answered(answer, Usage(1, 1, 1), 100.0, 10.0, poor))
+        self.end_attempt(item, Answered(answer, Usage(1, 1, 1), 100.0, 10.0, poor))
 
-    def pass_chunk(self, item: Running) -> None:
+    def pass_chunk(self, item: RunningAttempt) -> None:
         """The next piece of a stream goes to the caller, if it still listens."""
         request_id = item.effect.request.request_id
         if item.chunks >= STREAM_CHUNKS:
             return
-        chunk = SeenChunk(item.effect.endpoint, item.effect.version, item.chunks)
+        chunk = ReceivedChunk(item.effect.endpoint, item.effect.version, item.chunks)
         item.chunks += 1
         if not self.alive(item.sim) or self.open.get(request_id) is not item.sim:
             return
         attempt_id = item.effect.attempt_id
         if item.chunks == 1:
             self.step(item.sim, FirstChunkReceived(request_id, attempt_id))
-            item.passes = item.sim.core.may_forward(request_id, attempt_id)
-        if not item.passes:
+            item.forwarded = item.sim.core.may_forward(request_id, attempt_id)
+        if not item.forwarded:
             return
-        seen = self.seen.setdefault(request_id, [])
-        if chunk.place != len(seen):
-            raise RuleBroken(f"R5: {request_id} gets {chunk} after {seen}")
+        seen = self.received_chunks.setdefault(request_id, [])
+        if chunk.position != len(seen):
+            raise RuleViolation(f"R5: {request_id} gets {chunk} after {seen}")
         if seen and (seen[0].endpoint, seen[0].version) != (
             chunk.endpoint,
             chunk.version,
         ):
-            raise RuleBroken(f"R5: {request_id} is spliced: {seen} {chunk}")
+            raise RuleViolation(f"R5: {request_id} is spliced: {seen} {chunk}")
         seen.append(chunk)
         self.streamed += 1
 
     def claim_due(self) -> None:
-        item = self.draw(self.due)
+        item = self.pop_random(self.pending_events)
         if item is not None and self.exists(item.sim):
             self.step(item.sim, item.event)
 
@@ -631,7 +639,7 @@
         sim = self.sims[name]
         sim.frozen = False
         if sim.suspended_at_ms is not None and not self.counts_suspension:
-            sim.left_out_ms += self.now_ms - sim.suspended_at_ms
+            sim.uncounted_ms += self.now_ms - sim.suspended_at_ms
         sim.suspended_at_ms = None
 
     def drain(self, name: str) -> None:
@@ -643,13 +651,13 @@
         for _ in range(3000):
             if not sim.core.active_requests:
                 break
-            self.calm(100.0 if self.random.random() < 0.2 else 0.0)
+            self.step_without_faults(100.0 if self.random.random() < 0.2 else 0.0)
         if sim.core.active_requests:
-            raise RuleBroken(
+            raise RuleViolation(
                 f"R9: {len(sim.core.active_requests)} cut by a stop of {name}"
             )
         if sim in self.open.values():
-            raise RuleBroken(f"R9: a caller of {name} never hears")
+            raise RuleViolation(f"R9: a caller of {name} never hears")
         self.crash(name)
 
     def operate(self) -> None:
@@ -657,24 +665,24 @@
         roll = self.random.randrange(4)
         if roll == 0:
             version = self.random.choice(VERSIONS[:2])
-            self.take(("big", version), ("small", version))
+            self.revoke(("big", version), ("small", version))
             self.put("withdrawal", version, {})
         elif roll == 1:
             self.delete("withdrawal", self.random.choice(VERSIONS))
         elif roll == 2:
             both = self.random.random() < 0.5
             if not both:
-                self.take(("big", "v3"))
+                self.revoke(("big", "v3"))
             self.put_organisation("big", ("cheap", "dear") if both else ("cheap",))
         else:
             name = self.random.choice(ENDPOINTS + SERVICE_ENDPOINTS)
             pool = "lm" if name in ENDPOINTS else "orders"
             self.put_endpoint(name, pool, self.random.random() < 0.5)
 
-    def take(self, *pairs: tuple[str, str]) -> None:
-        self.taken.update(pairs)
+    def revoke(self, *pairs: tuple[str, str]) -> None:
+        self.revoked.update(pairs)
 
-    def calm(self, ms: float) -> None:
+    def step_without_faults(self, ms: float) -> None:
         """Everything that is under way goes on, without new faults."""
         for name in ROUTERS:
             self.poll(name)
@@ -690,40 +698,40 @@
 
     # Checks of what callers hear.
 
-    def count_bill(self, command: Any) -> None:
+    def record_bill(self, command: Any) -> None:
         key = (command.key.organisation, command.key.key)
         self.billed[key] += 1
         if self.billed[key] > 1:
-            raise RuleBroken(f"R4: {key} is billed twice")
+            raise RuleViolation(f"R4: {key} is billed twice")
 
-    def close(self, sim: Sim, request_id: str) -> Request:
+    def close_request(self, sim: SimulatedRouter, request_id: str) -> Request:
         if self.open.pop(request_id, None) is not sim:
-            raise RuleBroken(f"R5: {request_id} is answered twice")
+            raise RuleViolation(f"R5: {request_id} is answered twice")
         return self.requests[request_id]
 
-    def check_answer(self, sim: Sim, given: SendAnswer) -> None:
-        request = self.close(sim, given.request_id)
+    def check_answer(self, sim: SimulatedRouter, given: SendAnswer) -> None:
+        request = self.close_request(sim, given.request_id)
         key = (request.organisation, request.key)
         own = f"{request.organisation}/{request.key}#".encode()
         if not given.answer.body.startswith(own):
-            raise RuleBroken(f"R5: {key} got {given.answer.body!r}")
+            raise RuleViolation(f"R5: {key} got {given.answer.body!r}")
         if self.answers.setdefault(key, given.answer.body) != given.answer.body:
-            raise RuleBroken(f"R5: {key} got two answers")
-        seen = self.seen.get(given.request_id, [])
+            raise RuleViolation(f"R5: {key} got two answers")
+        seen = self.received_chunks.get(given.request_id, [])
         if seen and (len(seen) < STREAM_CHUNKS or given.replayed):
-            raise RuleBroken(f"R5: {key} got a part of its stream")
+            raise RuleViolation(f"R5: {key} got a part of its stream")
         if not self.billed[key]:
-            raise RuleBroken(f"R4: {key} is answered and not billed")
+            raise RuleViolation(f"R4: {key} is answered and not billed")
 
-    def check_problem(self, sim: Sim, given: SendProblem) -> None:
-        request = self.close(sim, given.request_id)
+    def check_problem(self, sim: SimulatedRouter, given: SendProblem) -> None:
+        request = self.close_request(sim, given.request_id)
         key = (request.organisation, request.key)
         if given.problem.kind is problems.OUTCOME_UNKNOWN:
             self.unknown.add(key)
         if given.problem.not_run is not True:
             return
         if self.runs[key]:
-            raise RuleBroken(f"R6: {key} ran; {given.problem.kind.name} says not")
+            raise RuleViolation(f"R6: {key} ran; {given.problem.kind.name} says not")
         self.refused.add(request.request_id)
 
     # The end.
@@ -738,34 +746,36 @@
             self.put_endpoint(name, "orders", False)
         for version in VERSIONS:
             self.delete("withdrawal", version)
-        self.calm_down()
+        self.run_to_completion()
         asked = [r for r in self.requests.values() if r.keyed]
         for request in {(r.organisation, r.key): r for r in asked}.values():
-            self.ask_until_final(request)
+            self.retry_until_final(request)
 
-    def calm_down(self) -> None:
+    def run_to_completion(self) -> None:
         for _ in range(4000):
-            self.calm(20.0)
-            if not (self.open or self.pending or self.starting or self.running):
+            self.step_without_faults(20.0)
+            if not (
+                self.open or self.pending_commands or self.starting or self.running
+            ):
                 return
-        raise RuleBroken("requests do not come to an end")
+        raise RuleViolation("requests do not come to an end")
 
-    def ask_until_final(self, earlier: Request) -> None:
+    def retry_until_final(self, earlier: Request) -> None:
         key = (earlier.organisation, earlier.key)
         for _ in range(200):
-            self.numbers += 1
+            self.request_count += 1
             again = dataclasses.replace(
                 earlier,
-                request_id=f"q{self.numbers}",
+                request_id=f"q{self.request_count}",
                 deadline_ms=self.now_ms + DEADLINE_MS,
             )
-            self.ask(self.sims[self.random.choice(ROUTERS)], again)
-            self.calm_down()
+            self.send_request(self.sims[self.random.choice(ROUTERS)], again)
+            self.run_to_completion()
             if key in self.answers:
                 return
             if not earlier.repeatable and key in self.unknown:
                 return
-        raise RuleBroken(f"{key} never gets an answer")
+        raise RuleViolation(f"{key} never gets an answer")
 
 
 ACTIONS = {
@@ -784,8 +794,8 @@
     "drain": 0.1,
     "operate": 0.8,
 }
-TIMES_MS = (1.0, 20.0, 100.0, 400.0, 1500.0)
-ON_A_ROUTER = ("poll", "crash", "freeze", "thaw", "drain")
+TIME_STEPS_MS = (1.0, 20.0, 100.0, 400.0, 1500.0)
+ROUTER_ACTIONS = ("poll", "crash", "freeze", "thaw", "drain")
 
 
 def run(
@@ -809,8 +819,8 @@
             change(pick.choice(ROUTERS))
         name = pick.choices(names, weights)[0]
         if name == "pass_time":
-            world.pass_time(pick.choice(TIMES_MS))
-        elif name in ON_A_ROUTER:
+            world.pass_time(pick.choice(TIME_STEPS_MS))
+        elif name in ROUTER_ACTIONS:
             getattr(world, name)(pick.choice(ROUTERS))
         else:
             getattr(world, name)()
