--- a/bench/hedge.py
+++ b/bench/hedge.py
@@ -5,9 +5,10 @@
 import time
 from concurrent.futures import ThreadPoolExecutor
 
+from tests.small_system import KEY, ROUTE, SmallSystem, start_small_system
+
 from bench.table import percentile, row, title
 from tests.chat import chat, chat_stream
-from tests.small_system import KEY, ROUTE, SmallSystem, start_small_system
 
 RATE_PER_S = 20.0
 WARM_CALLS = 150
@@ -25,7 +26,7 @@
     if stream:
         streamed = chat_stream(url, KEY, ROUTE)
         assert streamed.done, streamed.error
-        return (streamed.chunk_s[0] - began_s) * 1000.0
+        return (streamed.chunk_times_s[0] - began_s) * 1000.0
     reply = chat(url, KEY, ROUTE)
     assert reply.status == 200, reply
     return (time.monotonic() - began_s) * 1000.0
--- a/bench/router.py
+++ b/bench/router.py
@@ -5,9 +5,10 @@
 import time
 from concurrent.futures import ThreadPoolExecutor
 
-from bench.table import percentile, row, title
-from tests.chat import Stream, chat, chat_stream
 from tests.small_system import KEY, ROUTE, SmallSystem, start_small_system
+
+from bench.table import percentile, row, title
+from tests.chat import StreamedAnswer, chat, chat_stream
 from tests.system import Daemon
 
 RATE_PER_S = 50.0
@@ -61,8 +62,8 @@
     return took_ms
 
 
-def gaps_ms(stream: Stream) -> list[float]:
-    pairs = zip(stream.chunk_s, stream.chunk_s[1:], strict=False)
+def gaps_ms(stream: StreamedAnswer) -> list[float]:
+    pairs = zip(stream.chunk_times_s, stream.chunk_times_s[1:], strict=False)
     return [(later - earlier) * 1000.0 for earlier, later in pairs]
 
 
