--- a/tests/chat.py
+++ b/tests/chat.py
@@ -1,4 +1,4 @@
-"""A caller of the router, for the demo, the tests and the measurements."""
+"""A client of the router, for the demo, the tests and the benchmarks."""
 
 import http.client
 import json
@@ -11,7 +11,7 @@
 
 @dataclass
 class StreamedAnswer:
-    """What a streamed answer consisted of."""
+    """A streamed answer, read to its end."""
 
     status: int
     headers: dict[str, str]
@@ -27,7 +27,7 @@
 
 
 def headers(key: str, **named: str) -> dict[str, str]:
-    """Headers of a call: the organisation's key and others, by name."""
+    """Returns the headers of a call: the organisation's key and others, by name."""
     fields = {name.replace("_", "-"): value for name, value in named.items()}
     return {
         "Authorization": f"Bearer {key}",
@@ -39,7 +39,7 @@
 def chat(
     url: str, key: str, model: str, text: str = "hello", **named: str
 ) -> HttpReply:
-    """A whole answer."""
+    """Requests an answer that isn't streamed."""
     body = chat_body(model, text)
     path = f"{url}/v1/chat/completions"
     return request(path, "POST", body, headers(key, **named))
@@ -48,7 +48,7 @@
 def service(
     url: str, key: str, pool: str, path: str, document: Any, **named: str
 ) -> HttpReply:
-    """A call of a plain service."""
+    """Calls a plain service."""
     full = f"{url}/v1/services/{pool}/{path}"
     return request(full, "POST", document, headers(key, **named))
 
@@ -56,7 +56,7 @@
 def chat_stream(
     url: str, key: str, model: str, text: str = "hello", **named: str
 ) -> StreamedAnswer:
-    """A streamed answer, read to its end."""
+    """Requests a streamed answer and reads it to its end."""
     connection = http.client.HTTPConnection(url.removeprefix("http://"), timeout=60)
     try:
         body = json.dumps(chat_body(model, text, stream=True))
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""Directed tests of ashlatch.router's core."""
+"""Tests of the router's core."""
 
 import dataclasses
 import json
@@ -57,7 +57,10 @@
 
 
 def table(revision: int = 10, **specs: dict[str, Any]) -> RoutingTable:
-    """A table of two versions on two endpoints; `kind__name` adds or replaces."""
+    """Builds a table of two versions on two endpoints.
+
+    Keywords of the form `kind__name` add or replace resources.
+    """
     price = {
         "input_price_microusd_per_ktoken": 1,
         "output_price_microusd_per_ktoken": 1,
@@ -160,14 +163,14 @@
 
 
 class AdmissionTest(RouterTest):
-    def test_without_a_lease_nothing_is_taken(self) -> None:
-        later = NOW_MS + 60_000.0
-        problem = self.only_problem(self.step(RequestArrived(request()), later))
+    def test_requests_are_refused_without_a_lease(self) -> None:
+        later_ms = NOW_MS + 60_000.0
+        problem = self.only_problem(self.step(RequestArrived(request()), later_ms))
         self.assertEqual("no_configuration", problem.kind.name)
         self.assertIs(True, problem.not_run)
 
-    def test_an_early_no_to_a_keyed_request_does_not_say_not_run(self) -> None:
-        """It may have run under its key before."""
+    def test_refusal_of_a_keyed_request_does_not_claim_not_run(self) -> None:
+        """An earlier request with the same key may have run."""
         self.step(DrainStarted())
         self.assertIsNone(self.only_problem(self.arrive(keyed=True)).not_run)
         self.assertIs(True, self.only_problem(self.arrive(keyed=False)).not_run)
@@ -185,7 +188,7 @@
         self.step(ConfigurationChanged(table(11, **changed)))
         self.assertFalse(self.core.may_send(NOW_MS, attempt))
 
-    def test_what_would_come_too_late_is_refused_at_once(self) -> None:
+    def test_request_that_would_miss_its_deadline_is_refused_immediately(self) -> None:
         self.report_loads(NOW_MS + 1, 400, 400)
         effects = self.arrive(deadline_ms=NOW_MS + 2000.0)
         problem = self.only_problem(effects)
@@ -194,12 +197,12 @@
         self.assertGreater(problem.retry_ms, 10_000.0)
 
     def test_a_small_organisation_gets_its_share_under_shortage(self) -> None:
-        both = table(
+        changed_table = table(
             11,
             organisation__small={"allowed_models": ["m"]},
             organisation__org={"allowed_models": ["m"], "share_weight": 1.0},
         )
-        self.step(ConfigurationChanged(both))
+        self.step(ConfigurationChanged(changed_table))
         served = []
         for number in range(60):
             effects = self.arrive(request_id=f"big{number}")
@@ -209,7 +212,7 @@
         refused = self.arrive(request_id="more")
         self.assertEqual("fair_share", self.only_problem(refused).kind.name)
 
-    def test_the_rate_of_an_organisation_is_kept(self) -> None:
+    def test_rate_limit_of_an_organisation_is_enforced(self) -> None:
         slow = {"allowed_models": ["m"], "rate_per_s": 10.0, "burst_requests": 1.0}
         self.step(ConfigurationChanged(table(11, organisation__org=slow)))
         self.only_effect(self.arrive(request_id="first"), StartAttempt)
@@ -219,7 +222,9 @@
 
 
 class RolloutTest(RouterTest):
-    def test_a_suspected_successor_at_full_share_is_not_left_for_the_old(self) -> None:
+    def test_suspected_successor_at_full_share_does_not_fall_back_to_the_old_version(
+        self,
+    ) -> None:
         price = {
             "input_price_microusd_per_ktoken": 1,
             "output_price_microusd_per_ktoken": 1,
@@ -242,15 +247,15 @@
         for name in ("e1", "e2"):
             report = LoadReport(name, NOW_MS + 1, 0, 0, 4, every)
             self.step(LoadReported("lm", (report,), frozenset()))
-        # Half way to its threshold every other request is spared, and far from
-        # it one in a hundred; neither may go back to v1.
+        # A version halfway to the threshold is excluded from every other request, one
+        # far from it from one in a hundred; neither may go back to v1.
         for error_sum in (7.0, 0.14):
             self.core.planner.detector("v0").error_sum = error_sum
             versions = self.send_requests(1000)
             self.assertEqual({"v0", "v2"}, versions, f"error_sum {error_sum}")
 
     def send_requests(self, requests: int) -> set[str]:
-        """What so many requests are sent to, each answered before the next."""
+        """Returns the versions of so many requests, each answered before the next."""
         versions = set()
         for number in range(requests):
             name = f"q{len(self.core.tallies)}-{number}"
@@ -263,12 +268,12 @@
 
 
 class ExclusionReasonTest(RouterTest):
-    def test_a_refusal_names_each_endpoint_and_why(self) -> None:
+    def test_refusal_names_each_endpoint_and_the_reason(self) -> None:
         effects = self.arrive(session="s", keyed=True)
         claim = self.only_effect(effects, ProposeClaim).claim
-        later = NOW_MS + 5000.0
+        later_ms = NOW_MS + 5000.0
         granted = ClaimOutcomeReceived("q1", claim, ClaimGranted(1, "v1"))
-        problem = self.only_problem(self.step(granted, later))
+        problem = self.only_problem(self.step(granted, later_ms))
         self.assertEqual("no_endpoint", problem.kind.name)
         self.assertEqual("e1:silent,e2:silent,v1:no_endpoint", problem.detail)
 
@@ -282,16 +287,16 @@
                     self.core.hedging.took(version, stream, 50.0)
 
     def hedge_request(self, **changed: Any) -> tuple[StartAttempt, StartAttempt]:
-        """A request whose first attempt is slow, and its hedge."""
+        """Returns the slow first attempt of a request and its hedge."""
         effects = self.arrive(**changed)
         due = self.only_effect(effects, ScheduleHedge)
         self.assertEqual(75.0, due.after_ms)
-        again = self.step(HedgeDue(due.request_id, due.attempt_id))
+        retry = self.step(HedgeDue(due.request_id, due.attempt_id))
         return self.only_effect(effects, StartAttempt), self.only_effect(
-            again, StartAttempt
+            retry, StartAttempt
         )
 
-    def test_a_slow_attempt_gets_a_second_one_elsewhere(self) -> None:
+    def test_slow_attempt_is_hedged_on_another_endpoint(self) -> None:
         first, second = self.hedge_request()
         self.assertEqual(first.version, second.version)
         self.assertNotEqual(first.endpoint, second.endpoint)
@@ -299,11 +304,11 @@
         self.only_effect(effects, ProposeAnswer)
         cancel = self.only_effect(effects, CancelAttempt)
         self.assertEqual(first.attempt_id, cancel.attempt_id)
-        # The loser answers all the same: nothing more comes of it.
+        # The answer of the cancelled attempt has no effect.
         self.assertEqual([], self.end_attempt(first, ANSWER))
         self.assertEqual(0, self.core.endpoints.load(first.endpoint).in_flight)
 
-    def test_the_first_chunk_decides_which_stream_is_given(self) -> None:
+    def test_first_chunk_decides_which_stream_is_forwarded(self) -> None:
         first, second = self.hedge_request(stream=True)
         effects = self.step(FirstChunkReceived("q1", second.attempt_id))
         self.assertEqual(
@@ -313,38 +318,42 @@
         passes = [self.core.may_forward("q1", a.attempt_id) for a in (first, second)]
         self.assertEqual([False, True], passes)
 
-    def test_when_one_of_two_fails_the_other_goes_on(self) -> None:
+    def test_other_attempt_continues_when_one_of_two_fails(self) -> None:
         for failed in (0, 1):
             name = f"q{failed}"
-            both = self.hedge_request(request_id=name, key=name)
-            self.assertEqual([], self.end_attempt(both[failed], Broken("reset")))
-            self.only_effect(self.end_attempt(both[1 - failed], ANSWER), ProposeAnswer)
-
-    def test_what_may_not_be_repeated_is_not_hedged(self) -> None:
+            changed_table = self.hedge_request(request_id=name, key=name)
+            self.assertEqual(
+                [], self.end_attempt(changed_table[failed], Broken("reset"))
+            )
+            self.only_effect(
+                self.end_attempt(changed_table[1 - failed], ANSWER), ProposeAnswer
+            )
+
+    def test_non_repeatable_request_is_not_hedged(self) -> None:
         effects = self.grant_claim(self.arrive(repeatable=False))
         self.only_effect(effects, StartAttempt)
         self.assertEqual([], [e for e in effects if isinstance(e, ScheduleHedge)])
 
-    def test_a_hedge_makes_nobody_wait(self) -> None:
+    def test_no_hedge_without_a_free_slot(self) -> None:
         effects = self.arrive()
         due = self.only_effect(effects, ScheduleHedge)
         self.report_loads(NOW_MS + 1, 4, 4)
         self.assertEqual([], self.step(HedgeDue("q1", due.attempt_id)))
 
-    def test_hedges_have_a_budget(self) -> None:
+    def test_hedges_are_bounded_by_their_budget(self) -> None:
         hedges = 0
         for number in range(300):
             name = f"q{number}"
             effects = self.arrive(request_id=name, key=name)
             attempt = self.only_effect(effects, StartAttempt)
-            again = self.step(HedgeDue(name, attempt.attempt_id))
-            hedges += len(again) > 0
-            for sent in [attempt, *(e for e in again if isinstance(e, StartAttempt))]:
+            retry = self.step(HedgeDue(name, attempt.attempt_id))
+            hedges += len(retry) > 0
+            for sent in [attempt, *(e for e in retry if isinstance(e, StartAttempt))]:
                 self.end_attempt(sent, ANSWER)
             self.step(RecordOutcomeReceived(name, AnswerAccepted(1)))
         self.assertLessEqual(hedges, 0.05 * 300 + 10)
 
-    def test_nothing_is_left_of_a_request_that_is_given_up(self) -> None:
+    def test_no_state_is_left_of_a_request_past_its_deadline(self) -> None:
         first, second = self.hedge_request()
         effects = self.step(DeadlinePassed("q1"))
         cancelled = {e.attempt_id for e in effects if isinstance(e, CancelAttempt)}
@@ -357,37 +366,37 @@
 
 
 class SessionTest(RouterTest):
-    def test_a_known_pin_needs_no_claim(self) -> None:
+    def test_cached_pin_needs_no_claim(self) -> None:
         effects = self.grant_claim(self.arrive(session="s"), "v2")
         self.assertEqual("v2", self.only_effect(effects, StartAttempt).version)
         effects = self.arrive(request_id="q2", session="s")
         self.assertEqual("v2", self.only_effect(effects, StartAttempt).version)
 
-    def test_a_pin_is_asked_again_when_its_version_was_touched(self) -> None:
-        """It was withdrawn and let back between two polls."""
+    def test_pin_is_claimed_again_after_its_version_changed(self) -> None:
+        """The version was withdrawn and restored between two polls."""
         self.grant_claim(self.arrive(session="s"), "v2")
         touched = ConfigurationChanged(table(12), frozenset({"v2"}))
         self.step(touched)
         effects = self.arrive(request_id="q2", session="s")
         self.only_effect(effects, ProposeClaim)
 
-    def test_a_retry_keeps_the_sessions_version(self) -> None:
+    def test_retry_keeps_the_version_of_the_session(self) -> None:
         effects = self.grant_claim(self.arrive(session="s"), "v2")
         attempt = self.only_effect(effects, StartAttempt)
-        again = self.only_effect(
+        retry = self.only_effect(
             self.end_attempt(attempt, NotSent("refused")), StartAttempt
         )
-        self.assertEqual("v2", again.version)
-        self.assertNotEqual(attempt.endpoint, again.endpoint)
+        self.assertEqual("v2", retry.version)
+        self.assertNotEqual(attempt.endpoint, retry.endpoint)
 
 
 class AttemptTest(RouterTest):
     def setUp(self) -> None:
         super().setUp()
-        # Without exploration the cheapest good version, v1, is chosen.
+        # Without exploration the cheapest version that is good enough, v1, is chosen.
         self.core.planner.version_policy = VERSION_POLICIES.get("cheapest")()
 
-    def test_an_answer_waits_for_its_record(self) -> None:
+    def test_answer_is_sent_after_it_is_recorded(self) -> None:
         attempt = self.only_effect(self.arrive(), StartAttempt)
         effects = self.end_attempt(attempt, ANSWER)
         self.assertEqual([], [e for e in effects if isinstance(e, SendAnswer)])
@@ -395,7 +404,7 @@
         given = self.step(RecordOutcomeReceived("q1", AnswerAccepted(1)))
         self.assertEqual(b"yes", self.only_effect(given, SendAnswer).answer.body)
 
-    def test_what_may_not_be_repeated_is_not(self) -> None:
+    def test_non_repeatable_request_is_not_repeated(self) -> None:
         attempt = self.only_effect(self.grant_claim(self.arrive(**ORDER)), StartAttempt)
         effects = self.end_attempt(attempt, Broken("reset"))
         problem = self.only_problem(effects)
@@ -403,49 +412,53 @@
         self.assertIsNone(problem.not_run)
         self.assertIs(False, self.only_effect(effects, ProposeClose).close.not_run)
 
-    def test_a_refusal_of_the_endpoint_is_tried_elsewhere(self) -> None:
+    def test_rejected_request_is_tried_on_another_endpoint(self) -> None:
         attempt = self.only_effect(self.arrive(), StartAttempt)
-        again = self.only_effect(
+        retry = self.only_effect(
             self.end_attempt(attempt, Rejected("full", 100.0)), StartAttempt
         )
-        self.assertNotEqual(attempt.endpoint, again.endpoint)
-        problem = self.only_problem(self.end_attempt(again, Rejected("full", 100.0)))
+        self.assertNotEqual(attempt.endpoint, retry.endpoint)
+        problem = self.only_problem(self.end_attempt(retry, Rejected("full", 100.0)))
         self.assertIs(True, problem.not_run)
 
-    def test_not_run_is_not_said_of_a_keyed_request_after_the_lease(self) -> None:
-        """Another router may have taken it over and run it."""
+    def test_keyed_request_is_not_reported_as_not_run_after_the_lease(self) -> None:
+        """Another router may have taken over the request and run it."""
         effects = self.grant_claim(self.arrive(keyed=True))
         attempt = self.only_effect(effects, StartAttempt)
         lapsed_ms = NOW_MS + 60_001.0
         ended = AttemptEnded("q1", attempt.attempt_id, NotSent("refused"))
         self.assertIsNone(self.only_problem(self.step(ended, lapsed_ms)).not_run)
 
-    def test_a_late_result_of_an_older_attempt_is_nothing(self) -> None:
+    def test_late_result_of_an_older_attempt_is_ignored(self) -> None:
         attempt = self.only_effect(self.arrive(), StartAttempt)
         self.end_attempt(attempt, NotSent("refused"))
         self.assertEqual([], self.end_attempt(attempt, ANSWER))
 
-    def test_a_poor_answer_is_asked_again_of_the_next_rung(self) -> None:
+    def test_poor_answer_is_escalated_to_the_next_rung(self) -> None:
         attempt = self.only_effect(self.arrive(), StartAttempt)
         self.assertEqual("v1", attempt.version)
-        better = self.only_effect(self.end_attempt(attempt, POOR_ANSWER), StartAttempt)
-        self.assertEqual("v2", better.version)
+        escalated = self.only_effect(
+            self.end_attempt(attempt, POOR_ANSWER), StartAttempt
+        )
+        self.assertEqual("v2", escalated.version)
         record = self.only_effect(
-            self.end_attempt(better, ANSWER), ProposeAnswer
+            self.end_attempt(escalated, ANSWER), ProposeAnswer
         ).record
         self.assertEqual("v2", record.version)
 
-    def test_a_poor_answer_is_better_than_none(self) -> None:
+    def test_poor_answer_is_used_if_escalation_fails(self) -> None:
         attempt = self.only_effect(self.arrive(), StartAttempt)
-        better = self.only_effect(self.end_attempt(attempt, POOR_ANSWER), StartAttempt)
+        escalated = self.only_effect(
+            self.end_attempt(attempt, POOR_ANSWER), StartAttempt
+        )
         record = self.only_effect(
-            self.end_attempt(better, Broken("reset")), ProposeAnswer
+            self.end_attempt(escalated, Broken("reset")), ProposeAnswer
         ).record
         self.assertEqual("v1", record.version)
         given = self.step(RecordOutcomeReceived("q1", AnswerAccepted(1)))
         self.assertEqual(b"poor", self.only_effect(given, SendAnswer).answer.body)
 
-    def test_a_session_does_not_climb(self) -> None:
+    def test_session_is_not_escalated(self) -> None:
         effects = self.grant_claim(self.arrive(session="s"), "v1")
         attempt = self.only_effect(effects, StartAttempt)
         record = self.only_effect(
@@ -453,50 +466,50 @@
         ).record
         self.assertEqual("v1", record.version)
 
-    def test_a_broken_stream_is_resumed_where_it_was(self) -> None:
+    def test_broken_stream_is_resumed_at_the_same_endpoint(self) -> None:
         attempt = self.only_effect(self.arrive(stream=True), StartAttempt)
         self.step(FirstChunkReceived("q1", attempt.attempt_id))
-        again = self.only_effect(
+        retry = self.only_effect(
             self.end_attempt(attempt, Broken("reset", 7)), StartAttempt
         )
         self.assertEqual(
             (attempt.endpoint, attempt.version, 7),
-            (again.endpoint, again.version, again.resume_chunks),
+            (retry.endpoint, retry.version, retry.resume_chunks),
         )
 
-    def test_a_stream_whose_endpoint_is_gone_is_not_begun_anew(self) -> None:
+    def test_stream_is_not_restarted_on_another_endpoint(self) -> None:
         attempt = self.only_effect(self.arrive(stream=True), StartAttempt)
         self.step(FirstChunkReceived("q1", attempt.attempt_id))
-        again = self.only_effect(
+        retry = self.only_effect(
             self.end_attempt(attempt, Broken("reset", 7)), StartAttempt
         )
-        problem = self.only_problem(self.end_attempt(again, NotSent("refused")))
+        problem = self.only_problem(self.end_attempt(retry, NotSent("refused")))
         self.assertEqual("attempt_failed", problem.kind.name)
         self.assertIs(False, problem.not_run)
 
-    def test_a_poor_stream_that_was_seen_does_not_climb(self) -> None:
+    def test_poor_stream_is_not_escalated_after_its_first_chunk(self) -> None:
         attempt = self.only_effect(self.arrive(stream=True), StartAttempt)
         self.step(FirstChunkReceived("q1", attempt.attempt_id))
         self.only_effect(self.end_attempt(attempt, POOR_ANSWER), ProposeAnswer)
 
-    def test_retries_have_a_budget(self) -> None:
+    def test_retries_are_bounded_by_their_budget(self) -> None:
         retries = 0
         for number in range(200):
             effects = self.arrive(request_id=f"q{number}")
             attempt = self.only_effect(effects, StartAttempt)
             effects = self.end_attempt(attempt, Rejected("full", 100.0))
             retries += sum(isinstance(e, StartAttempt) for e in effects)
-            for again in [e for e in effects if isinstance(e, StartAttempt)]:
-                self.end_attempt(again, Rejected("full", 100.0))
+            for retry in [e for e in effects if isinstance(e, StartAttempt)]:
+                self.end_attempt(retry, Rejected("full", 100.0))
         self.assertLessEqual(retries, 0.1 * 200 + 10)
 
-    def test_a_missed_deadline_is_told_at_once(self) -> None:
+    def test_passed_deadline_is_reported_immediately(self) -> None:
         self.arrive()
         problem = self.only_problem(self.step(DeadlinePassed("q1")))
         self.assertEqual("deadline_passed", problem.kind.name)
         self.assertIs(False, problem.not_run)
 
-    def test_an_order_past_its_deadline_is_recorded_all_the_same(self) -> None:
+    def test_service_call_past_its_deadline_is_still_recorded(self) -> None:
         attempt = self.only_effect(self.grant_claim(self.arrive(**ORDER)), StartAttempt)
         problem = self.only_problem(self.step(DeadlinePassed("q1")))
         self.assertIsNone(problem.not_run)
@@ -504,20 +517,19 @@
 
 
 class UnreportedEndpointTest(RouterTest):
-    """An endpoint of the configuration that no report has named yet.
+    """An endpoint of the configuration that no load report has named yet.
 
-    What callers saw: refused in the first half second after an engine was lost, though
-    another one stood idle: it was in the configuration, and the pool's next report,
-    which would have named its versions, had not come. The evidence: the refusal says
-    that the lost engine refused, and no second one was chosen (one of 24 starts
-    beside load).
+    Guards against refusals although an idle endpoint exists. In 1 of 24 starts under
+    load, callers were refused in the first half second after an engine was lost: the
+    other engine was in the configuration, but the pool's next report, which names its
+    versions, had not come yet. So no second endpoint was chosen.
     """
 
     def report_loads(self, at_ms: float = NOW_MS, *queued: int) -> None:
         known = LoadReport("e1", at_ms, 0, 0, 4, frozenset(("v1", "v2")))
         self.step(LoadReported("lm", (known,), frozenset()))
 
-    def test_it_is_tried_where_there_is_no_other(self) -> None:
+    def test_unreported_endpoint_is_tried_if_there_is_no_other(self) -> None:
         first = self.only_effect(self.arrive(), StartAttempt)
         self.assertEqual("e1", first.endpoint)
         second = self.only_effect(
@@ -525,13 +537,13 @@
         )
         self.assertEqual("e2", second.endpoint)
 
-    def test_one_that_is_known_goes_first(self) -> None:
+    def test_reported_endpoint_is_preferred(self) -> None:
         for number in range(20):
             sent = self.only_effect(self.arrive(request_id=f"q{number}"), StartAttempt)
             self.assertEqual("e1", sent.endpoint)
 
-    def test_one_that_has_said_what_it_serves_is_believed(self) -> None:
-        """It is not tried for another version."""
+    def test_reported_endpoint_is_not_tried_for_a_version_it_lacks(self) -> None:
+        """Guards against trying such an endpoint for versions it does not serve."""
         other = LoadReport("e2", NOW_MS, 0, 0, 4, frozenset(("v3",)))
         self.step(LoadReported("lm", (other,), frozenset()))
         first = self.only_effect(self.arrive(), StartAttempt)
--- a/tests/test_router_crashes.py
+++ b/tests/test_router_crashes.py
@@ -1,9 +1,9 @@
-"""The product's own routers and requests that crash the endpoints that run them.
+"""Tests of routers with requests that crash the endpoints that run them.
 
-The same cause as in `test_crashing_requests`, found by reading after it: an attempt
-that breaks went to the next endpoint, each try of a caller anew and at each router; and
-where the endpoint answered again within two seconds, what had broken there (two at
-most, then its breaker is open) counted as errors of the version.
+Guard against the same failure as `test_crashing_requests`, found by reading the code:
+a broken attempt was sent to the next endpoint, for each try of a caller and at each
+router. If the endpoint answered again within two seconds, the attempts that had broken
+there (at most two before its breaker opened) counted as errors of the version.
 """
 
 import dataclasses
@@ -33,24 +33,24 @@
 
 ENDPOINT_GONE = Broken("closed", endpoint_gone=True)
 CRASHES_MAX = 3
-# Within the time in which an endpoint that answers again shows its failures to be the
-# version's.
+# Less than the time within which an endpoint that answers again attributes its failures
+# to the version.
 RECOVERY_MS = 500.0
-# Within this time all routers know of a crash.
+# All routers have received a crash record within this time.
 PROPAGATION_S = 0.3
-# What a question of the system under test asks for.
+# The text that the requests of `tests.lean` ask.
 CRASHING_TEXT = "how much"
 ARRIVED_WALL_MS = 1_800_000_000_000
 
 
 class QuarantineTest(RouterTest):
-    """One core; each request is a try of its own for the same content."""
+    """One core; each request is another try with the same fingerprint."""
 
     def arrive_numbered(self, number: int, **changed: object) -> list[Effect]:
-        wanted = request(
+        new_request = request(
             request_id=f"q{number}", arrived_wall_ms=ARRIVED_WALL_MS, **changed
         )
-        return self.step(RequestArrived(wanted))
+        return self.step(RequestArrived(new_request))
 
     def first_attempt(self, effects: list[Effect]) -> StartAttempt | None:
         return next((e for e in effects if isinstance(e, StartAttempt)), None)
@@ -64,18 +64,18 @@
         return self.step(ended)
 
     def crash_endpoints(self, tries: int) -> list[Effect]:
-        """Tries whose endpoints end, until there is nothing more to send."""
+        """Sends tries whose endpoints crash until no attempt is sent any more."""
         effects: list[Effect] = []
         for number in range(tries):
-            # Each crash is of a later time; the core knows it by the arrival.
+            # Each crash is at a later time, which the core takes from the arrival.
             wall_ms = ARRIVED_WALL_MS + 5000 * number
-            wanted = request(request_id=f"q{number}", arrived_wall_ms=wall_ms)
-            effects = self.step(RequestArrived(wanted))
+            new_request = request(request_id=f"q{number}", arrived_wall_ms=wall_ms)
+            effects = self.step(RequestArrived(new_request))
             while (attempt := self.first_attempt(effects)) is not None:
                 effects = self.end_attempt(attempt, ENDPOINT_GONE)
         return effects
 
-    def test_held_after_three_crashes(self) -> None:
+    def test_request_is_quarantined_after_three_crashes(self) -> None:
         self.crash_endpoints(CRASHES_MAX)
         effects = self.arrive_numbered(99)
         self.assertIsNone(self.first_attempt(effects))
@@ -92,38 +92,42 @@
         )
         self.assertIsNotNone(self.first_attempt(self.arrive_numbered(98, path="/x")))
 
-    def test_a_cut_connection_is_no_crash(self) -> None:
+    def test_broken_connection_is_not_a_crash(self) -> None:
         for number in range(2 * CRASHES_MAX):
             attempt = self.first_attempt(self.arrive_numbered(number))
             if attempt is not None:
                 self.end_attempt(attempt, Broken("closed"))
-        content = request_fingerprint(request())
-        self.assertEqual(0, self.core.quarantine.crashes(content))
+        fingerprint = request_fingerprint(request())
+        self.assertEqual(0, self.core.quarantine.crashes(fingerprint))
 
-    def test_an_answer_clears(self) -> None:
+    def test_answer_clears_the_crashes(self) -> None:
         attempt = self.first_attempt(self.arrive_numbered(1))
         assert attempt is not None
-        again = self.first_attempt(self.end_attempt(attempt, ENDPOINT_GONE))
-        content = request_fingerprint(request())
-        self.assertEqual(1, self.core.quarantine.crashes(content))
-        assert again is not None
-        self.end_attempt(again, ANSWER)
-        self.assertEqual(0, self.core.quarantine.crashes(content))
-
-    def test_what_others_found_is_held_here(self) -> None:
-        other = Quarantine()
-        content = request_fingerprint(request())
+        retry = self.first_attempt(self.end_attempt(attempt, ENDPOINT_GONE))
+        fingerprint = request_fingerprint(request())
+        self.assertEqual(1, self.core.quarantine.crashes(fingerprint))
+        assert retry is not None
+        self.end_attempt(retry, ANSWER)
+        self.assertEqual(0, self.core.quarantine.crashes(fingerprint))
+
+    def test_records_of_other_routers_are_applied(self) -> None:
+        other_router = Quarantine()
+        fingerprint = request_fingerprint(request())
         for number in range(CRASHES_MAX):
-            other.crashed(content, f"e{number}", 0, ARRIVED_WALL_MS - 5000 * number)
-        self.step(CrashRecordsReceived(other.to_tell()))
+            other_router.crashed(
+                fingerprint, f"e{number}", 0, ARRIVED_WALL_MS - 5000 * number
+            )
+        self.step(CrashRecordsReceived(other_router.to_tell()))
         self.assertIsNone(self.first_attempt(self.arrive_numbered(1)))
 
-    def test_a_stream_is_not_resumed_any_more(self) -> None:
-        other = Quarantine()
-        content = request_fingerprint(request())
+    def test_quarantined_stream_is_not_resumed(self) -> None:
+        other_router = Quarantine()
+        fingerprint = request_fingerprint(request())
         for number in range(CRASHES_MAX - 1):
-            other.crashed(content, f"x{number}", 0, ARRIVED_WALL_MS - 5000 * number)
-        self.step(CrashRecordsReceived(other.to_tell()))
+            other_router.crashed(
+                fingerprint, f"x{number}", 0, ARRIVED_WALL_MS - 5000 * number
+            )
+        self.step(CrashRecordsReceived(other_router.to_tell()))
         attempt = self.first_attempt(self.arrive_numbered(1, stream=True))
         assert attempt is not None
         self.core.active_requests["q1"].stream_started = True
@@ -132,19 +136,21 @@
         )
         self.assertIsNone(self.first_attempt(effects))
 
-    def test_orders_count_too(self) -> None:
-        content = request_fingerprint(request(**ORDER))
-        other = Quarantine()
+    def test_service_calls_are_quarantined_too(self) -> None:
+        fingerprint = request_fingerprint(request(**ORDER))
+        other_router = Quarantine()
         for number in range(CRASHES_MAX):
-            other.crashed(content, f"s{number}", 0, ARRIVED_WALL_MS - 5000 * number)
-        self.step(CrashRecordsReceived(other.to_tell()))
+            other_router.crashed(
+                fingerprint, f"s{number}", 0, ARRIVED_WALL_MS - 5000 * number
+            )
+        self.step(CrashRecordsReceived(other_router.to_tell()))
         effects = self.arrive_numbered(1, **ORDER)
         self.assertEqual(problems.QUARANTINED, self.only_problem(effects).kind)
 
 
 class VersionTest(QuarantineTest):
-    def test_a_version_is_neither_blamed_nor_cleared(self) -> None:
-        """Its endpoints end under two requests and one answers again at once."""
+    def test_crashes_count_neither_as_errors_nor_as_answers_of_a_version(self) -> None:
+        """Two requests end with their endpoints gone, and one answers again soon."""
         attempts = []
         for number in range(2):
             sent = self.first_attempt(
@@ -159,13 +165,13 @@
         self.assertEqual((0, 0), (tally.errors, tally.answers))
         later_ms = NOW_MS + RECOVERY_MS
         self.report_loads(later_ms)
-        wanted = request(
+        new_request = request(
             request_id="q99", body_digest="well", arrived_wall_ms=ARRIVED_WALL_MS
         )
-        well = self.first_attempt(self.step(RequestArrived(wanted), later_ms))
-        assert well is not None
-        self.step(AttemptEnded("q99", well.attempt_id, ANSWER), later_ms)
-        self.assertEqual(0, self.core.tallies[well.version].errors)
+        healthy = self.first_attempt(self.step(RequestArrived(new_request), later_ms))
+        assert healthy is not None
+        self.step(AttemptEnded("q99", healthy.attempt_id, ANSWER), later_ms)
+        self.assertEqual(0, self.core.tallies[healthy.version].errors)
 
 
 class StoredCrashesTest(testtools.TestCase):
@@ -175,7 +181,7 @@
         quarantine.crashed(8, "e1", 0, ARRIVED_WALL_MS)
         return quarantine.to_tell()
 
-    def test_it_is_in_the_snapshot(self) -> None:
+    def test_records_are_in_the_snapshot(self) -> None:
         machine = Machine()
         machine.step(NoteCrashes(self.records()))
         restored = Machine()
@@ -184,7 +190,7 @@
         self.assertEqual(2, restored.state.crashes.number)
         self.assertEqual(1, len(restored.state.crashes.since(1)))
 
-    def test_the_same_again_is_no_change(self) -> None:
+    def test_repeated_records_are_no_change(self) -> None:
         machine = Machine()
         for _ in range(2):
             machine.step(NoteCrashes(self.records()))
@@ -192,7 +198,7 @@
 
 
 class LivenessTest(testtools.TestCase):
-    def test_a_listener_and_none(self) -> None:
+    def test_listening_and_closed_port(self) -> None:
         with socket.socket() as listener:
             listener.bind((HOST, 0))
             listener.listen(1)
@@ -200,17 +206,17 @@
             self.assertFalse(has_ended(url))
         self.assertTrue(has_ended(url))
 
-    def test_what_is_not_known_is_no_end(self) -> None:
+    def test_unresolvable_host_has_not_ended(self) -> None:
         self.assertFalse(has_ended("http://no-such-host.invalid:80"))
 
 
 class CrashingChatTest(testtools.TestCase):
-    """Real processes: two routers, six engines that end at one text."""
+    """Real processes: two routers and six engines that crash on one text."""
 
     ENGINES = 6
     TRIES = 6
 
-    def test_no_more_engines_end(self) -> None:
+    def test_crashes_are_bounded_across_routers(self) -> None:
         with lean() as found:
             self.start_engines(found)
             for engine in found.engines:
@@ -226,7 +232,7 @@
                 self.assertTrue(last.json["not_run"])
 
     def start_engines(self, found: Lean) -> None:
-        """More of them, until every router may choose among all."""
+        """Starts more engines, until every router may choose among all."""
         arguments = ("--versions", KENYA.versions, "--quality", KENYA.quality)
         for place in range(len(found.engines), self.ENGINES):
             hall = KENYA.halls[place % len(KENYA.halls)]
@@ -240,5 +246,5 @@
 
 
 def is_listening(engine: Fake) -> bool:
-    """Whether an engine's process listens."""
+    """Checks whether an engine's process listens."""
     return not has_ended(engine.url)
--- a/tests/test_router_failures.py
+++ b/tests/test_router_failures.py
@@ -1,5 +1,5 @@
-"""Real processes: kills, freezes, cuts and stops around the routers, and
-engines that misbehave."""
+"""Tests with real processes: routers that are killed, frozen or stopped, and engines
+that misbehave."""
 
 import concurrent.futures
 import contextlib
@@ -18,7 +18,7 @@
 
 @contextlib.contextmanager
 def full_listener() -> Iterator[str]:
-    """The URL of a listener whose queue is full: no connection ever stands."""
+    """Yields the URL of a listener with a full backlog: no connection succeeds."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.socket())
         listener.bind((HOST, 0))
@@ -37,7 +37,7 @@
 
 
 class RouterKilledTest(testtools.TestCase):
-    def test_an_order_is_not_run_again_and_a_question_is_answered(self) -> None:
+    def test_service_call_is_not_run_again_and_chat_is_answered(self) -> None:
         with lean() as found, concurrent.futures.ThreadPoolExecutor(2) as pool:
             for worker in found.workers:
                 worker.control(delay_ms=4000)
@@ -56,10 +56,10 @@
                 worker.control(delay_ms=0)
             for engine in found.engines:
                 engine.control(token_ms=1.0)
-            question = found.ask(1, Idempotency_Key="killed-question")
-            self.assertEqual(200, question.status)
-            again = found.ask(1, Idempotency_Key="killed-question")
-            self.assertEqual(question.body, again.body)
+            chat_reply = found.ask(1, Idempotency_Key="killed-question")
+            self.assertEqual(200, chat_reply.status)
+            repeated = found.ask(1, Idempotency_Key="killed-question")
+            self.assertEqual(chat_reply.body, repeated.body)
             order = found.order("killed-order", 1)
             self.assertTrue(order.json["type"].endswith("outcome_unknown"), order)
             self.assertIsNone(order.json["not_run"])
@@ -67,13 +67,13 @@
 
 
 class KilledBeforeSendTest(testtools.TestCase):
-    def test_a_claim_whose_router_died_before_it_sent_anything(self) -> None:
-        """The endpoints take no connection, so nothing is ever sent."""
-        patient = {"connect_timeout_ms": 20_000}
-        with lean(router_extra=patient) as found, full_listener() as stuck:
+    def test_claims_of_a_router_killed_before_it_sent_anything(self) -> None:
+        """The endpoints accept no connection, so nothing is ever sent."""
+        long_timeout = {"connect_timeout_ms": 20_000}
+        with lean(router_extra=long_timeout) as found, full_listener() as full:
             system = found.system
             real = [dict(vm) for vm in system.vms]
-            self.publish_vms(found, [{**vm, "url": stuck} for vm in real])
+            self.publish_and_wait(found, [{**vm, "url": full} for vm in real])
             with concurrent.futures.ThreadPoolExecutor(2) as pool:
                 calls = [
                     pool.submit(found.order, "claimed-order"),
@@ -84,13 +84,13 @@
                 log.kill()
                 for call in calls:
                     self.assertIsInstance(call.exception(), OSError)
-            self.publish_vms(found, real)
+            self.publish_and_wait(found, real)
             order = wait_until(lambda: self.final_problem(found), "a final word")
             self.assertTrue(order["type"].endswith("outcome_unknown"), order)
             self.assertIsNone(order["not_run"])
             self.assertEqual(0, found.ran("claimed-order"))
-            # Until the platform has read the engines again they count as
-            # silent, and the caller is told when to come back.
+            # Until the platform has read the engines again, their load reports are
+            # stale and callers get a retry time.
             wait_until(lambda: self.is_answered(found), "the question is answered")
 
     def is_answered(self, found: Lean) -> bool:
@@ -103,7 +103,7 @@
         self.assertIn("retry-after", reply.headers)
         return False
 
-    def publish_vms(self, found: Lean, vms: list[dict[str, Any]]) -> None:
+    def publish_and_wait(self, found: Lean, vms: list[dict[str, Any]]) -> None:
         found.system.vms = vms
         found.system.publish_vms()
         wanted = {vm["url"] for vm in vms}
@@ -118,7 +118,7 @@
 
     def both_connecting(self, log: str) -> bool:
         lines = [line for line in log.splitlines() if "event=route_chosen" in line]
-        # The last two decisions are the two calls; nothing has ended since.
+        # The last two decisions are for the two calls; no request has ended since.
         ended = log.rfind("event=request_ended")
         return sum(log.find(line) > ended for line in lines[-2:]) == 2
 
@@ -131,12 +131,12 @@
 
 
 class FrozenRouterTest(testtools.TestCase):
-    def test_a_withdrawal_under_load_with_a_frozen_router(self) -> None:
+    def test_withdrawal_under_load_with_a_frozen_router(self) -> None:
         version = "quote-small-1"
         with lean() as found, Load(found, 2):
             with concurrent.futures.ThreadPoolExecutor(4) as pool:
                 stop_s = time.monotonic() + 9.0
-                askers = [pool.submit(self.ask_until, found, stop_s) for _ in "1234"]
+                callers = [pool.submit(self.ask_until, found, stop_s) for _ in "1234"]
                 frozen = found.system.routers[1].process
                 time.sleep(1.0)
                 frozen.signal(signal.SIGSTOP)
@@ -144,7 +144,7 @@
                 in_force_ms = time.time() * 1000.0
                 self.assertIn("in force on 1 routers", output)
                 frozen.signal(signal.SIGCONT)
-                answered = sum(asker.result() for asker in askers)
+                answered = sum(asker.result() for asker in callers)
             self.assertGreater(answered, 50)
             runs = [run for engine in found.engines for run in engine.get("runs")]
             self.assertTrue(any(run["version"] == version for run in runs))
@@ -170,33 +170,36 @@
 
 
 class NoStateTest(testtools.TestCase):
-    def test_without_a_state_a_router_refuses_truly_and_comes_back(self) -> None:
+    def test_router_without_a_state_refuses_and_recovers(self) -> None:
         with lean() as found:
             states = found.system.states
             runs = [len(engine.get("runs")) for engine in found.engines]
             for daemon in states:
                 daemon.process.signal(signal.SIGSTOP)
             wait_until(lambda: found.ask().status == 503, "the lease runs out")
-            began = [len(engine.get("runs")) for engine in found.engines]
+            before_refusals = [len(engine.get("runs")) for engine in found.engines]
             for _ in range(20):
                 refused = found.ask()
                 self.assertEqual(503, refused.status)
                 self.assertTrue(refused.json["type"].endswith("no_configuration"))
                 self.assertIs(True, refused.json["not_run"])
                 self.assertIn("retry-after", refused.headers)
-            # A key may have been used before, which cannot be known now.
+            # A request with this key may have run before; without a state that isn't
+            # known.
             keyed = found.order("unknown-order")
             self.assertIsNone(keyed.json["not_run"])
             self.assertEqual(0, found.ran("unknown-order"))
-            self.assertEqual(began, [len(e.get("runs")) for e in found.engines])
-            self.assertGreaterEqual(sum(began), sum(runs))
+            self.assertEqual(
+                before_refusals, [len(e.get("runs")) for e in found.engines]
+            )
+            self.assertGreaterEqual(sum(before_refusals), sum(runs))
             for daemon in states:
                 daemon.process.signal(signal.SIGCONT)
             wait_until(found.every_router_answers, "every router answers again")
 
 
 class EngineTest(testtools.TestCase):
-    def test_swapped_answers_are_not_passed_on(self) -> None:
+    def test_swapped_answers_are_not_forwarded(self) -> None:
         with lean() as found:
             found.engines[0].control(swap_ids=True)
             answered = [found.ask() for _ in range(10)]
@@ -208,8 +211,8 @@
             self.assertNotEqual(200, refused.status)
             self.assertIs(False, refused.json["not_run"])
 
-    def test_a_leaving_endpoint_gets_no_new_work(self) -> None:
-        """The platform's list never says so: the engine's own word counts."""
+    def test_leaving_endpoint_gets_no_new_requests(self) -> None:
+        """Only the engine announces that it is leaving, not the platform's list."""
         with lean() as found:
             engine = found.engines[0]
             engine.control(leaving=True)
@@ -219,7 +222,7 @@
                 self.assertEqual(200, found.ask(place % 2).status)
             self.assertEqual(before, len(engine.get("runs")))
 
-    def test_a_broken_stream_goes_on_where_it_broke(self) -> None:
+    def test_broken_stream_is_resumed_where_it_broke(self) -> None:
         with lean() as found:
             for engine in found.engines:
                 engine.control(break_after=12)
@@ -229,7 +232,7 @@
             words = stream.text.split()
             self.assertEqual([f"w{place}" for place in range(1, 20)], words[1:])
 
-    def test_a_refused_answer_climbs_the_cascade_and_is_billed_once(self) -> None:
+    def test_refused_answer_is_escalated_and_billed_once(self) -> None:
         with lean() as found:
             for engine in found.engines:
                 engine.control(finish={"quote-small-1": "content_filter"})
@@ -241,7 +244,7 @@
             runs = [run for engine in found.engines for run in engine.get("runs")]
             self.assertIn("quote-small-1", {run["version"] for run in runs})
 
-    def test_a_failing_service_is_not_called_again(self) -> None:
+    def test_failing_service_is_not_called_again(self) -> None:
         with lean() as found:
             for worker in found.workers:
                 worker.control(fail=True)
@@ -249,13 +252,13 @@
             self.assertTrue(reply.json["type"].endswith("outcome_unknown"))
             for worker in found.workers:
                 worker.control(fail=False)
-            again = found.order("failing", 1)
-            self.assertTrue(again.json["type"].endswith("outcome_unknown"))
+            repeated = found.order("failing", 1)
+            self.assertTrue(repeated.json["type"].endswith("outcome_unknown"))
             self.assertEqual(1, found.ran("failing"))
 
 
 class StopTest(testtools.TestCase):
-    def test_a_stop_cuts_no_stream(self) -> None:
+    def test_stop_does_not_interrupt_streams(self) -> None:
         with lean(engine_arguments=SLOW_ENGINE) as found:
             router = found.system.routers[0]
             with concurrent.futures.ThreadPoolExecutor(8) as pool:
@@ -264,8 +267,8 @@
                     for _ in range(STREAMS)
                 ]
                 wait_until(lambda: found.running() == STREAMS, "streams run")
-                # The streams must outlast the questions below, however busy
-                # the machine is: they crawl until the refusal has been seen.
+                # The streams must outlast the requests below, however busy the
+                # machine is, so they are slowed down until the refusal was seen.
                 self.set_token_time(found, 500.0)
                 router.process.signal(signal.SIGTERM)
                 refused = wait_until(
@@ -286,7 +289,7 @@
             engine.control(token_ms=token_ms)
 
     def draining_problem(self, found: Lean) -> dict[str, object] | None:
-        # An order is quick: a question that is still let in would be in flight
+        # A service call is quick. A chat that is still admitted would be in flight
         # until the router has stopped.
         url = found.system.routers[0].url
         reply = service(url, KEY, ORDERS, "orders", {})
@@ -319,7 +322,7 @@
             self.check_malformed_bytes(found)
 
     def check_malformed_bytes(self, found: Lean) -> None:
-        """Bytes that are no HTTP, and no gRPC, harm nobody."""
+        """Bytes that are neither HTTP nor gRPC do no harm."""
         system = found.system
         daemons = [system.routers[0], *system.states, *system.controls]
         noise = (
@@ -343,7 +346,7 @@
             self.assertIsNone(daemon.process.popen.poll())
         self.assertEqual(200, found.ask().status)
 
-    def test_more_connections_than_allowed_are_refused_at_once(self) -> None:
+    def test_connections_beyond_the_limit_are_refused_immediately(self) -> None:
         limits = {"http": {"max_connections": 4}}
         with lean(routers=1, router_extra=limits) as found:
             host, _, port = found.system.routers[0].settings["listen"].rpartition(":")
@@ -364,7 +367,7 @@
                 self.assertEqual(200, found.ask(number % 2).status)
                 self.assertEqual(200, found.order(f"gone-{number}", number % 2).status)
 
-    def test_no_endpoint_is_said_truly(self) -> None:
+    def test_missing_endpoint_is_reported_as_not_run(self) -> None:
         with lean(routers=1) as found:
             for worker in found.workers:
                 worker.process.kill()
--- a/tests/test_router_limits.py
+++ b/tests/test_router_limits.py
@@ -1,9 +1,9 @@
-"""The product's own routers and endpoints that name a rate limit.
+"""Tests of routers with endpoints that name a rate limit.
 
-The same cause as in `test_rate_limits`, found by reading after it: a router took
-nothing of what an endpoint says it can take but that it is full at the moment. Three
-routers sent an engine with a limit of one request a second 80 in four seconds, where
-users of the other mode allow 11.
+Guard against the same failure as `test_rate_limits`, found by reading the code: a
+router respected only that an endpoint was full at the moment, not the rate limit it
+named. Three routers sent 80 requests in four seconds to an engine with a limit of one
+request a second, where 11 are allowed at gateways.
 """
 
 import dataclasses
@@ -42,24 +42,26 @@
 
 
 class LimitedChatTest(testtools.TestCase):
-    """Real processes: three routers, two engines, one of which names a limit."""
+    """Real processes: three routers and two engines, one of which names a limit."""
 
-    def test_all_routers_together(self) -> None:
+    def test_all_routers_together_respect_the_limit(self) -> None:
         with lean(routers=3) as found:
             limited = found.engines[0]
             limited.control(requests_per_s=LIMIT_PER_S)
-            begun_s = time.time()
+            started_s = time.time()
             pending: list[Future[int]] = []
             with ThreadPoolExecutor(24) as callers:
-                while time.time() < begun_s + DURATION_S:
+                while time.time() < started_s + DURATION_S:
                     router = len(pending) % len(found.system.routers)
                     pending.append(callers.submit(self.ask, found, router))
                     time.sleep(1.0 / REQUESTS_PER_S)
                 statuses = [call.result() for call in pending]
-            came_s = [run["at_ms"] / 1000.0 for run in limited.get("runs")]
-            most = most_within([at for at in came_s if at > begun_s + PROPAGATION_S])
+            request_times_s = [run["at_ms"] / 1000.0 for run in limited.get("runs")]
+            most = most_within(
+                [at for at in request_times_s if at > started_s + PROPAGATION_S]
+            )
             self.assertTrue(most <= allowed(LIMIT_PER_S), str(most))
-            # The other engine has room for all that the organisation may ask.
+            # The other engine has capacity for all requests of the organisation.
             self.assertEqual(set(), set(statuses) - {200, 429})
             self.assertTrue(statuses.count(200) > 0.9 * len(statuses))
 
@@ -68,7 +70,7 @@
 
 
 class CoreTest(RouterTest):
-    """One core; `e1` names a limit, `e2` none. `s1` is the only plain endpoint."""
+    """One core; `e1` names a limit, `e2` none. `s1` is the only service endpoint."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -87,39 +89,39 @@
     def first_attempt(self, effects: list[Effect]) -> StartAttempt | None:
         return next((e for e in effects if isinstance(e, StartAttempt)), None)
 
-    def test_the_other_endpoint_serves(self) -> None:
+    def test_other_endpoint_is_chosen(self) -> None:
         for number in range(10):
             sent = self.first_attempt(self.arrive(request_id=f"q{number}"))
             assert sent is not None
             self.assertEqual("e2", sent.endpoint)
 
-    def test_no_endpoint_has_room(self) -> None:
+    def test_refusal_if_all_endpoints_are_limited(self) -> None:
         self.receive_limit("e2", 0.5)
         problem = self.only_problem(self.arrive())
         self.assertTrue(problem.not_run)
         self.assertTrue(1000.0 <= problem.retry_ms <= 2000.0, str(problem.retry_ms))
 
-    def test_a_session_keeps_its_version_and_is_told_when_to_return(self) -> None:
-        """What is bound to a version waits for an endpoint, not for another version."""
+    def test_session_keeps_its_version_and_gets_the_retry_time(self) -> None:
+        """A request bound to a version isn't moved to another version."""
         self.receive_limit("e2", 0.5)
         effects = self.arrive(session="s1")
         self.assertIsNone(self.first_attempt(effects))
         problem = self.only_problem(effects)
         self.assertTrue(problem.retry_ms >= 1000.0, str(problem.retry_ms))
 
-    def test_a_service_call(self) -> None:
+    def test_service_call_gets_the_retry_time(self) -> None:
         self.receive_limit("s1", 2.0)
         effects = self.arrive(**ORDER)
         self.assertIsNone(self.first_attempt(effects))
         self.assertTrue(500.0 <= self.only_problem(effects).retry_ms <= 1000.0)
 
-    def test_a_repeat(self) -> None:
-        """After a failure at the other endpoint there is none left."""
+    def test_retry_is_not_sent_past_the_limit(self) -> None:
+        """After a failure at the other endpoint no endpoint is left."""
         sent = self.first_attempt(self.arrive())
         assert sent is not None
         self.assertIsNone(self.first_attempt(self.end_attempt(sent, Broken("closed"))))
 
-    def test_a_hedge(self) -> None:
+    def test_hedge_is_not_sent_past_the_limit(self) -> None:
         for _ in range(200):
             self.core.hedging.took("v1", False, 50.0)
             self.core.hedging.took("v2", False, 50.0)
@@ -128,12 +130,12 @@
         assert due is not None
         hedge = HedgeDue(due.request_id, due.attempt_id)
         self.assertIsNone(self.first_attempt(self.step(hedge)))
-        # Without the limit there would have been one.
+        # Without the limit the hedge is sent.
         self.receive_limit("e1", NO_LIMIT, NOW_MS + 1.0)
         self.core.active_requests["q1"].tried_endpoints = frozenset()
         self.assertIsNotNone(self.first_attempt(self.step(hedge)))
 
-    def test_a_stream_that_breaks_is_not_resumed_past_it(self) -> None:
+    def test_broken_stream_is_not_resumed_past_the_limit(self) -> None:
         self.receive_limit("e1", NO_LIMIT, NOW_MS + 1.0)
         sent = self.first_attempt(self.arrive(stream=True))
         assert sent is not None
@@ -144,9 +146,9 @@
         )
         self.assertIsNone(self.first_attempt(effects))
 
-    def test_it_ends(self) -> None:
+    def test_limit_ends_with_a_newer_answer(self) -> None:
         self.assertTrue(self.core.endpoints.limit("e1").limited)
-        # An answer to a request that was sent before the limit was named.
+        # The answer to a request that was sent before the limit was named.
         self.receive_limit("e1", NO_LIMIT, NOW_MS - 1.0)
         self.assertTrue(self.core.endpoints.limit("e1").limited)
         self.receive_limit("e1", NO_LIMIT, NOW_MS + 1.0, run=False)
@@ -154,7 +156,7 @@
         self.receive_limit("e1", NO_LIMIT, NOW_MS + 1.0)
         self.assertFalse(self.core.endpoints.limit("e1").limited)
 
-    def test_another_life(self) -> None:
+    def test_limit_ends_with_the_endpoint_process(self) -> None:
         self.receive_limit("e2", 1.0)
         later_ms = NOW_MS + 2000.0
         self.report_loads(later_ms)
@@ -168,13 +170,13 @@
 
 
 class SharedLimitTest(testtools.TestCase):
-    """Several cores in virtual time, before one endpoint with a limit that all know."""
+    """Several cores in virtual time that share one endpoint with a known limit."""
 
     def step(self, core: RouterCore, event: Event, now_ms: float) -> list[Effect]:
         return core.step(now_ms, event)
 
     def request_times(self, routers: int, per_s: float, seed: int) -> list[float]:
-        """When the endpoint gets requests; each router wants ten a second."""
+        """Returns when the endpoint gets requests; each router sends ten a second."""
         cores = [
             RouterCore(RouterConfig(f"r/{n}", "r", "logan")) for n in range(routers)
         ]
@@ -182,37 +184,41 @@
             self.step(core, ConfigurationChanged(table()), 0.0)
             self.step(core, LeaseRenewed(1e9, routers), 0.0)
             self.step(core, EndpointNoticeReceived("s1", per_s, 0.0, True), 0.0)
-        drawn = random.Random(seed)
-        came_s = []
+        rng = random.Random(seed)
+        request_times_s = []
         now_ms = 0.0
         for number in range(30 * 10 * routers):
-            now_ms += drawn.expovariate(routers / 100.0)
-            core = drawn.choice(cores)
+            now_ms += rng.expovariate(routers / 100.0)
+            core = rng.choice(cores)
             call = {**ORDER, "repeatable": True, "deadline_ms": 1e9}
-            wanted = request(request_id=f"q{number}", **call)
-            for effect in self.step(core, RequestArrived(wanted), now_ms):
+            new_request = request(request_id=f"q{number}", **call)
+            for effect in self.step(core, RequestArrived(new_request), now_ms):
                 if isinstance(effect, StartAttempt):
-                    came_s.append(now_ms / 1000.0)
-                    ended = AttemptEnded(wanted.request_id, effect.attempt_id, ANSWER)
+                    request_times_s.append(now_ms / 1000.0)
+                    ended = AttemptEnded(
+                        new_request.request_id, effect.attempt_id, ANSWER
+                    )
                     self.step(core, ended, now_ms)
                 else:
                     self.assertFalse(
                         isinstance(effect, SendProblem) and not effect.problem.not_run
                     )
-        return came_s
+        return request_times_s
 
-    def test_the_bound_is_kept_together(self) -> None:
+    def test_limit_is_respected_by_all_routers_together(self) -> None:
         for routers in (1, 2, 3, 7):
             for per_s in (0.0, 0.5, 2.0, 8.0):
                 for seed in range(3):
-                    came_s = self.request_times(routers, per_s, seed)
-                    most = most_within(came_s)
+                    request_times_s = self.request_times(routers, per_s, seed)
+                    most = most_within(request_times_s)
                     self.assertTrue(most <= allowed(per_s), f"{routers} {per_s} {most}")
 
-    def test_it_is_used(self) -> None:
+    def test_limit_is_nearly_used_up(self) -> None:
         for routers in (1, 3, 7):
-            came_s = self.request_times(routers, 4.0, 1)
-            self.assertTrue(len(came_s) > 0.7 * 4.0 * 30.0, str(len(came_s)))
+            request_times_s = self.request_times(routers, 4.0, 1)
+            self.assertTrue(
+                len(request_times_s) > 0.7 * 4.0 * 30.0, str(len(request_times_s))
+            )
 
 
 class HeaderTest(testtools.TestCase):
@@ -221,7 +227,7 @@
         reply = Reply(200, dict(zip(names, text, strict=False)))
         return decode_notice(reply).limit_per_s
 
-    def test_what_a_reply_names(self) -> None:
+    def test_decode_limit(self) -> None:
         self.assertEqual(2.5, self.decode_limit("2.5"))
         self.assertEqual(0.0, self.decode_limit("0"))
         self.assertEqual(NO_LIMIT, self.decode_limit())
--- a/tests/traffic.py
+++ b/tests/traffic.py
@@ -1,9 +1,9 @@
-"""Router cores before one naive copy of the state, under a random schedule.
+"""Simulates router cores with one simple copy of the state, on a random schedule.
 
-Claims and records are late or lose their answers; endpoints refuse, break or
-answer late; routers crash, freeze, drain and lose their lease; operators
-withdraw versions, change what organisations may use, and endpoints leave. The
-ten rules are checked at every run, answer and refusal.
+Claims and records are late or their replies are lost. Endpoints reject requests, break
+connections or answer late. Routers crash, freeze, drain and lose their lease. Operators
+withdraw versions, change which models organisations may use, and mark endpoints as
+leaving. The ten rules (R1 to R10) are checked at every run, answer and refusal.
 """
 
 import dataclasses
@@ -86,12 +86,15 @@
 
 
 class RuleViolation(AssertionError):
-    """A schedule broke one of the ten rules."""
+    """Raised when a schedule violates one of the ten rules."""
 
 
 @dataclass(eq=False)
 class SimulatedRouter:
-    """One start of one router."""
+    """One incarnation of a router.
+
+    `uncounted_ms` is the suspended time that its clock left out.
+    """
 
     name: str
     core: RouterCore
@@ -108,7 +111,7 @@
 
 @dataclass(frozen=True)
 class SpecRevision:
-    """What a resource said as of a revision; none when it was not there."""
+    """The spec of a resource as of a revision; none if it did not exist."""
 
     revision: int
     spec: bytes | None
@@ -116,7 +119,7 @@
 
 @dataclass
 class PendingEvent:
-    """An event that its router has yet to hear."""
+    """An event that its router has not received yet."""
 
     sim: SimulatedRouter
     event: Event
@@ -124,7 +127,10 @@
 
 @dataclass
 class PendingCommand:
-    """A command on its way to the state."""
+    """A command on its way to the state.
+
+    `reported` is set once the router has been told of a timeout.
+    """
 
     sim: SimulatedRouter
     effect: ProposeClaim | ProposeClose | ProposeAnswer
@@ -134,7 +140,7 @@
 
 @dataclass
 class ConnectingAttempt:
-    """An attempt between the last check and the first byte."""
+    """An attempt that is connecting, before its first byte is sent."""
 
     sim: SimulatedRouter
     effect: StartAttempt
@@ -143,7 +149,7 @@
 
 @dataclass
 class RunningAttempt:
-    """An attempt that the endpoint is working on, with the chunks passed on."""
+    """An attempt that its endpoint runs, with the number of chunks so far."""
 
     sim: SimulatedRouter
     effect: StartAttempt
@@ -153,7 +159,10 @@
 
 @dataclass(frozen=True)
 class ReceivedChunk:
-    """A piece of a stream as a caller got it. Each endpoint words its own."""
+    """A chunk of a stream as received by a caller.
+
+    Each endpoint produces different chunks, so the endpoint is part of it.
+    """
 
     endpoint: str
     version: str
@@ -161,8 +170,10 @@
 
 
 class World:
-    """`counts_suspension` tells whether a router's clock goes on while its VM is
-    suspended, as `ashlatch.clock` does and a steady clock does not.
+    """Simulates the state, the routers, the endpoints and the callers.
+
+    `counts_suspension` tells whether a router's clock includes the time that its VM is
+    suspended, as `ashlatch.clock` does and a steady clock doesn't.
     """
 
     def __init__(self, seed: int, counts_suspension: bool = True) -> None:
@@ -190,7 +201,7 @@
         self.billed: Counter[tuple[str, str]] = Counter()
         self.session_version: dict[tuple[str, str], str] = {}
         self.history: dict[ResourceId, list[SpecRevision]] = {}
-        self.in_force_revision = 0
+        self.newest_in_force = 0
         self.in_force_since_ms = self.now_ms
         self.sent = 0
         self.revoked: set[tuple[str, str]] = set()
@@ -299,7 +310,7 @@
         return sim
 
     def poll(self, name: str, sim: SimulatedRouter | None = None) -> None:
-        """One heartbeat: the reply is applied at once, the lease from before."""
+        """Sends one heartbeat and applies the reply; the lease starts at the send."""
         sim = sim or self.sims[name]
         if sim.frozen:
             return
@@ -331,7 +342,7 @@
         self.step(sim, LoadReported("lm", reports, frozenset()))
 
     def clock(self, sim: SimulatedRouter) -> float:
-        """The time as a router has it."""
+        """Returns the time on a router's clock."""
         return self.now_ms - sim.uncounted_ms
 
     def step(self, sim: SimulatedRouter, event: Event) -> None:
@@ -382,7 +393,7 @@
         return self.sims.get(sim.name) is sim
 
     def pop_random(self, items: list[Any]) -> Any:
-        """Take one item out, unless its router is frozen just now."""
+        """Removes a random item and returns it, unless its router is frozen."""
         if not items:
             return None
         place = self.random.randrange(len(items))
@@ -391,38 +402,38 @@
         return items.pop(place)
 
     def deliver_event(self, sim: SimulatedRouter, event: Event) -> None:
-        """Hand an event over, now or when the router goes on."""
+        """Passes an event to a router, now or after it is thawed."""
         if self.alive(sim):
             self.step(sim, event)
         elif self.exists(sim):
             self.pending_events.append(PendingEvent(sim, event))
 
     def update_in_force(self) -> None:
-        """Remember what is in force: every router with a lease has it."""
+        """Updates the revision in force: the one that every router with a lease has."""
         committed = self.machine.state.configuration.revision
         reached = self.leases.in_force_revision(self.now_ms, committed)
-        if self.in_force_revision < reached == committed:
+        if self.newest_in_force < reached == committed:
             self.in_force_since_ms = self.now_ms
-        self.in_force_revision = max(self.in_force_revision, reached)
+        self.newest_in_force = max(self.newest_in_force, reached)
 
     def valid_specs(self, kind: str, name: str) -> list[bytes | None]:
-        """What a router may go by now: the spec in force, and newer ones."""
+        """Returns the specs that a router may use: the one in force and newer ones."""
         history = self.history.get(ResourceId(kind, name), [SpecRevision(0, None)])
-        newer = [s.spec for s in history if s.revision > self.in_force_revision]
-        in_force = [s.spec for s in history if s.revision <= self.in_force_revision]
+        newer = [s.spec for s in history if s.revision > self.newest_in_force]
+        in_force = [s.spec for s in history if s.revision <= self.newest_in_force]
         return in_force[-1:] + newer
 
     def request(self) -> None:
-        """A caller asks a random router."""
-        pick = self.random
-        sim = self.sims[pick.choice(ROUTERS)]
+        """Sends a caller's request to a random router."""
+        rng = self.random
+        sim = self.sims[rng.choice(ROUTERS)]
         if sim.frozen:
             return
         self.request_count += 1
-        keyed = pick.random() < 0.6
-        number = pick.randrange(40) if keyed else self.request_count
+        keyed = rng.random() < 0.6
+        number = rng.randrange(40) if keyed else self.request_count
         key = f"key-{number}" if keyed else f"own-{self.request_count}"
-        # All that a key stands for follows from its number.
+        # The content of a request depends only on the number, and so on its key.
         service = number % 3 == 0
         request = Request(
             request_id=f"q{self.request_count}",
@@ -453,21 +464,21 @@
         self.step(sim, RequestArrived(request))
 
     def commit_one(self) -> None:
-        """The state takes a command; its answer may be lost."""
+        """Commits a command in the state; the command or its reply may be lost."""
         item = self.pop_random(self.pending_commands)
         if item is None or (not self.exists(item.sim) and self.random.random() < 0.5):
             return
-        fate = self.random.random()
-        if fate < 0.05:
+        loss_roll = self.random.random()
+        if loss_roll < 0.05:
             self.deliver_outcome(item, None)
             return
         outcome = self.commit(item.command)
         if isinstance(outcome, AnswerAccepted):
             self.record_bill(item.command)
-        self.deliver_outcome(item, None if fate < 0.10 else outcome)
+        self.deliver_outcome(item, None if loss_roll < 0.10 else outcome)
 
     def deliver_outcome(self, item: PendingCommand, outcome: Any) -> None:
-        """The router hears of its command, as its host would tell it."""
+        """Passes the outcome of a command to its router, as its host would."""
         sim, effect = item.sim, item.effect
         again = outcome is None and not isinstance(effect, ProposeClaim)
         if again:
@@ -484,7 +495,7 @@
             self.step(sim, RecordOutcomeReceived(effect.request_id, outcome))
 
     def connect(self) -> None:
-        """An attempt begins to connect."""
+        """Starts to connect an attempt."""
         item = self.pop_random(self.starting)
         if item is None or not self.exists(item.sim):
             return
@@ -494,7 +505,7 @@
         item = self.pop_random(self.sending)
         if item is None or not self.exists(item.sim):
             return
-        # A connection that takes longer than its limit is never made.
+        # A connection that takes longer than its timeout is not established.
         late = self.now_ms > item.began_ms + CONNECT_MS
         running = RunningAttempt(item.sim, item.effect)
         roll = self.random.random()
@@ -510,7 +521,7 @@
             self.running.append(running)
 
     def run_request(self, item: ConnectingAttempt) -> None:
-        """The endpoint runs it: the rules about what may run are checked."""
+        """Runs a request at its endpoint and checks the rules about what may run."""
         request = item.effect.request
         key = (request.organisation, request.key)
         self.runs[key] += 1
@@ -534,9 +545,9 @@
         model = b'"dear"' if version == "v3" else b'"cheap"'
         if all(spec is None or model not in spec for spec in specs):
             raise RuleViolation(f"R1: {request.organisation} on {version}")
-        # While a withdrawal is accepted and not in force yet, routers differ.
+        # While a withdrawal is accepted but not in force yet, routers may differ.
         committed = self.machine.state.configuration.revision
-        settled = committed == self.in_force_revision
+        settled = committed == self.newest_in_force
         if not settled or request.arrived_wall_ms < self.in_force_since_ms:
             return
         if not request.session:
@@ -548,7 +559,7 @@
         self.session_version[session] = version
 
     def never_revoked(self, organisation: str, version: str) -> bool:
-        """Whether nothing, ever, took the version from the organisation."""
+        """Checks whether an organisation could always use a version."""
         return (organisation, version) not in self.revoked
 
     def end_attempt(self, item: RunningAttempt, result: AttemptResult) -> None:
@@ -557,15 +568,16 @@
         self.deliver_event(item.sim, event)
 
     def finish_one(self) -> None:
-        """An endpoint answers, or the connection breaks."""
+        """Lets an endpoint answer, or breaks the connection."""
         if not self.running:
             return
         item = self.running.pop(self.random.randrange(len(self.running)))
         if self.exists(item.sim) and item.sim.frozen:
-            # What the endpoint sends waits in the VM's socket until it goes on. Lost
-            # pieces made a router that had been frozen seem to give a part of an answer
-            # (`--only suspended --seed 5076`: piece 0 passed, 1 to 3 sent to a frozen
-            # router, and the end of the answer told to it later).
+            # Bytes from the endpoint wait in the VM's socket until the VM is thawed.
+            # When the chunks were lost instead, a router that had been frozen seemed to
+            # give only a part of an answer (`--only suspended --seed 5076`: chunk 0 was
+            # forwarded, 1 to 3 were sent to the frozen router, and it got the end of
+            # the answer later).
             self.running.append(item)
             return
         request = item.effect.request
@@ -583,7 +595,7 @@
         self.end_attempt(item, Answered(answer, Usage(1, 1, 1), 100.0, 10.0, poor))
 
     def pass_chunk(self, item: RunningAttempt) -> None:
-        """The next piece of a stream goes to the caller, if it still listens."""
+        """Passes the next chunk of a stream to the caller, if it is still connected."""
         request_id = item.effect.request.request_id
         if item.chunks >= STREAM_CHUNKS:
             return
@@ -643,7 +655,7 @@
         sim.suspended_at_ms = None
 
     def drain(self, name: str) -> None:
-        """An ordered stop: all in active must end with an answer (R9)."""
+        """Stops a router gracefully: all requests in flight must be answered (R9)."""
         sim = self.sims[name]
         if sim.frozen:
             return
@@ -654,14 +666,14 @@
             self.step_without_faults(100.0 if self.random.random() < 0.2 else 0.0)
         if sim.core.active_requests:
             raise RuleViolation(
-                f"R9: {len(sim.core.active_requests)} cut by a stop of {name}"
+                f"R9: {len(sim.core.active_requests)} cut off by a stop of {name}"
             )
         if sim in self.open.values():
-            raise RuleViolation(f"R9: a caller of {name} never hears")
+            raise RuleViolation(f"R9: a caller of {name} never gets a reply")
         self.crash(name)
 
     def operate(self) -> None:
-        """An operator's change."""
+        """Makes a random change of an operator."""
         roll = self.random.randrange(4)
         if roll == 0:
             version = self.random.choice(VERSIONS[:2])
@@ -683,7 +695,7 @@
         self.revoked.update(pairs)
 
     def step_without_faults(self, ms: float) -> None:
-        """Everything that is under way goes on, without new faults."""
+        """Advances all that is in progress by one step, without new faults."""
         for name in ROUTERS:
             self.poll(name)
         for step in (
@@ -696,7 +708,7 @@
             step()
         self.pass_time(ms)
 
-    # Checks of what callers hear.
+    # Checks of the answers and problems that callers get.
 
     def record_bill(self, command: Any) -> None:
         key = (command.key.organisation, command.key.key)
@@ -731,13 +743,15 @@
         if given.problem.not_run is not True:
             return
         if self.runs[key]:
-            raise RuleViolation(f"R6: {key} ran; {given.problem.kind.name} says not")
+            raise RuleViolation(
+                f"R6: {key} ran; {given.problem.kind.name} says it did not"
+            )
         self.refused.add(request.request_id)
 
-    # The end.
+    # Recovery at the end of a schedule.
 
     def settle(self) -> None:
-        """Without faults, whoever asks again gets an answer or a clear no."""
+        """Checks that without faults each repeated request gets a final reply."""
         for name in ROUTERS:
             self.thaw(name)
         for name in ENDPOINTS:
@@ -758,7 +772,7 @@
                 self.open or self.pending_commands or self.starting or self.running
             ):
                 return
-        raise RuleViolation("requests do not come to an end")
+        raise RuleViolation("requests do not end")
 
     def retry_until_final(self, earlier: Request) -> None:
         key = (earlier.organisation, earlier.key)
@@ -804,24 +818,24 @@
     suspensions: float = 0.0,
     counts_suspension: bool = True,
 ) -> World:
-    """One world through a random schedule, and its recovery.
+    """Runs one world through a random schedule, and then its recovery.
 
-    Before each step a router's VM is suspended, or wakes, with a chance of
+    Before each step a router's VM is suspended or resumed with a probability of
     `suspensions`.
     """
     world = World(seed, counts_suspension)
-    pick = world.random
+    rng = world.random
     names = tuple(ACTIONS)
-    weights = [w * pick.choice((0.3, 1.0, 3.0)) for w in ACTIONS.values()]
+    weights = [w * rng.choice((0.3, 1.0, 3.0)) for w in ACTIONS.values()]
     for _ in range(steps):
-        if suspensions and pick.random() < suspensions:
-            change = world.suspend if pick.random() < 0.5 else world.thaw
-            change(pick.choice(ROUTERS))
-        name = pick.choices(names, weights)[0]
+        if suspensions and rng.random() < suspensions:
+            change = world.suspend if rng.random() < 0.5 else world.thaw
+            change(rng.choice(ROUTERS))
+        name = rng.choices(names, weights)[0]
         if name == "pass_time":
-            world.pass_time(pick.choice(TIME_STEPS_MS))
+            world.pass_time(rng.choice(TIME_STEPS_MS))
         elif name in ROUTER_ACTIONS:
-            getattr(world, name)(pick.choice(ROUTERS))
+            getattr(world, name)(rng.choice(ROUTERS))
         else:
             getattr(world, name)()
     world.settle()
