--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -291,9 +291,9 @@
         effects = self.arrive(**changed)
         due = self.only_effect(effects, ScheduleHedge)
         self.assertEqual(75.0, due.after_ms)
-        retry = self.step(HedgeDue(due.request_id, due.attempt_id))
+        hedge_effects = self.step(HedgeDue(due.request_id, due.attempt_id))
         return self.only_effect(effects, StartAttempt), self.only_effect(
-            retry, StartAttempt
+            hedge_effects, StartAttempt
         )
 
     def test_slow_attempt_is_hedged_on_another_endpoint(self) -> None:
@@ -321,12 +321,10 @@
     def test_other_attempt_continues_when_one_of_two_fails(self) -> None:
         for failed in (0, 1):
             name = f"q{failed}"
-            changed_table = self.hedge_request(request_id=name, key=name)
-            self.assertEqual(
-                [], self.end_attempt(changed_table[failed], Broken("reset"))
-            )
+            attempts = self.hedge_request(request_id=name, key=name)
+            self.assertEqual([], self.end_attempt(attempts[failed], Broken("reset")))
             self.only_effect(
-                self.end_attempt(changed_table[1 - failed], ANSWER), ProposeAnswer
+                self.end_attempt(attempts[1 - failed], ANSWER), ProposeAnswer
             )
 
     def test_non_repeatable_request_is_not_hedged(self) -> None:
@@ -346,9 +344,12 @@
             name = f"q{number}"
             effects = self.arrive(request_id=name, key=name)
             attempt = self.only_effect(effects, StartAttempt)
-            retry = self.step(HedgeDue(name, attempt.attempt_id))
-            hedges += len(retry) > 0
-            for sent in [attempt, *(e for e in retry if isinstance(e, StartAttempt))]:
+            hedge_effects = self.step(HedgeDue(name, attempt.attempt_id))
+            hedges += len(hedge_effects) > 0
+            for sent in [
+                attempt,
+                *(e for e in hedge_effects if isinstance(e, StartAttempt)),
+            ]:
                 self.end_attempt(sent, ANSWER)
             self.step(RecordOutcomeReceived(name, AnswerAccepted(1)))
         self.assertLessEqual(hedges, 0.05 * 300 + 10)
--- a/tests/test_router_backoff.py
+++ b/tests/test_router_backoff.py
@@ -29,15 +29,17 @@
 
         Requests are sent 20 times a second.
         """
-        with lean(routers=1) as found:
+        with lean(routers=1) as deployment:
             for _ in range(60):
                 # One engine turns out to be faster and is preferred from then on.
-                found.ask(0)
-            preferred = max(found.engines, key=lambda engine: len(engine.get("runs")))
+                deployment.ask(0)
+            preferred = max(
+                deployment.engines, key=lambda engine: len(engine.get("runs"))
+            )
             preferred.control(**control)
             begin_s = time.time()
             while time.time() < begin_s + length_s:
-                self.assertEqual(200, found.ask(0).status)
+                self.assertEqual(200, deployment.ask(0).status)
                 time.sleep(0.05)
             request_times_ms: list[float] = preferred.get("turned-away")
             request_times_ms += [run["at_ms"] for run in preferred.get("runs")]
@@ -173,7 +175,7 @@
 class NoticeTest(testtools.TestCase):
     def test_decode_notice(self) -> None:
         headers = {"retry-after": "1.5", "ashlatch-leaving": "1"}
-        found = decode_notice(Reply(503, headers))
-        self.assertEqual(EndpointNotice(NO_LIMIT, 1500.0, True), found)
+        notice = decode_notice(Reply(503, headers))
+        self.assertEqual(EndpointNotice(NO_LIMIT, 1500.0, True), notice)
         self.assertEqual(0.0, decode_notice(Reply(200, headers)).backoff_ms)
         self.assertTrue(decode_notice(Reply(200, {})).empty)
--- a/tests/test_router_crashes.py
+++ b/tests/test_router_crashes.py
@@ -150,7 +150,7 @@
 
 class VersionTest(QuarantineTest):
     def test_crashes_count_neither_as_errors_nor_as_answers_of_a_version(self) -> None:
-        """Two requests end with their endpoints gone, and one answers again soon."""
+        """Two endpoints crash while running requests, and one answers again at once."""
         attempts = []
         for number in range(2):
             sent = self.first_attempt(
@@ -217,32 +217,32 @@
     TRIES = 6
 
     def test_crashes_are_bounded_across_routers(self) -> None:
-        with lean() as found:
-            self.start_engines(found)
-            for engine in found.engines:
+        with lean() as deployment:
+            self.start_engines(deployment)
+            for engine in deployment.engines:
                 engine.control(crash_on=CRASHING_TEXT)
             for number in range(self.TRIES):
-                found.ask(number % len(found.system.routers))
+                deployment.ask(number % len(deployment.system.routers))
                 time.sleep(PROPAGATION_S)
-            ended = sum(not is_listening(engine) for engine in found.engines)
+            ended = sum(not is_listening(engine) for engine in deployment.engines)
             self.assertEqual(CRASHES_MAX, ended)
-            for router in range(len(found.system.routers)):
-                last = found.ask(router)
+            for router in range(len(deployment.system.routers)):
+                last = deployment.ask(router)
                 self.assertTrue(last.json["type"].endswith("quarantined"), last)
                 self.assertTrue(last.json["not_run"])
 
-    def start_engines(self, found: Lean) -> None:
+    def start_engines(self, deployment: Lean) -> None:
         """Starts more engines, until every router may choose among all."""
         arguments = ("--versions", KENYA.versions, "--quality", KENYA.quality)
-        for place in range(len(found.engines), self.ENGINES):
+        for place in range(len(deployment.engines), self.ENGINES):
             hall = KENYA.halls[place % len(KENYA.halls)]
-            engine = found.system.start_engine(
+            engine = deployment.system.start_engine(
                 f"lm-{place}", KENYA.pool, hall, *arguments
             )
-            found.engines.append(engine)
-        found.system.publish_vms()
-        wait_for_endpoints(found.system, len(found.system.vms))
-        wait_until(found.every_router_answers, "every router answers")
+            deployment.engines.append(engine)
+        deployment.system.publish_vms()
+        wait_for_endpoints(deployment.system, len(deployment.system.vms))
+        wait_until(deployment.every_router_answers, "every router answers")
 
 
 def is_listening(engine: Fake) -> bool:
--- a/tests/test_router_failures.py
+++ b/tests/test_router_failures.py
@@ -38,63 +38,69 @@
 
 class RouterKilledTest(testtools.TestCase):
     def test_service_call_is_not_run_again_and_chat_is_answered(self) -> None:
-        with lean() as found, concurrent.futures.ThreadPoolExecutor(2) as pool:
-            for worker in found.workers:
+        with lean() as deployment, concurrent.futures.ThreadPoolExecutor(2) as pool:
+            for worker in deployment.workers:
                 worker.control(delay_ms=4000)
-            for engine in found.engines:
+            for engine in deployment.engines:
                 engine.control(token_ms=150.0)
             calls = [
-                pool.submit(found.order, "killed-order"),
-                pool.submit(lambda: found.ask(Idempotency_Key="killed-question")),
+                pool.submit(deployment.order, "killed-order"),
+                pool.submit(lambda: deployment.ask(Idempotency_Key="killed-question")),
             ]
-            wait_until(lambda: found.ran("killed-order") == 1, "the order runs")
-            wait_until(found.running, "the question runs")
-            found.system.routers[0].process.kill()
+            wait_until(
+                lambda: deployment.ran("killed-order") == 1, "the service call runs"
+            )
+            wait_until(deployment.running, "the chat runs")
+            deployment.system.routers[0].process.kill()
             for call in calls:
                 self.assertIsInstance(call.exception(), OSError)
-            for worker in found.workers:
+            for worker in deployment.workers:
                 worker.control(delay_ms=0)
-            for engine in found.engines:
+            for engine in deployment.engines:
                 engine.control(token_ms=1.0)
-            chat_reply = found.ask(1, Idempotency_Key="killed-question")
+            chat_reply = deployment.ask(1, Idempotency_Key="killed-question")
             self.assertEqual(200, chat_reply.status)
-            repeated = found.ask(1, Idempotency_Key="killed-question")
+            repeated = deployment.ask(1, Idempotency_Key="killed-question")
             self.assertEqual(chat_reply.body, repeated.body)
-            order = found.order("killed-order", 1)
+            order = deployment.order("killed-order", 1)
             self.assertTrue(order.json["type"].endswith("outcome_unknown"), order)
             self.assertIsNone(order.json["not_run"])
-            self.assertEqual(1, found.ran("killed-order"))
+            self.assertEqual(1, deployment.ran("killed-order"))
 
 
 class KilledBeforeSendTest(testtools.TestCase):
     def test_claims_of_a_router_killed_before_it_sent_anything(self) -> None:
         """The endpoints accept no connection, so nothing is ever sent."""
         long_timeout = {"connect_timeout_ms": 20_000}
-        with lean(router_extra=long_timeout) as found, full_listener() as full:
-            system = found.system
+        with lean(router_extra=long_timeout) as deployment, full_listener() as full:
+            system = deployment.system
             real = [dict(vm) for vm in system.vms]
-            self.publish_and_wait(found, [{**vm, "url": full} for vm in real])
+            self.publish_and_wait(deployment, [{**vm, "url": full} for vm in real])
             with concurrent.futures.ThreadPoolExecutor(2) as pool:
                 calls = [
-                    pool.submit(found.order, "claimed-order"),
-                    pool.submit(lambda: found.ask(Idempotency_Key="claimed-question")),
+                    pool.submit(deployment.order, "claimed-order"),
+                    pool.submit(
+                        lambda: deployment.ask(Idempotency_Key="claimed-question")
+                    ),
                 ]
                 log = system.routers[0].process
                 wait_until(lambda: self.both_connecting(log.log), "both are claimed")
                 log.kill()
                 for call in calls:
                     self.assertIsInstance(call.exception(), OSError)
-            self.publish_and_wait(found, real)
-            order = wait_until(lambda: self.final_problem(found), "a final word")
+            self.publish_and_wait(deployment, real)
+            order = wait_until(
+                lambda: self.final_problem(deployment), "the final problem"
+            )
             self.assertTrue(order["type"].endswith("outcome_unknown"), order)
             self.assertIsNone(order["not_run"])
-            self.assertEqual(0, found.ran("claimed-order"))
+            self.assertEqual(0, deployment.ran("claimed-order"))
             # Until the platform has read the engines again, their load reports are
             # stale and callers get a retry time.
-            wait_until(lambda: self.is_answered(found), "the question is answered")
+            wait_until(lambda: self.is_answered(deployment), "the chat is answered")
 
-    def is_answered(self, found: Lean) -> bool:
-        reply = found.ask(1, Idempotency_Key="claimed-question")
+    def is_answered(self, deployment: Lean) -> bool:
+        reply = deployment.ask(1, Idempotency_Key="claimed-question")
         if reply.status == 200:
             return True
         self.assertTrue(reply.json["type"].endswith("no_endpoint"), reply)
@@ -103,15 +109,15 @@
         self.assertIn("retry-after", reply.headers)
         return False
 
-    def publish_and_wait(self, found: Lean, vms: list[dict[str, Any]]) -> None:
-        found.system.vms = vms
-        found.system.publish_vms()
+    def publish_and_wait(self, deployment: Lean, vms: list[dict[str, Any]]) -> None:
+        deployment.system.vms = vms
+        deployment.system.publish_vms()
         wanted = {vm["url"] for vm in vms}
 
         def in_force() -> bool:
-            reply = found.system.operate("GET", "/v1/resources/endpoint").json
+            reply = deployment.system.operate("GET", "/v1/resources/endpoint").json
             urls = {r["spec"]["url"] for r in reply["resources"]}
-            reached: int = found.system.status()["in_force_revision"]
+            reached: int = deployment.system.status()["in_force_revision"]
             return urls == wanted and reached >= reply["revision"]
 
         wait_until(in_force, "the endpoints' addresses are in force")
@@ -122,8 +128,8 @@
         ended = log.rfind("event=request_ended")
         return sum(log.find(line) > ended for line in lines[-2:]) == 2
 
-    def final_problem(self, found: Lean) -> dict[str, Any] | None:
-        reply = found.order("claimed-order", 1, Ashlatch_Deadline_Ms="5000")
+    def final_problem(self, deployment: Lean) -> dict[str, Any] | None:
+        reply = deployment.order("claimed-order", 1, Ashlatch_Deadline_Ms="5000")
         self.assertIsNot(True, reply.json["not_run"])
         self.assertNotEqual(200, reply.status)
         document: dict[str, Any] = reply.json
@@ -133,20 +139,22 @@
 class FrozenRouterTest(testtools.TestCase):
     def test_withdrawal_under_load_with_a_frozen_router(self) -> None:
         version = "quote-small-1"
-        with lean() as found, Load(found, 2):
+        with lean() as deployment, Load(deployment, 2):
             with concurrent.futures.ThreadPoolExecutor(4) as pool:
                 stop_s = time.monotonic() + 9.0
-                callers = [pool.submit(self.ask_until, found, stop_s) for _ in "1234"]
-                frozen = found.system.routers[1].process
+                callers = [
+                    pool.submit(self.ask_until, deployment, stop_s) for _ in "1234"
+                ]
+                frozen = deployment.system.routers[1].process
                 time.sleep(1.0)
                 frozen.signal(signal.SIGSTOP)
-                output = found.system.ctl("withdraw", version, "--wait").stdout
+                output = deployment.system.ctl("withdraw", version, "--wait").stdout
                 in_force_ms = time.time() * 1000.0
                 self.assertIn("in force on 1 routers", output)
                 frozen.signal(signal.SIGCONT)
                 answered = sum(asker.result() for asker in callers)
             self.assertGreater(answered, 50)
-            runs = [run for engine in found.engines for run in engine.get("runs")]
+            runs = [run for engine in deployment.engines for run in engine.get("runs")]
             self.assertTrue(any(run["version"] == version for run in runs))
             late = [
                 run
@@ -155,11 +163,11 @@
             ]
             self.assertEqual([], late)
 
-    def ask_until(self, found: Lean, stop_s: float) -> int:
+    def ask_until(self, deployment: Lean, stop_s: float) -> int:
         answered = 0
         while time.monotonic() < stop_s:
             try:
-                reply = found.ask(answered % 2)
+                reply = deployment.ask(answered % 2)
             except OSError:
                 continue
             if reply.status == 200:
@@ -171,112 +179,112 @@
 
 class NoStateTest(testtools.TestCase):
     def test_router_without_a_state_refuses_and_recovers(self) -> None:
-        with lean() as found:
-            states = found.system.states
-            runs = [len(engine.get("runs")) for engine in found.engines]
+        with lean() as deployment:
+            states = deployment.system.states
+            runs = [len(engine.get("runs")) for engine in deployment.engines]
             for daemon in states:
                 daemon.process.signal(signal.SIGSTOP)
-            wait_until(lambda: found.ask().status == 503, "the lease runs out")
-            before_refusals = [len(engine.get("runs")) for engine in found.engines]
+            wait_until(lambda: deployment.ask().status == 503, "the lease runs out")
+            before_refusals = [len(engine.get("runs")) for engine in deployment.engines]
             for _ in range(20):
-                refused = found.ask()
+                refused = deployment.ask()
                 self.assertEqual(503, refused.status)
                 self.assertTrue(refused.json["type"].endswith("no_configuration"))
                 self.assertIs(True, refused.json["not_run"])
                 self.assertIn("retry-after", refused.headers)
             # A request with this key may have run before; without a state that isn't
             # known.
-            keyed = found.order("unknown-order")
+            keyed = deployment.order("unknown-order")
             self.assertIsNone(keyed.json["not_run"])
-            self.assertEqual(0, found.ran("unknown-order"))
+            self.assertEqual(0, deployment.ran("unknown-order"))
             self.assertEqual(
-                before_refusals, [len(e.get("runs")) for e in found.engines]
+                before_refusals, [len(e.get("runs")) for e in deployment.engines]
             )
             self.assertGreaterEqual(sum(before_refusals), sum(runs))
             for daemon in states:
                 daemon.process.signal(signal.SIGCONT)
-            wait_until(found.every_router_answers, "every router answers again")
+            wait_until(deployment.every_router_answers, "every router answers again")
 
 
 class EngineTest(testtools.TestCase):
     def test_swapped_answers_are_not_forwarded(self) -> None:
-        with lean() as found:
-            found.engines[0].control(swap_ids=True)
-            answered = [found.ask() for _ in range(10)]
+        with lean() as deployment:
+            deployment.engines[0].control(swap_ids=True)
+            answered = [deployment.ask() for _ in range(10)]
             for reply in answered:
                 self.assertEqual(200, reply.status)
                 self.assertNotIn("-other", reply.json["id"])
-            found.engines[1].control(swap_ids=True)
-            refused = found.ask()
+            deployment.engines[1].control(swap_ids=True)
+            refused = deployment.ask()
             self.assertNotEqual(200, refused.status)
             self.assertIs(False, refused.json["not_run"])
 
     def test_leaving_endpoint_gets_no_new_requests(self) -> None:
         """Only the engine announces that it is leaving, not the platform's list."""
-        with lean() as found:
-            engine = found.engines[0]
+        with lean() as deployment:
+            engine = deployment.engines[0]
             engine.control(leaving=True)
             time.sleep(3.0)
             before = len(engine.get("runs"))
             for place in range(30):
-                self.assertEqual(200, found.ask(place % 2).status)
+                self.assertEqual(200, deployment.ask(place % 2).status)
             self.assertEqual(before, len(engine.get("runs")))
 
     def test_broken_stream_is_resumed_where_it_broke(self) -> None:
-        with lean() as found:
-            for engine in found.engines:
+        with lean() as deployment:
+            for engine in deployment.engines:
                 engine.control(break_after=12)
-            url = found.system.routers[0].url
+            url = deployment.system.routers[0].url
             stream = chat_stream(url, KEY, ROUTE)
             self.assertTrue(stream.done, stream.error)
             words = stream.text.split()
             self.assertEqual([f"w{place}" for place in range(1, 20)], words[1:])
 
     def test_refused_answer_is_escalated_and_billed_once(self) -> None:
-        with lean() as found:
-            for engine in found.engines:
+        with lean() as deployment:
+            for engine in deployment.engines:
                 engine.control(finish={"quote-small-1": "content_filter"})
-            before = found.bills()
-            replies = [found.ask(place % 2) for place in range(12)]
+            before = deployment.bills()
+            replies = [deployment.ask(place % 2) for place in range(12)]
             versions = {reply.headers["ashlatch-version"] for reply in replies}
             self.assertEqual({"quote-large-1"}, versions)
-            self.assertEqual(12, found.bills() - before)
-            runs = [run for engine in found.engines for run in engine.get("runs")]
+            self.assertEqual(12, deployment.bills() - before)
+            runs = [run for engine in deployment.engines for run in engine.get("runs")]
             self.assertIn("quote-small-1", {run["version"] for run in runs})
 
     def test_failing_service_is_not_called_again(self) -> None:
-        with lean() as found:
-            for worker in found.workers:
+        with lean() as deployment:
+            for worker in deployment.workers:
                 worker.control(fail=True)
-            reply = found.order("failing")
+            reply = deployment.order("failing")
             self.assertTrue(reply.json["type"].endswith("outcome_unknown"))
-            for worker in found.workers:
+            for worker in deployment.workers:
                 worker.control(fail=False)
-            repeated = found.order("failing", 1)
+            repeated = deployment.order("failing", 1)
             self.assertTrue(repeated.json["type"].endswith("outcome_unknown"))
-            self.assertEqual(1, found.ran("failing"))
+            self.assertEqual(1, deployment.ran("failing"))
 
 
 class StopTest(testtools.TestCase):
     def test_stop_does_not_interrupt_streams(self) -> None:
-        with lean(engine_arguments=SLOW_ENGINE) as found:
-            router = found.system.routers[0]
+        with lean(engine_arguments=SLOW_ENGINE) as deployment:
+            router = deployment.system.routers[0]
             with concurrent.futures.ThreadPoolExecutor(8) as pool:
                 calls = [
                     pool.submit(chat_stream, router.url, KEY, ROUTE)
                     for _ in range(STREAMS)
                 ]
-                wait_until(lambda: found.running() == STREAMS, "streams run")
+                wait_until(lambda: deployment.running() == STREAMS, "streams run")
                 # The streams must outlast the requests below, however busy the
                 # machine is, so they are slowed down until the refusal was seen.
-                self.set_token_time(found, 500.0)
+                self.set_token_time(deployment, 500.0)
                 router.process.signal(signal.SIGTERM)
                 refused = wait_until(
-                    lambda: self.draining_problem(found), "new work is refused"
+                    lambda: self.draining_problem(deployment), "new work is refused"
                 )
                 self.assertIs(True, refused["not_run"])
-                self.assertEqual(STREAMS, found.running())
-                self.set_token_time(found, 1.0)
+                self.assertEqual(STREAMS, deployment.running())
+                self.set_token_time(deployment, 1.0)
                 streams: list[StreamedAnswer] = [call.result() for call in calls]
             for stream in streams:
                 self.assertEqual((200, True), (stream.status, stream.done), str(stream))
@@ -284,14 +292,14 @@
             self.assertEqual(0, router.process.popen.wait(10.0))
             self.assertIn("in_flight=0", router.process.log.splitlines()[-1])
 
-    def set_token_time(self, found: Lean, token_ms: float) -> None:
-        for engine in found.engines:
+    def set_token_time(self, deployment: Lean, token_ms: float) -> None:
+        for engine in deployment.engines:
             engine.control(token_ms=token_ms)
 
-    def draining_problem(self, found: Lean) -> dict[str, object] | None:
+    def draining_problem(self, deployment: Lean) -> dict[str, object] | None:
         # A service call is quick. A chat that is still admitted would be in flight
         # until the router has stopped.
-        url = found.system.routers[0].url
+        url = deployment.system.routers[0].url
         reply = service(url, KEY, ORDERS, "orders", {})
         if reply.status == 503 and reply.json["type"].endswith("draining"):
             answer: dict[str, object] = reply.json
@@ -301,8 +309,8 @@
 
 class BadInputTest(testtools.TestCase):
     def test_bad_requests_get_a_problem_that_names_the_field(self) -> None:
-        with lean(routers=1) as found:
-            url = found.system.routers[0].url
+        with lean(routers=1) as deployment:
+            url = deployment.system.routers[0].url
             path = f"{url}/v1/chat/completions"
             cases: tuple[tuple[Any, dict[str, str], int, str], ...] = (
                 ({"model": ROUTE}, {}, 400, "messages"),
@@ -319,11 +327,11 @@
                 self.assertNotIn("Traceback", reply.body.decode())
             unknown = request(path, "POST", chat_body(ROUTE), headers("wrong"))
             self.assertEqual(401, unknown.status)
-            self.check_malformed_bytes(found)
+            self.check_malformed_bytes(deployment)
 
-    def check_malformed_bytes(self, found: Lean) -> None:
+    def check_malformed_bytes(self, deployment: Lean) -> None:
         """Bytes that are neither HTTP nor gRPC do no harm."""
-        system = found.system
+        system = deployment.system
         daemons = [system.routers[0], *system.states, *system.controls]
         noise = (
             b"\x00\xff" * 500,
@@ -344,33 +352,37 @@
                         continue
         for daemon in daemons:
             self.assertIsNone(daemon.process.popen.poll())
-        self.assertEqual(200, found.ask().status)
+        self.assertEqual(200, deployment.ask().status)
 
     def test_connections_beyond_the_limit_are_refused_immediately(self) -> None:
         limits = {"http": {"max_connections": 4}}
-        with lean(routers=1, router_extra=limits) as found:
-            host, _, port = found.system.routers[0].settings["listen"].rpartition(":")
+        with lean(routers=1, router_extra=limits) as deployment:
+            host, _, port = (
+                deployment.system.routers[0].settings["listen"].rpartition(":")
+            )
             idle = [socket.create_connection((host, int(port))) for _ in range(4)]
-            wait_until(lambda: found.ask().status == 503, "the bound is reached")
-            self.assertIs(True, found.ask().json["not_run"])
+            wait_until(lambda: deployment.ask().status == 503, "the bound is reached")
+            self.assertIs(True, deployment.ask().json["not_run"])
             for connection in idle:
                 connection.close()
-            wait_until(lambda: found.ask().status == 200, "it serves again")
+            wait_until(lambda: deployment.ask().status == 200, "it serves again")
 
 
 class EndpointTest(testtools.TestCase):
     def test_an_endpoint_that_is_gone_is_passed_by(self) -> None:
-        with lean() as found:
-            found.engines[0].process.kill()
-            found.workers[0].process.kill()
+        with lean() as deployment:
+            deployment.engines[0].process.kill()
+            deployment.workers[0].process.kill()
             for number in range(20):
-                self.assertEqual(200, found.ask(number % 2).status)
-                self.assertEqual(200, found.order(f"gone-{number}", number % 2).status)
+                self.assertEqual(200, deployment.ask(number % 2).status)
+                self.assertEqual(
+                    200, deployment.order(f"gone-{number}", number % 2).status
+                )
 
     def test_missing_endpoint_is_reported_as_not_run(self) -> None:
-        with lean(routers=1) as found:
-            for worker in found.workers:
+        with lean(routers=1) as deployment:
+            for worker in deployment.workers:
                 worker.process.kill()
-            reply = found.order("nobody")
+            reply = deployment.order("nobody")
             self.assertEqual(503, reply.status)
             self.assertIs(True, reply.json["not_run"])
--- a/tests/test_router_limits.py
+++ b/tests/test_router_limits.py
@@ -45,15 +45,15 @@
     """Real processes: three routers and two engines, one of which names a limit."""
 
     def test_all_routers_together_respect_the_limit(self) -> None:
-        with lean(routers=3) as found:
-            limited = found.engines[0]
+        with lean(routers=3) as deployment:
+            limited = deployment.engines[0]
             limited.control(requests_per_s=LIMIT_PER_S)
             started_s = time.time()
             pending: list[Future[int]] = []
             with ThreadPoolExecutor(24) as callers:
                 while time.time() < started_s + DURATION_S:
-                    router = len(pending) % len(found.system.routers)
-                    pending.append(callers.submit(self.ask, found, router))
+                    router = len(pending) % len(deployment.system.routers)
+                    pending.append(callers.submit(self.ask, deployment, router))
                     time.sleep(1.0 / REQUESTS_PER_S)
                 statuses = [call.result() for call in pending]
             request_times_s = [run["at_ms"] / 1000.0 for run in limited.get("runs")]
@@ -65,8 +65,8 @@
             self.assertEqual(set(), set(statuses) - {200, 429})
             self.assertTrue(statuses.count(200) > 0.9 * len(statuses))
 
-    def ask(self, found: Lean, router: int) -> int:
-        return found.ask(router).status
+    def ask(self, deployment: Lean, router: int) -> int:
+        return deployment.ask(router).status
 
 
 class CoreTest(RouterTest):
--- a/tests/traffic.py
+++ b/tests/traffic.py
@@ -129,7 +129,7 @@
 class PendingCommand:
     """A command on its way to the state.
 
-    `reported` is set once the router has been told of a timeout.
+    `reported` is set once the router was notified of a timeout.
     """
 
     sim: SimulatedRouter
@@ -215,8 +215,8 @@
         put = self.put
         put("model", "cheap", {})
         put("model", "dear", {})
-        for place, version in enumerate(VERSIONS):
-            price = 10 * 4**place
+        for index, version in enumerate(VERSIONS):
+            price = 10 * 4**index
             put(
                 "version",
                 version,
@@ -224,7 +224,7 @@
                     "model": "dear" if version == "v3" else "cheap",
                     "input_price_microusd_per_ktoken": price,
                     "output_price_microusd_per_ktoken": price,
-                    "quality_prior": 0.5 + 0.15 * place,
+                    "quality_prior": 0.5 + 0.15 * index,
                 },
             )
         put("pool", "lm", {})
@@ -303,8 +303,10 @@
 
     def new_sim(self, name: str) -> SimulatedRouter:
         self.start_count += 1
-        eager = PolicySettings(hedge_ratio=1.0, hedge_samples_min=1)
-        config = RouterConfig(f"{name}/{self.start_count}", name, "logan", eager)
+        hedging_policy = PolicySettings(hedge_ratio=1.0, hedge_samples_min=1)
+        config = RouterConfig(
+            f"{name}/{self.start_count}", name, "logan", hedging_policy
+        )
         sim = SimulatedRouter(name, RouterCore(config))
         self.poll(name, sim)
         return sim
@@ -396,10 +398,10 @@
         """Removes a random item and returns it, unless its router is frozen."""
         if not items:
             return None
-        place = self.random.randrange(len(items))
-        if items[place].sim.frozen and self.exists(items[place].sim):
+        index = self.random.randrange(len(items))
+        if items[index].sim.frozen and self.exists(items[index].sim):
             return None
-        return items.pop(place)
+        return items.pop(index)
 
     def deliver_event(self, sim: SimulatedRouter, event: Event) -> None:
         """Passes an event to a router, now or after it is thawed."""
@@ -721,30 +723,30 @@
             raise RuleViolation(f"R5: {request_id} is answered twice")
         return self.requests[request_id]
 
-    def check_answer(self, sim: SimulatedRouter, given: SendAnswer) -> None:
-        request = self.close_request(sim, given.request_id)
+    def check_answer(self, sim: SimulatedRouter, response: SendAnswer) -> None:
+        request = self.close_request(sim, response.request_id)
         key = (request.organisation, request.key)
-        own = f"{request.organisation}/{request.key}#".encode()
-        if not given.answer.body.startswith(own):
-            raise RuleViolation(f"R5: {key} got {given.answer.body!r}")
-        if self.answers.setdefault(key, given.answer.body) != given.answer.body:
+        expected_prefix = f"{request.organisation}/{request.key}#".encode()
+        if not response.answer.body.startswith(expected_prefix):
+            raise RuleViolation(f"R5: {key} got {response.answer.body!r}")
+        if self.answers.setdefault(key, response.answer.body) != response.answer.body:
             raise RuleViolation(f"R5: {key} got two answers")
-        seen = self.received_chunks.get(given.request_id, [])
-        if seen and (len(seen) < STREAM_CHUNKS or given.replayed):
+        seen = self.received_chunks.get(response.request_id, [])
+        if seen and (len(seen) < STREAM_CHUNKS or response.replayed):
             raise RuleViolation(f"R5: {key} got a part of its stream")
         if not self.billed[key]:
             raise RuleViolation(f"R4: {key} is answered and not billed")
 
-    def check_problem(self, sim: SimulatedRouter, given: SendProblem) -> None:
-        request = self.close_request(sim, given.request_id)
+    def check_problem(self, sim: SimulatedRouter, response: SendProblem) -> None:
+        request = self.close_request(sim, response.request_id)
         key = (request.organisation, request.key)
-        if given.problem.kind is problems.OUTCOME_UNKNOWN:
+        if response.problem.kind is problems.OUTCOME_UNKNOWN:
             self.unknown.add(key)
-        if given.problem.not_run is not True:
+        if response.problem.not_run is not True:
             return
         if self.runs[key]:
             raise RuleViolation(
-                f"R6: {key} ran; {given.problem.kind.name} says it did not"
+                f"R6: {key} ran; {response.problem.kind.name} says it did not"
             )
         self.refused.add(request.request_id)
 
