--- a/ashlatch/router/attempt.py
+++ b/ashlatch/router/attempt.py
@@ -180,7 +180,7 @@
         return
     assert active.current_attempt is not None
     active.tried_endpoints |= {active.current_attempt.endpoint.name}
-    # The claim binds the request, and a session's pin, to the version.
+    # A claim binds the request to its version, and so does a session's pin.
     version_bound = active.attempt_number or active.request.session
     version = active.version if version_bound else ""
     plan = plan_attempt(core, active, version)
--- a/ashlatch/router/responder.py
+++ b/ashlatch/router/responder.py
@@ -47,7 +47,7 @@
 
     def respond(self) -> Response:
         """Waits for the first chunk or the final answer, and returns the response."""
-        item = self._next_message()
+        item = self._next_item()
         if isinstance(item, Chunk):
             response = Response(
                 self._stream(item), direct_passthrough=True, content_type=STREAM_TYPE
@@ -80,7 +80,7 @@
         try:
             while isinstance(item, Chunk):
                 yield item.data
-                item = self._next_message()
+                item = self._next_item()
             completed = True
             yield _stream_end(item)
         finally:
@@ -88,7 +88,7 @@
                 self._host.post(CallerDisconnected(self._request.request_id))
             self._finish()
 
-    def _next_message(self) -> Chunk | SendAnswer | SendProblem:
+    def _next_item(self) -> Chunk | SendAnswer | SendProblem:
         """Returns the next item of the mailbox.
 
         Posts a passed deadline or a closed connection, which also lead to an item.
--- a/tests/traffic.py
+++ b/tests/traffic.py
@@ -190,10 +190,10 @@
         self.running: list[RunningAttempt] = []
         self.pending_events: list[PendingEvent] = []
         self.requests: dict[str, Request] = {}
-        self.open: dict[str, SimulatedRouter] = {}
+        self.open_requests: dict[str, SimulatedRouter] = {}
         self.runs: Counter[tuple[str, str]] = Counter()
-        self.refused: set[str] = set()
-        self.unknown: set[tuple[str, str]] = set()
+        self.refused_as_not_run: set[str] = set()
+        self.outcome_unknown: set[tuple[str, str]] = set()
         self.answers: dict[tuple[str, str], bytes] = {}
         self.received_chunks: dict[str, list[ReceivedChunk]] = {}
         self.streamed = 0
@@ -383,12 +383,12 @@
         for router in sorted(gone):
             self.commit(RouterGone(router))
         self.update_in_force()
-        for request_id, sim in list(self.open.items()):
+        for request_id, sim in list(self.open_requests.items()):
             request = self.requests[request_id]
-            if self.now_ms >= request.deadline_ms and self.alive(sim):
+            if self.now_ms >= request.deadline_ms and self.is_running(sim):
                 self.step(sim, DeadlinePassed(request_id))
 
-    def alive(self, sim: SimulatedRouter) -> bool:
+    def is_running(self, sim: SimulatedRouter) -> bool:
         return self.exists(sim) and not sim.frozen
 
     def exists(self, sim: SimulatedRouter) -> bool:
@@ -405,7 +405,7 @@
 
     def deliver_event(self, sim: SimulatedRouter, event: Event) -> None:
         """Passes an event to a router, now or after it is thawed."""
-        if self.alive(sim):
+        if self.is_running(sim):
             self.step(sim, event)
         elif self.exists(sim):
             self.pending_events.append(PendingEvent(sim, event))
@@ -462,7 +462,7 @@
 
     def send_request(self, sim: SimulatedRouter, request: Request) -> None:
         self.requests[request.request_id] = request
-        self.open[request.request_id] = sim
+        self.open_requests[request.request_id] = sim
         self.step(sim, RequestArrived(request))
 
     def commit_one(self) -> None:
@@ -487,7 +487,7 @@
             self.pending_commands.append(
                 PendingCommand(sim, effect, item.command, reported=True)
             )
-        if not self.alive(sim):
+        if not self.is_running(sim):
             return
         if isinstance(effect, ProposeClaim):
             self.step(
@@ -530,7 +530,7 @@
         self.sent += 1
         active = item.sim.core.active_requests[request.request_id]
         self.hedged += active.hedge is not None
-        if request.request_id in self.refused:
+        if request.request_id in self.refused_as_not_run:
             raise RuleViolation(f"R6: {key} runs after it was refused as not run")
         if not request.repeatable and self.runs[key] > 1:
             raise RuleViolation(f"R7: {key} runs twice")
@@ -603,7 +603,10 @@
             return
         chunk = ReceivedChunk(item.effect.endpoint, item.effect.version, item.chunks)
         item.chunks += 1
-        if not self.alive(item.sim) or self.open.get(request_id) is not item.sim:
+        if (
+            not self.is_running(item.sim)
+            or self.open_requests.get(request_id) is not item.sim
+        ):
             return
         attempt_id = item.effect.attempt_id
         if item.chunks == 1:
@@ -628,16 +631,16 @@
             self.step(item.sim, item.event)
 
     def caller_leaves(self) -> None:
-        if self.open:
-            request_id = self.random.choice(list(self.open))
-            sim = self.open[request_id]
-            if self.alive(sim):
+        if self.open_requests:
+            request_id = self.random.choice(list(self.open_requests))
+            sim = self.open_requests[request_id]
+            if self.is_running(sim):
                 self.step(sim, CallerDisconnected(request_id))
 
     def crash(self, name: str) -> None:
         sim = self.sims[name]
-        for request_id in [q for q, s in self.open.items() if s is sim]:
-            del self.open[request_id]
+        for request_id in [q for q, s in self.open_requests.items() if s is sim]:
+            del self.open_requests[request_id]
         self.sims[name] = self.new_sim(name)
 
     def freeze(self, name: str) -> None:
@@ -670,7 +673,7 @@
             raise RuleViolation(
                 f"R9: {len(sim.core.active_requests)} cut off by a stop of {name}"
             )
-        if sim in self.open.values():
+        if sim in self.open_requests.values():
             raise RuleViolation(f"R9: a caller of {name} never gets a reply")
         self.crash(name)
 
@@ -718,13 +721,13 @@
         if self.billed[key] > 1:
             raise RuleViolation(f"R4: {key} is billed twice")
 
-    def close_request(self, sim: SimulatedRouter, request_id: str) -> Request:
-        if self.open.pop(request_id, None) is not sim:
+    def end_request(self, sim: SimulatedRouter, request_id: str) -> Request:
+        if self.open_requests.pop(request_id, None) is not sim:
             raise RuleViolation(f"R5: {request_id} is answered twice")
         return self.requests[request_id]
 
     def check_answer(self, sim: SimulatedRouter, response: SendAnswer) -> None:
-        request = self.close_request(sim, response.request_id)
+        request = self.end_request(sim, response.request_id)
         key = (request.organisation, request.key)
         expected_prefix = f"{request.organisation}/{request.key}#".encode()
         if not response.answer.body.startswith(expected_prefix):
@@ -738,17 +741,17 @@
             raise RuleViolation(f"R4: {key} is answered and not billed")
 
     def check_problem(self, sim: SimulatedRouter, response: SendProblem) -> None:
-        request = self.close_request(sim, response.request_id)
+        request = self.end_request(sim, response.request_id)
         key = (request.organisation, request.key)
         if response.problem.kind is problems.OUTCOME_UNKNOWN:
-            self.unknown.add(key)
+            self.outcome_unknown.add(key)
         if response.problem.not_run is not True:
             return
         if self.runs[key]:
             raise RuleViolation(
                 f"R6: {key} ran; {response.problem.kind.name} says it did not"
             )
-        self.refused.add(request.request_id)
+        self.refused_as_not_run.add(request.request_id)
 
     # Recovery at the end of a schedule.
 
@@ -771,7 +774,10 @@
         for _ in range(4000):
             self.step_without_faults(20.0)
             if not (
-                self.open or self.pending_commands or self.starting or self.running
+                self.open_requests
+                or self.pending_commands
+                or self.starting
+                or self.running
             ):
                 return
         raise RuleViolation("requests do not end")
@@ -789,7 +795,7 @@
             self.run_to_completion()
             if key in self.answers:
                 return
-            if not earlier.repeatable and key in self.unknown:
+            if not earlier.repeatable and key in self.outcome_unknown:
                 return
         raise RuleViolation(f"{key} never gets an answer")
 
