--- a/ashlatch/fleet/daemon.py
+++ b/ashlatch/fleet/daemon.py
@@ -20,11 +20,12 @@
 
 from ashlatch.catalog import CoreVm, Endpoint, Rollout, Service
 from ashlatch.clock import monotonic_ms
+from ashlatch.fleet.bootstrap import open_member
+from ashlatch.fleet.command_client import Orders
 from ashlatch.fleet.discovery import ListReader
 from ashlatch.fleet.exposure import plan_exposure
-from ashlatch.fleet.following import LeaderLink
-from ashlatch.fleet.founding import open_member
 from ashlatch.fleet.leader import ListKeeper, RolloutKeeper
+from ashlatch.fleet.leader_link import LeaderLink
 from ashlatch.fleet.logs import (
     CrashesNoted,
     CrashesUnnoted,
@@ -37,10 +38,9 @@
 )
 from ashlatch.fleet.machine import FleetMachine, NoteCrashes
 from ashlatch.fleet.membership import join_group, silent_member
-from ashlatch.fleet.memories import read_memories
 from ashlatch.fleet.operators import NoQuorum, OperatorApi
-from ashlatch.fleet.orders import Orders
 from ashlatch.fleet.peers import PeerBook
+from ashlatch.fleet.prefix_caches import read_memories
 from ashlatch.fleet.protocol import (
     JOIN,
     ORDER,
@@ -52,7 +52,7 @@
     SyncRequest,
 )
 from ashlatch.fleet.seeds import Seeds
-from ashlatch.fleet.spread import Spread, has_news
+from ashlatch.fleet.soft_state import Spread, has_news
 from ashlatch.http.connection import HttpBounds
 from ashlatch.http.listener import HttpListener
 from ashlatch.log import emit
--- a/ashlatch/fleet/leader.py
+++ b/ashlatch/fleet/leader.py
@@ -24,10 +24,10 @@
     SessionMarks,
 )
 from ashlatch.fleet.discovery import ListReader, ListUnreadable
+from ashlatch.fleet.evaluation import DEFAULT_PLAN, Decision, Evidence, decide
 from ashlatch.fleet.exposure import ExposurePlan
 from ashlatch.fleet.logs import ListRead, ListUnread, RolloutDecided
 from ashlatch.fleet.machine import FINAL_STAGES, MoveRollout
-from ashlatch.fleet.verdict import DEFAULT_PLAN, Decision, Evidence, decide
 from ashlatch.gateway.tally import Tally
 from ashlatch.log import emit
 
--- a/ashlatch/fleet/following.py
+++ b/ashlatch/fleet/leader_link.py
@@ -20,7 +20,7 @@
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.peers import PeerBook
 from ashlatch.fleet.protocol import SYNC, SyncReply, SyncRequest, gateways_digest
-from ashlatch.fleet.spread import Spread
+from ashlatch.fleet.soft_state import Spread
 from ashlatch.gateway.kept import PromptRead
 from ashlatch.gateway.tally import Tally
 from ashlatch.log import emit
--- a/ashlatch/fleet/spread.py
+++ b/ashlatch/fleet/soft_state.py
@@ -15,8 +15,8 @@
 from ashlatch.catalog import CoreVm, EndpointList, GatewayVm, SessionMarks
 from ashlatch.clock import monotonic_ms
 from ashlatch.fleet.machine import FleetState
+from ashlatch.fleet.prefill_log import ReadLog
 from ashlatch.fleet.protocol import SyncReply, SyncRequest, gateways_digest
-from ashlatch.fleet.reads import ReadLog
 from ashlatch.gateway.kept import PromptRead
 from ashlatch.gateway.tally import Tallies
 from ashlatch.policy.quarantine import UnloggedCrashes
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -11,10 +11,10 @@
 from pathlib import PurePath
 
 from bench.table import row, title
-from tests import standin
+from tests import stub_server
 from tests.fleet import FRONT_PORT, READY_PORT, Fleet, wait_for
 from tests.gateway import GatewayHarness, ask
-from tests.standin import StandIn
+from tests.stub_server import StandIn
 
 REQUESTS = 1500
 AT_ONCE = 4
@@ -53,7 +53,7 @@
         length = lower.partition(b"content-length: ")[2].partition(b"\r\n")[0]
         await reader.readexactly(int(length))
         return
-    await reader.readuntil(standin.LAST_CHUNK)
+    await reader.readuntil(stub_server.LAST_CHUNK)
 
 
 def is_ready(fleet: Fleet, host: str) -> bool:
@@ -63,7 +63,7 @@
 def processes() -> None:
     title("A gateway's processor time a request, by events of the answer")
     for events in (0, *EVENTS):
-        script = standin.stream(events) if events else standin.answer()
+        script = stub_server.stream(events) if events else stub_server.answer()
         fleet = Fleet(scripts=[script])
         try:
             fleet.found()
@@ -90,7 +90,7 @@
 def parts() -> None:
     title("The same by part, in one process under a profiler: share of the time")
     for events in (0, EVENTS[-1]):
-        script = standin.stream(events) if events else standin.answer()
+        script = stub_server.stream(events) if events else stub_server.answer()
         path = "/stream/1" if events else "/get/1"
         test = GatewayHarness("run_gateway")
         profile = cProfile.Profile()
--- a/tests/crash_play.py
+++ b/tests/crash_play.py
@@ -27,7 +27,7 @@
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 from ashlatch.policy.quarantine import CrashRecord
-from tests.standin import document, encoded, engine_service
+from tests.stub_server import document, encoded, engine_service
 
 MODEL = "large"
 SLOTS = 128
--- a/tests/crashing.py
+++ b/tests/crashing.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from tests.standin import (
+from tests.stub_server import (
     LAST_CHUNK,
     Received,
     Script,
--- a/tests/engines.py
+++ b/tests/engines.py
@@ -32,7 +32,7 @@
 from ashlatch.gateway.versions import AllowedEndpoints, VersionChooser, VersionReason
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
-from tests.standin import document, encoded, engine_service
+from tests.stub_server import document, encoded, engine_service
 
 # How long it takes to learn that nobody listens.
 CONNECT_MS = 2.0
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -18,8 +18,8 @@
 from pathlib import Path
 from typing import Any
 
-from tests import standin
-from tests.standin import Received, Script, StandIn
+from tests import stub_server
+from tests.stub_server import Received, Script, StandIn
 from tests.system import Process
 
 OPERATOR_PORT = 7001
@@ -80,7 +80,7 @@
 
     async def _list(self, request: Received, writer: asyncio.StreamWriter) -> None:
         body = json.dumps({"instances": self.instances, "nextToken": None}).encode()
-        writer.write(standin.whole(request, body))
+        writer.write(stub_server.whole(request, body))
 
     def stop(self) -> None:
         """End the connections first: a loop that has gone cannot close them."""
@@ -106,7 +106,7 @@
         drawn = random.SystemRandom()
         self.net = f"127.{drawn.randrange(1, 255)}.{drawn.randrange(1, 255)}"
         self.folder = Path(tempfile.mkdtemp(prefix="ashlatch-fleet-"))
-        self.platform = Platform(f"{self.net}.200", scripts or [standin.answer()])
+        self.platform = Platform(f"{self.net}.200", scripts or [stub_server.answer()])
         self.hosts = [f"{self.net}.{n + 1}" for n in range(cores)]
         self.seeds = self.hosts[:3]
         self.halls: dict[str, str] = {}
@@ -183,7 +183,7 @@
             connection.close()
 
     def replace(self, host: str, version: int, **more: Any) -> int:
-        body = standin.encoded(standin.document(version, **more))
+        body = stub_server.encoded(stub_server.document(version, **more))
         return self.call(host, "POST", "/-/Config.Replace", body)[0]
 
     def acknowledged(self, version: int, hosts: list[str] | None = None) -> float:
--- a/tests/gateway.py
+++ b/tests/gateway.py
@@ -20,8 +20,8 @@
 from ashlatch.platform.document import decode_catalog
 from ashlatch.platform.headers import decode_ask
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
-from tests import standin
-from tests.standin import Received, StandIn
+from tests import stub_server
+from tests.stub_server import Received, StandIn
 
 PATIENCE = "X-Deadline-Ms: 1500\r\n"
 KEY = "Authorization: Bearer key-1\r\n"
@@ -82,7 +82,9 @@
             BudgetTerms(0.9, extra, 10_000.0),
             generator=random.Random(1),
         )
-        known.table = RouteTable(decode_catalog(standin.encoded(standin.document())))
+        known.table = RouteTable(
+            decode_catalog(stub_server.encoded(stub_server.document()))
+        )
         endpoints = tuple(
             Endpoint(f"i-{n}", "app", w.address, "hall-1", "v1", 8, False)
             for n, w in enumerate(workers)
--- a/tests/limit_play.py
+++ b/tests/limit_play.py
@@ -36,7 +36,7 @@
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 from ashlatch.policy.rate_limit import NO_LIMIT
-from tests.standin import document, encoded
+from tests.stub_server import document, encoded
 
 HALLS = ("a", "b", "c")
 SLOTS = 64
--- a/tests/limited.py
+++ b/tests/limited.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from ashlatch.policy.rate_limit import NO_LIMIT
-from tests.standin import Received, StandIn, whole
+from tests.stub_server import Received, StandIn, whole
 
 # The users' bound: within any of these spans an endpoint gets no more than one and a
 # half times what its limit allows, and some requests.
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -29,8 +29,8 @@
     "-x",
     "tests/test_fleet.py",
     "tests/test_leader.py",
-    "tests/test_spread.py",
-    "tests/test_verdict.py",
+    "tests/test_soft_state.py",
+    "tests/test_evaluation.py",
 )
 SYNC = ("-m", "pytest", "-x", "tests/test_sync.py")
 CHOOSING = ("-m", "pytest", "-x", "tests/test_choosing.py")
@@ -280,7 +280,7 @@
     ),
     Mutant(
         "share-falls",
-        "ashlatch/fleet/verdict.py",
+        "ashlatch/fleet/evaluation.py",
         "    return Decision(stage, max(share, rollout.share), reason)",
         "    return Decision(stage, share, reason)",
         SESSIONS,
@@ -301,7 +301,7 @@
     ),
     Mutant(
         "moves-wait-at-core-vms",
-        "ashlatch/fleet/spread.py",
+        "ashlatch/fleet/soft_state.py",
         "        if not moved.keys() >= set(sessions.moved):\n"
         "            self.urgent.set()\n",
         "        pass\n",
@@ -317,14 +317,14 @@
     ),
     Mutant(
         "new-leader-knows-no-gateways",
-        "ashlatch/fleet/spread.py",
+        "ashlatch/fleet/soft_state.py",
         "            self._gateways.setdefault(gateway, now_ms)",
         "            pass",
         SESSIONS,
     ),
     Mutant(
         "young-leader-makes-all-forget",
-        "ashlatch/fleet/spread.py",
+        "ashlatch/fleet/soft_state.py",
         "        return None if young and request.gateways_known else self.gateways",
         "        return self.gateways",
         FLEET,
@@ -345,7 +345,7 @@
     ),
     Mutant(
         "latest-answers-held-to-calm-ones",
-        "ashlatch/fleet/verdict.py",
+        "ashlatch/fleet/evaluation.py",
         "        for window_ms in WINDOWS_MS:\n"
         "            yield self._within(window_ms, now_ms)\n",
         "",
--- a/tests/shedding.py
+++ b/tests/shedding.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from tests.standin import Received, StandIn, whole
+from tests.stub_server import Received, StandIn, whole
 
 # The users' bound: no more requests than these from one gateway, from so long after its
 # answer on and until the backoff is over.
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -24,7 +24,7 @@
 from tests.fleet import READY_PORT, Fleet, wait_for
 from tests.gateway import ASK_STREAM, GatewayHarness, ask
 from tests.shedding import WITHIN_BACKOFF_MAX, SheddingEndpoint
-from tests.standin import Received, StandIn, answer, chunk, event, head, stream
+from tests.stub_server import Received, StandIn, answer, chunk, event, head, stream
 
 
 class OneGatewayTest(GatewayHarness):
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -15,7 +15,7 @@
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES, Candidate
 from ashlatch.policy.rate_limit import Sharers
-from tests.standin import document, encoded, route
+from tests.stub_server import document, encoded, route
 
 
 class VersionsTest(testtools.TestCase):
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -20,7 +20,7 @@
 from ashlatch.rpc import RpcLoop
 from ashlatch.suspension import SuspensionMeter
 from tests.gateway import GatewayHarness, ask
-from tests.standin import Received, StandIn, answer
+from tests.stub_server import Received, StandIn, answer
 
 SUSPENDED_S = 3.0
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -30,7 +30,7 @@
 from ashlatch.platform.document import decode_catalog
 from ashlatch.platform.instances import decode_page
 from ashlatch.policy.cold import ColdEndpoint, pause_ms
-from tests import standin
+from tests import stub_server
 from tests.gateway import GatewayHarness, ask
 
 HALLS = ("a", "b", "c")
@@ -215,8 +215,8 @@
 
     def test_the_configuration_tells(self) -> None:
         services = [{"name": "app", "coldS": 3.0, "coldPerS": 10.0}]
-        document = standin.document(3, services=services)
-        catalog = decode_catalog(standin.encoded(document))
+        document = stub_server.document(3, services=services)
+        catalog = decode_catalog(stub_server.encoded(document))
         (service,) = catalog.services
         self.assertEqual((3000.0, 10.0), (service.cold_ms, service.cold_requests_per_s))
 
@@ -261,8 +261,8 @@
         listed = (endpoint("i1", "a"), endpoint("i2", "b"))
         self.directory.replace(EndpointList(1, 1, listed), 0.0)
         services = [{"name": "app", "coldS": 3.0, "coldPerS": 10.0}]
-        document = standin.document(3, services=services)
-        self.table = RouteTable(decode_catalog(standin.encoded(document)))
+        document = stub_server.document(3, services=services)
+        self.table = RouteTable(decode_catalog(stub_server.encoded(document)))
 
     def cold(self, evacuations: Evacuations, before: int) -> list[str]:
         warm_up_returned(self.directory, self.table, before, evacuations, 0.0)
@@ -326,13 +326,13 @@
 class RequestTest(GatewayHarness):
     def test_requests_go_to_warm_endpoints_meanwhile(self) -> None:
         """Retries too: a gateway that is no sender never touches the cold one."""
-        cold = standin.StandIn([standin.answer()])
-        warm = standin.StandIn([standin.answer()])
+        cold = stub_server.StandIn([stub_server.answer()])
+        warm = stub_server.StandIn([stub_server.answer()])
 
         async def work() -> None:
             services = [{"name": "app", "coldS": 3.0, "coldPerS": 10.0}]
-            document = standin.document(3, services=services)
-            self.known.table = RouteTable(decode_catalog(standin.encoded(document)))
+            document = stub_server.document(3, services=services)
+            self.known.table = RouteTable(decode_catalog(stub_server.encoded(document)))
             state = self.known.directory.state("i-0")
             assert state is not None
             state.warms_up(asyncio.get_running_loop().time() * 1000.0 + 60_000.0)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -13,9 +13,9 @@
 from ashlatch.catalog import GatewayVm
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.platform.document import decode_catalog
-from tests import standin
+from tests import stub_server
 from tests.gateway import GatewayHarness, ask
-from tests.standin import Received, StandIn
+from tests.stub_server import Received, StandIn
 
 CONNECTIONS_MAX = 50
 GATEWAYS = 10
@@ -26,7 +26,7 @@
 async def slow(request: Received, writer: asyncio.StreamWriter) -> None:
     """Answer after half a second."""
     await asyncio.sleep(0.5)
-    writer.write(standin.whole(request, b"body"))
+    writer.write(stub_server.whole(request, b"body"))
 
 
 class IdleTest(GatewayHarness):
@@ -36,8 +36,8 @@
         services = [
             {"name": "app", "healthPath": "/healthz", "maxConns": CONNECTIONS_MAX}
         ]
-        document = standin.document(3, services=services)
-        self.known.table = RouteTable(decode_catalog(standin.encoded(document)))
+        document = stub_server.document(3, services=services)
+        self.known.table = RouteTable(decode_catalog(stub_server.encoded(document)))
         self.known.gateways = tuple(
             GatewayVm(f"10.0.0.{n}:70", "hall-1") for n in range(gateways)
         )
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -33,11 +33,11 @@
 from ashlatch.http.connection import HttpRequest
 from ashlatch.platform.headers import decode_ask
 from ashlatch.policy.quarantine import HOLD_MS
-from tests import standin
+from tests import stub_server
 from tests.crashing import CRASHING_BODY, CrashingEngine, CrashLog
 from tests.fleet import FRONT_PORT, READY_PORT, Fleet, wait_for
 from tests.gateway import ASK_STREAM, GatewayHarness, ask
-from tests.standin import LAST_CHUNK, Received, StandIn
+from tests.stub_server import LAST_CHUNK, Received, StandIn
 
 # The bound that the users set: three ends, and this often after them, counted from
 # when all VMs that are in touch must know.
@@ -77,7 +77,7 @@
             for engine in engines:
                 engine.stop()
 
-        self.run_gateway([StandIn([standin.answer()])], work)
+        self.run_gateway([StandIn([stub_server.answer()])], work)
         return answers
 
     def test_the_repeat_reaches_no_engine(self) -> None:
@@ -120,7 +120,7 @@
             self.assertEqual(503, (await self.call(ask("/get/1")))[0])
             self.assertEqual(200, (await self.call(ask("/get/2")))[0])
 
-        self.run_gateway([StandIn([standin.answer()])], work)
+        self.run_gateway([StandIn([stub_server.answer()])], work)
 
 
 class CutConnectionTest(GatewayHarness):
@@ -141,7 +141,7 @@
 
     def test_a_good_run_clears_a_suspect(self) -> None:
         """An endpoint ends beside it; elsewhere it runs well, and counts anew."""
-        good = StandIn([standin.answer()])
+        good = StandIn([stub_server.answer()])
 
         async def work() -> None:
             crashing = StandIn([])
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -11,7 +11,7 @@
     decode_rollout_order,
     encode_rollout_state,
 )
-from tests.standin import document, encoded, route
+from tests.stub_server import document, encoded, route
 
 
 class DocumentTest(testtools.TestCase):
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -32,7 +32,7 @@
 )
 from ashlatch.fleet.operators import NoQuorum, OperatorApi
 from ashlatch.fleet.protocol import ReadReply, SyncRequest
-from ashlatch.fleet.spread import Spread, has_news
+from ashlatch.fleet.soft_state import Spread, has_news
 from ashlatch.gateway.directory import Directory
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import VersionChooser
@@ -41,7 +41,7 @@
 from ashlatch.http.upstream import Upstream
 from ashlatch.policy.table import TableBuilder
 from ashlatch.store.command import Resource
-from tests import standin
+from tests import stub_server
 from tests.fleet import OPERATOR_PORT, READY_PORT, Fleet, wait_for
 from tests.gateway import ASK_STREAM, GatewayHarness, ask
 
@@ -265,7 +265,7 @@
 class RequestTest(GatewayHarness):
     def test_what_only_an_evacuated_hall_serves(self) -> None:
         """It is refused at once, with a time to come back, and has not run."""
-        worker = standin.StandIn([standin.answer()])
+        worker = stub_server.StandIn([stub_server.answer()])
 
         async def work() -> None:
             self.known.directory.evacuate(Evacuations(1, ("hall-1",)))
@@ -279,9 +279,9 @@
 
     def test_retries_and_resumed_streams(self) -> None:
         """A hall is evacuated while the first answer there breaks off."""
-        first = standin.StandIn([self.evacuate_and_break])
-        second = standin.StandIn([standin.stream(3)])
-        third = standin.StandIn([standin.stream(3)])
+        first = stub_server.StandIn([self.evacuate_and_break])
+        second = stub_server.StandIn([stub_server.stream(3)])
+        third = stub_server.StandIn([stub_server.stream(3)])
 
         async def work() -> None:
             self.listed([(first, "hall-1"), (second, "hall-1"), (third, "hall-2")])
@@ -293,15 +293,15 @@
         self.assertEqual([], second.seen)
 
     async def evacuate_and_break(
-        self, request: standin.Received, writer: asyncio.StreamWriter
+        self, request: stub_server.Received, writer: asyncio.StreamWriter
     ) -> None:
         self.known.directory.evacuate(Evacuations(1, ("hall-1",)))
-        writer.write(standin.head(request) + b"Transfer-Encoding: chunked\r\n\r\n")
-        writer.write(standin.chunk(standin.event(1)))
+        writer.write(stub_server.head(request) + b"Transfer-Encoding: chunked\r\n\r\n")
+        writer.write(stub_server.chunk(stub_server.event(1)))
         await writer.drain()
         writer.transport.abort()
 
-    def listed(self, workers: list[tuple[standin.StandIn, str]]) -> None:
+    def listed(self, workers: list[tuple[stub_server.StandIn, str]]) -> None:
         endpoints = tuple(
             Endpoint(f"i-{n}", "app", worker.address, hall, "v1", 8, False)
             for n, (worker, hall) in enumerate(workers)
--- a/tests/test_verdict.py
+++ b/tests/test_evaluation.py
@@ -3,7 +3,7 @@
 import testtools
 
 from ashlatch.catalog import Rollout, RolloutStage
-from ashlatch.fleet.verdict import Decision, Evidence, decide
+from ashlatch.fleet.evaluation import Decision, Evidence, decide
 from ashlatch.gateway.tally import Tallies, Tally, TallyKey, step_of
 
 
--- a/tests/test_exposure.py
+++ b/tests/test_exposure.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from ashlatch.catalog import Rollout, RolloutStage
+from ashlatch.fleet.evaluation import Evidence, decide
 from ashlatch.fleet.exposure import ExposurePlan, plan_exposure
-from ashlatch.fleet.verdict import Evidence, decide
 from ashlatch.gateway.tally import Tally, TallyKey, step_of
 
 LOOK_MS = 200.0
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,7 +11,7 @@
     RolloutStage,
 )
 from ashlatch.codec import digest, encode
-from ashlatch.fleet.founding import founders, open_member
+from ashlatch.fleet.bootstrap import founders, open_member
 from ashlatch.fleet.machine import (
     Accepted,
     BeginRollout,
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -17,7 +17,7 @@
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES, rank
 from ashlatch.policy.workload import WORK_MAX_MS, Workload
-from tests.standin import document, encoded, engine_service
+from tests.stub_server import document, encoded, engine_service
 
 ENGINES = ("i-near", "i-far", "i-farther")
 HALLS = ("here", "there", "there")
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -25,8 +25,8 @@
 from ashlatch.platform.instances import decode_page
 from ashlatch.platform.memory import decode_memory
 from ashlatch.platform.reading import JsonUnreadable
-from tests import standin
-from tests.standin import StandIn
+from tests import stub_server
+from tests.stub_server import StandIn
 
 ENTRY = {
     "id": "i-1",
@@ -167,7 +167,7 @@
         """The ids that a reader finds on these pages, and what it left out."""
 
         async def run() -> tuple[list[str], int]:
-            scripts = [standin.answer(body) for body in bodies]
+            scripts = [stub_server.answer(body) for body in bodies]
             platform = StandIn(scripts)
             await platform.start()
             reader = ListReader(platform.address)
@@ -234,13 +234,15 @@
 class DocumentTest(testtools.TestCase):
     def test_nested_deeply(self) -> None:
         self.assertRaises(DocumentError, decode_catalog, DEEP)
-        body = standin.encoded(standin.document())[:-1] + b',"more":' + DEEP + b"}"
+        body = (
+            stub_server.encoded(stub_server.document())[:-1] + b',"more":' + DEEP + b"}"
+        )
         self.assertRaises(DocumentError, decode_catalog, body)
 
     @settings(max_examples=200, deadline=None)
     @given(st.binary(max_size=50), st.integers(min_value=0, max_value=2000))
     def test_bytes_anywhere(self, noise: bytes, at: int) -> None:
-        body = standin.encoded(standin.document())
+        body = stub_server.encoded(stub_server.document())
         # The one way to say so; any other error fails the test.
         with contextlib.suppress(DocumentError):
             decode_catalog(body[:at] + noise + body[at:])
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -6,7 +6,7 @@
 
 from ashlatch.catalog import Endpoint, EndpointList, Rollout, RolloutStage
 from ashlatch.gateway.news import EndpointReplaced, SessionMoved
-from tests import standin
+from tests import stub_server
 from tests.gateway import (
     ASK_STREAM,
     ASK_STREAMS,
@@ -15,7 +15,7 @@
     ask,
     hang,
 )
-from tests.standin import LAST_CHUNK, Received, StandIn, chunk, event, head
+from tests.stub_server import LAST_CHUNK, Received, StandIn, chunk, event, head
 
 
 async def reset(request: Received, writer: asyncio.StreamWriter) -> None:
@@ -35,11 +35,13 @@
 
 async def foreign(request: Received, writer: asyncio.StreamWriter) -> None:
     request.headers["x-attempt-id"] = "another"
-    writer.write(standin.whole(request, b"not yours"))
+    writer.write(stub_server.whole(request, b"not yours"))
 
 
 async def surplus(request: Received, writer: asyncio.StreamWriter) -> None:
-    writer.write(standin.whole(request, b"body") + standin.whole(request, b"more"))
+    writer.write(
+        stub_server.whole(request, b"body") + stub_server.whole(request, b"more")
+    )
 
 
 async def unframed_reset(request: Received, writer: asyncio.StreamWriter) -> None:
@@ -51,7 +53,7 @@
 
 class GatewayTest(GatewayHarness):
     def test_headers(self) -> None:
-        worker = StandIn([standin.answer()])
+        worker = StandIn([stub_server.answer()])
         theirs = (
             "X-Tenant: other\r\nX-Kv-Hold: a\r\nX-Pin-Ms: 9\r\nKv-From: b\r\n"
             "X-Kv-Backup: c\r\nX-Request-Priority: 0\r\nX-Expect-Instance: z\r\n"
@@ -92,11 +94,11 @@
             self.assertEqual(503, status)
             self.assertIn(b"Retry-After", got)
 
-        self.run_gateway([StandIn([standin.answer()])], work)
+        self.run_gateway([StandIn([stub_server.answer()])], work)
 
     def test_repeats(self) -> None:
         broken = StandIn([reset])
-        sound = StandIn([standin.answer()])
+        sound = StandIn([stub_server.answer()])
 
         async def work() -> None:
             for _ in range(12):
@@ -118,7 +120,7 @@
         self.assertEqual(1, len(broken.seen))
 
     def test_not_run_goes_elsewhere(self) -> None:
-        full = standin.answer(b"", 503, "X-Not-Executed: 1")
+        full = stub_server.answer(b"", 503, "X-Not-Executed: 1")
         workers = [StandIn([full]) for _ in range(5)]
 
         async def work() -> None:
@@ -141,8 +143,8 @@
         self.assertTrue(4 <= sent <= 4 + int(0.9 * 4), sent)
 
     def test_foreign_answers(self) -> None:
-        worker = StandIn([foreign, standin.answer()])
-        other = StandIn([foreign, standin.answer()])
+        worker = StandIn([foreign, stub_server.answer()])
+        other = StandIn([foreign, stub_server.answer()])
 
         async def work() -> None:
             status, got = await self.call(ask("/once/1", method="POST", body=b"x"))
@@ -152,7 +154,7 @@
         self.run_gateway([worker, other], work)
 
     def test_surplus_ends_the_connection(self) -> None:
-        worker = StandIn([surplus, standin.answer(b"second")])
+        worker = StandIn([surplus, stub_server.answer(b"second")])
 
         async def work() -> None:
             self.assertEqual(200, (await self.call(ask("/get/1")))[0])
@@ -163,7 +165,7 @@
         self.assertEqual(2, worker.connections)
 
     def test_kept_connections(self) -> None:
-        worker = StandIn([standin.answer(b"body", 200, "Keep-Alive: timeout=5")])
+        worker = StandIn([stub_server.answer(b"body", 200, "Keep-Alive: timeout=5")])
 
         async def work() -> None:
             for _ in range(5):
@@ -184,7 +186,7 @@
 
     def test_stream_resumes(self) -> None:
         cut = StandIn([cut_within_event])
-        sound = StandIn([standin.stream(5)])
+        sound = StandIn([stub_server.stream(5)])
 
         async def work() -> None:
             for asked in ASK_STREAMS:
@@ -203,7 +205,7 @@
     def test_stream_begun_anew_passes_nothing_twice(self) -> None:
         async def anew(request: Received, writer: asyncio.StreamWriter) -> None:
             request.headers.pop("last-event-id", None)
-            await standin.stream(5)(request, writer)
+            await stub_server.stream(5)(request, writer)
 
         cut = StandIn([cut_within_event])
         sound = StandIn([anew])
@@ -226,8 +228,8 @@
         self.run_gateway([cut], work)
 
     def test_larger_model(self) -> None:
-        unsure = standin.stream(3, "X-Confidence: 20")
-        sure = standin.stream(3, "X-Confidence: 90")
+        unsure = stub_server.stream(3, "X-Confidence: 20")
+        sure = stub_server.stream(3, "X-Confidence: 90")
         worker = StandIn([unsure, sure])
 
         async def work() -> None:
@@ -245,7 +247,7 @@
 
         async def slow(request: Received, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.9)
-            writer.write(standin.whole(request, b"body"))
+            writer.write(stub_server.whole(request, b"body"))
 
         worker = StandIn([slow])
         other = StandIn([slow])
@@ -258,7 +260,7 @@
 
     def test_a_silent_endpoint_is_left(self) -> None:
         silent = StandIn([hang])
-        sound = StandIn([standin.answer()])
+        sound = StandIn([stub_server.answer()])
 
         async def work() -> None:
             for _ in range(6):
@@ -301,8 +303,8 @@
 
         The answer was a 503 on the code before, a promise that nothing has run.
         """
-        low = standin.stream(3, "X-Confidence: 20")
-        full = standin.answer(b"", 503, "X-Not-Executed: full")
+        low = stub_server.stream(3, "X-Confidence: 20")
+        full = stub_server.answer(b"", 503, "X-Not-Executed: full")
 
         async def by_model(request: Received, writer: asyncio.StreamWriter) -> None:
             small = request.headers["x-model"] == "small"
@@ -322,9 +324,9 @@
         It has climbed to the large model by then, so two of three attempts are
         taken, and each of the replaced engines is asked once.
         """
-        turned = standin.answer(b"", 421)
-        low = standin.stream(3, "X-Confidence: 20")
-        good = standin.stream(3, "X-Confidence: 90")
+        turned = stub_server.answer(b"", 421)
+        low = stub_server.stream(3, "X-Confidence: 20")
+        good = stub_server.stream(3, "X-Confidence: 90")
 
         async def by_model(request: Received, writer: asyncio.StreamWriter) -> None:
             small = request.headers["x-model"] == "small"
@@ -358,7 +360,7 @@
 class LoadTestSessionsTest(GatewayHarness):
     def test_other_gateways_are_told_of_moved_sessions(self) -> None:
         """The session's next request may come by another gateway."""
-        worker = StandIn([standin.stream(2, "X-Confidence: 90")])
+        worker = StandIn([stub_server.stream(2, "X-Confidence: 90")])
 
         async def work() -> None:
             told: list[object] = []
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from ashlatch.fleet.reads import READS_MAX, ReadLog
+from ashlatch.fleet.prefill_log import READS_MAX, ReadLog
 from ashlatch.gateway.kept import FRESH_MS, KEPT_MS, KeptParts, PromptRead
 from ashlatch.gateway.message import PromptPart
 
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -10,8 +10,8 @@
     RolloutStage,
     SessionMarks,
 )
+from ashlatch.fleet.evaluation import DEFAULT_PLAN
 from ashlatch.fleet.leader import RolloutKeeper
-from ashlatch.fleet.verdict import DEFAULT_PLAN
 from ashlatch.gateway.tally import Tally, TallyKey
 
 
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -26,7 +26,7 @@
 from ashlatch.gateway.news import EndpointRefuses
 from ashlatch.gateway.peers import GatewayPeers
 from tests.gateway import GatewayHarness
-from tests.standin import StandIn, answer
+from tests.stub_server import StandIn, answer
 
 FIRST = Endpoint("i-1", "app", "10.0.0.1:80", "hall-1", "v1", 8, False, 1000)
 LATER = msgspec.structs.replace(FIRST, started_unix_ms=2000)
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -14,7 +14,7 @@
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.http.upstream import CONNECT_TIMED_OUT, ConnectFailed, Upstream
 from ashlatch.platform.document import decode_catalog
-from tests import standin
+from tests import stub_server
 from tests.gateway import GatewayHarness, ask
 
 # An address at which nobody answers, nor refuses: packets to it are dropped.
@@ -22,7 +22,7 @@
 
 
 def route(target_ms: float) -> Route:
-    catalog = decode_catalog(standin.encoded(standin.document()))
+    catalog = decode_catalog(stub_server.encoded(stub_server.document()))
     return msgspec.structs.replace(catalog.routes[0], target_ms=target_ms)
 
 
@@ -35,7 +35,7 @@
 class DarkEndpointTest(GatewayHarness):
     def test_another_endpoint_answers_in_time(self) -> None:
         """The dark endpoint is in the own hall and idle: it is chosen first."""
-        worker = standin.StandIn([standin.answer()])
+        worker = stub_server.StandIn([stub_server.answer()])
         asked: list[float] = []
         connect = Upstream.connect
 
@@ -49,10 +49,10 @@
         self.patch(Upstream, "connect", connect_or_wait)
 
         async def work() -> None:
-            document = standin.document(3)
+            document = stub_server.document(3)
             for each in document["routes"]:
                 each["sloMs"] = 162
-            self.known.table = RouteTable(decode_catalog(standin.encoded(document)))
+            self.known.table = RouteTable(decode_catalog(stub_server.encoded(document)))
             endpoints = (
                 Endpoint("i-0", "app", DARK, "hall-1", "v1", 8, False),
                 Endpoint("i-1", "app", worker.address, "hall-2", "v1", 8, False),
--- a/tests/test_memories.py
+++ b/tests/test_prefix_caches.py
@@ -6,10 +6,10 @@
 import testtools
 
 from ashlatch.catalog import Endpoint
-from ashlatch.fleet.memories import PART_TOKENS_MIN, PARTS_MAX, read_memories
+from ashlatch.fleet.prefix_caches import PART_TOKENS_MIN, PARTS_MAX, read_memories
 from ashlatch.gateway.kept import PromptRead
 from tests.gateway import hang
-from tests.standin import Script, StandIn, answer
+from tests.stub_server import Script, StandIn, answer
 
 Held = list[list[object]]
 
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -11,7 +11,7 @@
 from ashlatch.catalog import CoreVm
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncRequest
-from ashlatch.fleet.spread import Spread
+from ashlatch.fleet.soft_state import Spread
 from ashlatch.gateway.pace import TOKEN_MS_PRIOR, UNTOLD_MAX, Pace
 from ashlatch.policy.reading import RATES_KEPT, ReadingRate, ReadingRates
 
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -5,16 +5,16 @@
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.platform.document import decode_catalog
-from tests import standin
+from tests import stub_server
 from tests.gateway import ASK_STREAM, GatewayHarness, ask
-from tests.standin import Received, StandIn
+from tests.stub_server import Received, StandIn
 
 REGIONS = {"hall-1": "north", "hall-2": "south", "hall-3": "west"}
 
 
 async def break_off(request: Received, writer: asyncio.StreamWriter) -> None:
-    writer.write(standin.head(request) + b"Transfer-Encoding: chunked\r\n\r\n")
-    writer.write(standin.chunk(standin.event(1)))
+    writer.write(stub_server.head(request) + b"Transfer-Encoding: chunked\r\n\r\n")
+    writer.write(stub_server.chunk(stub_server.event(1)))
     await writer.drain()
     writer.transport.abort()
 
@@ -22,16 +22,16 @@
 class RegionTest(GatewayHarness):
     def setUp(self) -> None:
         super().setUp()
-        self.workers = [StandIn([standin.answer()]) for _ in range(3)]
+        self.workers = [StandIn([stub_server.answer()]) for _ in range(3)]
 
     def bind(self, route: list[str], organisation: list[str]) -> None:
         """Endpoints in three halls of three regions; the gateway is in the first."""
-        document = standin.document(3)
+        document = stub_server.document(3)
         for each in document["routes"]:
             each["allowedRegions"] = route
         for each in document["tenants"]:
             each["allowedRegions"] = organisation
-        self.known.table = RouteTable(decode_catalog(standin.encoded(document)))
+        self.known.table = RouteTable(decode_catalog(stub_server.encoded(document)))
         self.known.regions = REGIONS
         endpoints = tuple(
             Endpoint(f"i-{n}", "app", worker.address, hall, "v1", 8, False)
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -43,10 +43,10 @@
 from ashlatch.codec import encode
 from ashlatch.explain.lines import Line, read_lines
 from ashlatch.explain.sessions import explain_moves
+from ashlatch.fleet.evaluation import Evidence, decide
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncRequest
-from ashlatch.fleet.spread import Spread
-from ashlatch.fleet.verdict import Evidence, decide
+from ashlatch.fleet.soft_state import Spread
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.hearing import HEARD, Teller
@@ -63,11 +63,11 @@
 from ashlatch.gateway.tally import Tally, TallyKey
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
-from tests import standin
+from tests import stub_server
 from tests.fleet import PORTS, READY_PORT, Fleet, wait_for
 from tests.gateway import ASK_STREAM, GatewayHarness, ask
 from tests.session_play import Load, SessionWorld
-from tests.standin import Received, StandIn
+from tests.stub_server import Received, StandIn
 
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
 OLD = Endpoint("i-1", "app", "127.0.0.1:1", "hall-1", "v1", 8, False)
@@ -187,7 +187,7 @@
         self.assertEqual("v2", chosen_version(known, "s1", 0.0))
 
     def test_an_answer_of_the_old_version_ends_after_the_move(self) -> None:
-        moved, ended = asyncio.Event(), standin.stream(2, "X-Confidence: 90")
+        moved, ended = asyncio.Event(), stub_server.stream(2, "X-Confidence: 90")
 
         async def slow(request: Received, writer: asyncio.StreamWriter) -> None:
             await moved.wait()
@@ -322,7 +322,7 @@
             # on a busy machine that is 3.4 times an answer of 1 ms, which is late.
             await asyncio.sleep(ANSWER_S)
             instance = request.headers["x-expect-instance"].encode()
-            writer.write(standin.whole(request, instance))
+            writer.write(stub_server.whole(request, instance))
 
         self.fleet = Fleet(scripts=[tell_instance])
         self.addCleanup(self.fleet.close)
--- a/tests/test_spread.py
+++ b/tests/test_soft_state.py
@@ -5,7 +5,7 @@
 from ashlatch.catalog import CoreVm, EndpointList, GatewayVm, SessionMarks
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncReply, SyncRequest, gateways_digest
-from ashlatch.fleet.spread import GATEWAYS_SETTLE_MS, TOLD_MAX, Spread
+from ashlatch.fleet.soft_state import GATEWAYS_SETTLE_MS, TOLD_MAX, Spread
 from ashlatch.gateway.kept import PromptRead
 
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -15,12 +15,12 @@
     SessionMarks,
 )
 from ashlatch.errors import TransportError
-from ashlatch.fleet.following import LeaderLink
+from ashlatch.fleet.leader_link import LeaderLink
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.peers import PeerBook
 from ashlatch.fleet.protocol import SyncReply, SyncRequest
 from ashlatch.fleet.seeds import Seeds
-from ashlatch.fleet.spread import Spread
+from ashlatch.fleet.soft_state import Spread
 from ashlatch.gateway import sync
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.knowledge import Knowledge
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -9,9 +9,9 @@
 from ashlatch.gateway.watch import SilenceWatch
 from ashlatch.http.upstream import CONNECT_TIMED_OUT, ConnectFailed, Upstream
 from ashlatch.platform.document import decode_catalog
-from tests import standin
+from tests import stub_server
 from tests.gateway import ASK_STREAM, GatewayHarness, ask, hang
-from tests.standin import StandIn
+from tests.stub_server import StandIn
 
 # Longer than any wait of these tests, so that a route's target ends none.
 TARGET_MS = 2400
@@ -57,16 +57,19 @@
 
     def took_s(self, asked: bytes, reason: str) -> tuple[int, float]:
         """Status and time of a request whose first endpoint falls silent."""
-        silent, other = StandIn([hang]), StandIn([standin.answer(), standin.stream(3)])
+        silent, other = (
+            StandIn([hang]),
+            StandIn([stub_server.answer(), stub_server.stream(3)]),
+        )
         other.scripts = [
-            standin.stream(3) if b"/stream/" in asked else other.scripts[0]
+            stub_server.stream(3) if b"/stream/" in asked else other.scripts[0]
         ]
         result: list[tuple[int, float]] = []
 
         async def work() -> None:
-            routes = standin.document()["routes"]
+            routes = stub_server.document()["routes"]
             slow = [{**r, "sloMs": TARGET_MS, "timeoutMs": 9000} for r in routes]
-            document = standin.encoded(standin.document(routes=slow))
+            document = stub_server.encoded(stub_server.document(routes=slow))
             self.known.table = RouteTable(decode_catalog(document))
             for state in self.known.directory.all():
                 # The other one seems busier, so the silent one is asked first.
