--- a/ashlatch/fleet/daemon.py
+++ b/ashlatch/fleet/daemon.py
@@ -18,12 +18,16 @@
 from collections.abc import Callable
 from pathlib import Path
 
+from ashlatch.fleet.bootstrap import open_member
+from ashlatch.fleet.command_client import Orders
+from ashlatch.fleet.leader_link import LeaderLink
+from ashlatch.fleet.prefix_caches import read_memories
+from ashlatch.fleet.soft_state import Spread, has_news
+
 from ashlatch.catalog import CoreVm, Endpoint, Rollout, Service
 from ashlatch.clock import monotonic_ms
 from ashlatch.fleet.discovery import ListReader
 from ashlatch.fleet.exposure import plan_exposure
-from ashlatch.fleet.following import LeaderLink
-from ashlatch.fleet.founding import open_member
 from ashlatch.fleet.leader import ListKeeper, RolloutKeeper
 from ashlatch.fleet.logs import (
     CrashesNoted,
@@ -37,9 +41,7 @@
 )
 from ashlatch.fleet.machine import FleetMachine, NoteCrashes
 from ashlatch.fleet.membership import join_group, silent_member
-from ashlatch.fleet.memories import read_memories
 from ashlatch.fleet.operators import NoQuorum, OperatorApi
-from ashlatch.fleet.orders import Orders
 from ashlatch.fleet.peers import PeerBook
 from ashlatch.fleet.protocol import (
     JOIN,
@@ -52,7 +54,6 @@
     SyncRequest,
 )
 from ashlatch.fleet.seeds import Seeds
-from ashlatch.fleet.spread import Spread, has_news
 from ashlatch.http.connection import HttpBounds
 from ashlatch.http.listener import HttpListener
 from ashlatch.log import emit
@@ -68,7 +69,10 @@
 from ashlatch.store.transport import Transport
 from ashlatch.suspension import watch_suspension
 
-__all__ = ["CoreDaemon"]
+__all__ = [
+    "CoreDaemon",
+]
+
 
 log = logging.getLogger("ashlatch.fleet")
 
--- a/ashlatch/fleet/following.py
+++ b/ashlatch/fleet/leader_link.py
@@ -14,19 +14,23 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from ashlatch.fleet.soft_state import Spread
+
 from ashlatch.catalog import CoreVm
 from ashlatch.errors import TransportError
 from ashlatch.fleet.logs import UrgentUntold
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.peers import PeerBook
 from ashlatch.fleet.protocol import SYNC, SyncReply, SyncRequest, gateways_digest
-from ashlatch.fleet.spread import Spread
 from ashlatch.gateway.kept import PromptRead
 from ashlatch.gateway.tally import Tally
 from ashlatch.log import emit
 from ashlatch.raft.group import Standing
 
-__all__ = ["LeaderLink"]
+__all__ = [
+    "LeaderLink",
+]
+
 
 log = logging.getLogger("ashlatch.fleet")
 
--- a/ashlatch/fleet/spread.py
+++ b/ashlatch/fleet/soft_state.py
@@ -12,17 +12,22 @@
 import asyncio
 from collections.abc import Iterable
 
+from ashlatch.fleet.prefill_log import ReadLog
+from ashlatch.policy.prefill_rate import PrefillRates
+
 from ashlatch.catalog import CoreVm, EndpointList, GatewayVm, SessionMarks
 from ashlatch.clock import monotonic_ms
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncReply, SyncRequest, gateways_digest
-from ashlatch.fleet.reads import ReadLog
 from ashlatch.gateway.kept import PromptRead
 from ashlatch.gateway.tally import Tallies
-from ashlatch.policy.prefill_rate import PrefillRates
 from ashlatch.policy.quarantine import UnloggedCrashes
 
-__all__ = ["Spread", "has_news"]
+__all__ = [
+    "Spread",
+    "has_news",
+]
+
 
 # A core VM that has not heard the leader for this long says so to gateways.
 LEADER_HEARD_MS = 1500.0
--- a/tests/engines.py
+++ b/tests/engines.py
@@ -15,6 +15,8 @@
 from dataclasses import dataclass, field
 from typing import Any, cast
 
+from tests.stub_server import document, encoded, engine_service
+
 from ashlatch.catalog import Endpoint, EndpointList, GatewayVm
 from ashlatch.codec import decode
 from ashlatch.gateway.budget import BudgetTerms
@@ -32,7 +34,6 @@
 from ashlatch.gateway.versions import AllowedEndpoints, VersionChooser, VersionReason
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
-from tests.standin import document, encoded, engine_service
 
 # How long it takes to learn that nobody listens.
 CONNECT_MS = 2.0
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -10,6 +10,7 @@
 import h11
 import msgspec
 import testtools
+from tests.stub_server import Received, StandIn, answer, chunk, event, head, stream
 
 from ashlatch.catalog import Endpoint, EndpointList, Rollout, RolloutStage
 from ashlatch.gateway.directory import EndpointState
@@ -24,7 +25,6 @@
 from tests.fleet import READY_PORT, Fleet, wait_for
 from tests.gateway import ASK_STREAM, GatewayHarness, ask
 from tests.shedding import WITHIN_BACKOFF_MAX, SheddingEndpoint
-from tests.standin import Received, StandIn, answer, chunk, event, head, stream
 
 
 class OneGatewayTest(GatewayHarness):
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -3,6 +3,7 @@
 import random
 
 import testtools
+from tests.stub_server import document, encoded, route
 
 from ashlatch.catalog import Endpoint, Rollout, RolloutStage, SessionMarks
 from ashlatch.gateway.budget import BudgetTerms, RepeatBudget
@@ -15,7 +16,6 @@
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES, Candidate
 from ashlatch.policy.rate_limit import LimitSharing
-from tests.standin import document, encoded, route
 
 
 class VersionsTest(testtools.TestCase):
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -3,6 +3,7 @@
 import random
 
 import testtools
+from tests.stub_server import document, encoded, engine_service
 
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.gateway.budget import BudgetTerms
@@ -17,7 +18,6 @@
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES, rank
 from ashlatch.policy.workload import WORK_MAX_MS, Workload
-from tests.standin import document, encoded, engine_service
 
 ENGINES = ("i-near", "i-far", "i-farther")
 HALLS = ("here", "there", "there")
