--- a/ashlatch/adapter/engine.py
+++ b/ashlatch/adapter/engine.py
@@ -28,11 +28,11 @@
 DONE = b"[DONE]"
 EVENT_END = b"\n\n"
 DATA = b"data: "
-NOT_RUN_STATUSES = frozenset({409, 429, 503})
+NOT_EXECUTED_STATUSES = frozenset({409, 429, 503})
 STREAM_TYPE = "text/event-stream"
-DEFAULT_RETRY_MS = 500.0
-REFUSED_REASON = "content_filter"
-CUT_REASON = "length"
+DEFAULT_RETRY_AFTER_MS = 500.0
+CONTENT_FILTER_REASON = "content_filter"
+LENGTH_REASON = "length"
 
 
 @dataclass(frozen=True)
@@ -72,14 +72,14 @@
         self._bounds = bounds
         self._on_chunk = on_chunk
         self._on_head = on_head
-        self._began_s = monotonic_s()
+        self._started_s = monotonic_s()
         self._first_token_ms = 0.0
-        self._rest = b""
+        self._buffer = b""
         self._events: list[bytes] = []
         self._usage: dict[str, Any] = {}
         self._done = False
-        self._foreign = False
-        self._plain: list[bytes] = []
+        self._id_mismatch = False
+        self._body_parts: list[bytes] = []
         self._streamed = False
 
     def run(self) -> AttemptResult:
@@ -89,7 +89,7 @@
         except TransportError as error:
             if not error.sent:
                 return NotSent(error.reason)
-            return Broken(error.reason, self._chunks())
+            return Broken(error.reason, self._chunk_count())
         return self._result(reply)
 
     def _call(self) -> Call:
@@ -113,33 +113,33 @@
             json.dumps(body).encode(),
             self._bounds.timeout_ms,
             self._bounds.connect_timeout_ms,
-            on_body=self._take,
-            on_status=self._begin,
+            on_body=self._handle_data,
+            on_status=self._handle_head,
             cancelled=self._bounds.cancelled,
             before_send=self._bounds.may_send,
             repeatable=attempt.request.repeatable,
         )
 
-    def _begin(self, reply: Reply) -> None:
+    def _handle_head(self, reply: Reply) -> None:
         own = reply.headers.get("x-request-id") == self._attempt.attempt_id
-        self._foreign = not own
+        self._id_mismatch = not own
         content_type = reply.headers.get("content-type", "")
         self._streamed = reply.status == 200 and content_type.startswith(STREAM_TYPE)
-        self._on_head(reply, own and reply.status not in NOT_RUN_STATUSES)
+        self._on_head(reply, own and reply.status not in NOT_EXECUTED_STATUSES)
 
-    def _take(self, data: bytes) -> None:
+    def _handle_data(self, data: bytes) -> None:
         if not self._first_token_ms:
             self._first_token_ms = self._elapsed_ms()
         if not self._streamed:
-            self._plain.append(data)
+            self._body_parts.append(data)
             return
-        self._rest += data
-        *events, self._rest = self._rest.split(EVENT_END)
+        self._buffer += data
+        *events, self._buffer = self._buffer.split(EVENT_END)
         for event in events:
-            self._take_event(event)
+            self._handle_event(event)
 
-    def _take_event(self, event: bytes) -> None:
-        if self._foreign or not event.startswith(DATA):
+    def _handle_event(self, event: bytes) -> None:
+        if self._id_mismatch or not event.startswith(DATA):
             return
         payload = event[len(DATA) :]
         if payload == DONE:
@@ -150,19 +150,19 @@
         self._events.append(event + EVENT_END)
         self._on_chunk(event + EVENT_END)
 
-    def _chunks(self) -> int:
+    def _chunk_count(self) -> int:
         return self._attempt.resume_chunks + len(self._events)
 
     def _elapsed_ms(self) -> float:
-        return (monotonic_s() - self._began_s) * 1000.0
+        return (monotonic_s() - self._started_s) * 1000.0
 
     def _result(self, reply: Reply) -> AttemptResult:
-        plain = b"".join(self._plain)
+        plain = b"".join(self._body_parts)
         if reply.status != 200:
-            return _refusal(reply, plain)
-        if self._foreign:
+            return _error_result(reply, plain)
+        if self._id_mismatch:
             reason = "the answer is of another request"
-            return Broken(reason, self._chunks(), replied=True)
+            return Broken(reason, self._chunk_count(), replied=True)
         if self._streamed:
             return self._stream_result(reply)
         try:
@@ -175,7 +175,7 @@
 
     def _stream_result(self, reply: Reply) -> AttemptResult:
         if not self._done or not self._usage:
-            return Broken("the stream ended early", self._chunks())
+            return Broken("the stream ended early", self._chunk_count())
         body = b"".join(self._events) + DATA + DONE + EVENT_END
         return self._answered(reply, body, self._usage)
 
@@ -192,20 +192,20 @@
 
     def _is_poor(self, reasons: set[str], usage: dict[str, Any]) -> bool:
         """Refused by the model, or cut short before the caller's own bound."""
-        if REFUSED_REASON in reasons:
+        if CONTENT_FILTER_REASON in reasons:
             return True
         bound = self._attempt.request.output_tokens_max
-        return CUT_REASON in reasons and int(usage["completion_tokens"]) < bound
+        return LENGTH_REASON in reasons and int(usage["completion_tokens"]) < bound
 
 
-def _refusal(reply: Reply, body: bytes) -> AttemptResult:
+def _error_result(reply: Reply, body: bytes) -> AttemptResult:
     """An engine that says `not_run` has run nothing; else it is not known."""
     try:
         error = json.loads(body).get("error", {})
     except (ValueError, AttributeError):
         error = {}
     reason = str(error.get("type", f"status {reply.status}"))
-    if reply.status in NOT_RUN_STATUSES and error.get("not_run") is True:
-        retry_ms = float(error.get("retry_after_ms", DEFAULT_RETRY_MS))
+    if reply.status in NOT_EXECUTED_STATUSES and error.get("not_run") is True:
+        retry_ms = float(error.get("retry_after_ms", DEFAULT_RETRY_AFTER_MS))
         return Full(reason, retry_ms, leaving=reason == "leaving")
     return Broken(reason, replied=True)
--- a/ashlatch/adapter/liveness.py
+++ b/ashlatch/adapter/liveness.py
@@ -12,32 +12,32 @@
 import time
 from urllib.parse import urlsplit
 
-__all__ = ["has_ended"]
+__all__ = ["refuses_connections"]
 
 # A refusal comes within a round trip; an attempt that may go elsewhere waits no longer.
 PROBE_TIMEOUT_S = 0.1
 # A process that ends closes its connections one after the other, the listening socket
 # perhaps last: who still gets a connection asks again after this.
-AGAIN_S = 0.02
+RECHECK_DELAY_S = 0.02
 DEFAULT_PORT = 80
 
 
-def has_ended(url: str) -> bool:
+def refuses_connections(url: str) -> bool:
     """Whether nobody listens at an endpoint's address.
 
     False as well when that is not known: its VM is silent, or there is no way to it.
     """
     address = urlsplit(url)
     at = (address.hostname or "", address.port or DEFAULT_PORT)
-    if _refuses(at):
+    if _connection_refused(at):
         return True
-    time.sleep(AGAIN_S)
-    return _refuses(at)
+    time.sleep(RECHECK_DELAY_S)
+    return _connection_refused(at)
 
 
-def _refuses(at: tuple[str, int]) -> bool:
+def _connection_refused(address: tuple[str, int]) -> bool:
     try:
-        socket.create_connection(at, PROBE_TIMEOUT_S).close()
+        socket.create_connection(address, PROBE_TIMEOUT_S).close()
     except ConnectionRefusedError:
         return True
     except OSError:
--- a/ashlatch/adapter/placement.py
+++ b/ashlatch/adapter/placement.py
@@ -15,9 +15,9 @@
 from ashlatch.errors import TransportError
 from ashlatch.http.client import Call, fetch
 
-__all__ = ["send_order", "weights_free"]
+__all__ = ["send_order", "may_fetch_weights"]
 
-DONE_STATUSES = frozenset({200, 202})
+ACCEPTED_STATUSES = frozenset({200, 202})
 
 
 def send_order(order: Order, timeout_ms: float) -> bool:
@@ -36,12 +36,12 @@
         timeout_ms,
     )
     try:
-        return fetch(call).status in DONE_STATUSES
+        return fetch(call).status in ACCEPTED_STATUSES
     except TransportError:
         return False
 
 
-def weights_free(store_url: str, version: str, timeout_ms: float) -> bool:
+def may_fetch_weights(store_url: str, version: str, timeout_ms: float) -> bool:
     """Whether the weight store lets the version be fetched now."""
     if not store_url:
         return True
--- a/ashlatch/adapter/rating.py
+++ b/ashlatch/adapter/rating.py
@@ -17,7 +17,7 @@
 from ashlatch.errors import AshlatchError, TransportError
 from ashlatch.http.client import Call, fetch
 
-__all__ = ["RatingService", "RatingUnreadable", "ReadRating"]
+__all__ = ["RatingService", "RatingUnreadable", "RatingRecord"]
 
 TIMEOUT_MS = 2000.0
 
@@ -30,7 +30,7 @@
     reason: str
 
 
-class ReadRating(BaseModel):
+class RatingRecord(BaseModel):
     """One rating (0 to 1) of one answer; `number` counts all ratings."""
 
     number: int
@@ -41,7 +41,7 @@
 
 
 class _Ratings(BaseModel):
-    ratings: tuple[ReadRating, ...]
+    ratings: tuple[RatingRecord, ...]
 
 
 class RatingService:
@@ -71,7 +71,7 @@
         except TransportError as error:
             raise RatingUnreadable(self._url, error.reason) from error
 
-    def read(self) -> tuple[ReadRating, ...]:
+    def read(self) -> tuple[RatingRecord, ...]:
         """The ratings since the last call; the first call skips old ones."""
         url = f"{self._url}/v1/ratings?after={self._after}"
         try:
--- a/ashlatch/adapter/service.py
+++ b/ashlatch/adapter/service.py
@@ -23,7 +23,7 @@
 
 __all__ = ["call_service"]
 
-DEFAULT_RETRY_MS = 500.0
+DEFAULT_RETRY_AFTER_MS = 500.0
 REFUSED_STATUS = 503
 
 
@@ -69,7 +69,7 @@
     attempt: StartAttempt, reply: Reply, price_microusd: int, took_ms: float
 ) -> AttemptResult:
     if reply.status >= 500:
-        return _failure(reply)
+        return _error_result(reply)
     if reply.headers.get("x-request-id") != attempt.attempt_id:
         return Broken("the answer is of another request")
     content_type = reply.headers.get("content-type", "application/octet-stream")
@@ -77,11 +77,11 @@
     return Answered(answer, Usage(0, 0, price_microusd), took_ms, took_ms)
 
 
-def _failure(reply: Reply) -> AttemptResult:
+def _error_result(reply: Reply) -> AttemptResult:
     try:
         not_run = json.loads(reply.body).get("not_run") is True
     except (ValueError, AttributeError):
         not_run = False
     if reply.status == REFUSED_STATUS and not_run:
-        return Full("refused", DEFAULT_RETRY_MS)
+        return Full("refused", DEFAULT_RETRY_AFTER_MS)
     return Broken(f"status {reply.status}")
--- a/ashlatch/catalog.py
+++ b/ashlatch/catalog.py
@@ -26,7 +26,7 @@
     "GatewayVm",
     "ModelPrice",
     "Organisation",
-    "Repeat",
+    "RepeatPolicy",
     "Rollout",
     "RolloutStage",
     "Route",
@@ -36,7 +36,7 @@
 ]
 
 
-class Repeat(enum.Enum):
+class RepeatPolicy(enum.Enum):
     """What may be done with a request whose fate is unknown.
 
     `FREELY`: it may run any number of times. `NEVER`: once at most.
@@ -70,7 +70,7 @@
     name: str
     host: str
     path_prefix: str
-    repeat: Repeat
+    repeat: RepeatPolicy
     streams: bool
     held_max_ms: float
     target_ms: float
@@ -164,7 +164,7 @@
     started_unix_ms: int = 0
     cold_left_ms: float = 0.0
 
-    def begins_after(self, other: "Endpoint") -> bool:
+    def is_later_incarnation_of(self, other: "Endpoint") -> bool:
         """Whether this is a later life of an endpoint, as far as that is told."""
         told = self.started_unix_ms > 0 and other.started_unix_ms > 0
         return told and self.started_unix_ms > other.started_unix_ms
--- a/ashlatch/control/daemon.py
+++ b/ashlatch/control/daemon.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from typing import ClassVar
 
-from ashlatch.adapter.placement import send_order, weights_free
+from ashlatch.adapter.placement import may_fetch_weights, send_order
 from ashlatch.adapter.platform import PlatformUnreadable, read_pool, read_vms
 from ashlatch.adapter.rating import RatingService, RatingUnreadable
 from ashlatch.client import StateClient
@@ -135,7 +135,7 @@
     def send(self, order: Order) -> None:
         """Send an order on this thread, if the lease still holds."""
         done = False
-        free = order.kind is OrderKind.UNLOAD or weights_free(
+        free = order.kind is OrderKind.UNLOAD or may_fetch_weights(
             self.settings.weight_store_url, order.version, ORDER_TIMEOUT_MS
         )
         if free and self.core.active(monotonic_ms()):
--- a/ashlatch/fleet/bootstrap.py
+++ b/ashlatch/fleet/bootstrap.py
@@ -17,14 +17,14 @@
 from ashlatch.raft.message import Member, Members
 from ashlatch.raft.storage import GroupStorage, create_identity, read_identity
 
-__all__ = ["founders", "open_member"]
+__all__ = ["bootstrap_members", "open_member"]
 
 GROUP_FOLDER = "group-0"
 
 
-def founders(addresses: tuple[str, ...]) -> Members:
+def bootstrap_members(addresses: tuple[str, ...]) -> Members:
     """The first voters of a group, equal wherever they are computed."""
-    return Members(tuple(_founder(address) for address in sorted(addresses)))
+    return Members(tuple(_bootstrap_member(address) for address in sorted(addresses)))
 
 
 def open_member(
@@ -38,12 +38,12 @@
     storage = GroupStorage(folder / GROUP_FOLDER)
     founds = identity is None and first_start and address in seeds
     if identity is None:
-        member_id = _founder(address).member_id if founds else ""
+        member_id = _bootstrap_member(address).member_id if founds else ""
         identity = create_identity(folder, address, member_id=member_id)
     if not storage.folder.exists():
-        storage.create(founders(seeds) if founds else Members())
+        storage.create(bootstrap_members(seeds) if founds else Members())
     return Member(identity.member_id, address, address), storage
 
 
-def _founder(address: str) -> Member:
+def _bootstrap_member(address: str) -> Member:
     return Member(f"founder.{address}", address, address)
--- a/ashlatch/fleet/command_client.py
+++ b/ashlatch/fleet/command_client.py
@@ -17,31 +17,31 @@
 from ashlatch.codec import encode
 from ashlatch.errors import TransportError
 from ashlatch.fleet.machine import Command, FleetMachine, Outcome
-from ashlatch.fleet.membership import enough_voters
+from ashlatch.fleet.membership import has_enough_voters
 from ashlatch.fleet.operators import NoQuorum
-from ashlatch.fleet.peers import PeerBook
+from ashlatch.fleet.peers import PeerConnections
 from ashlatch.fleet.protocol import (
-    ORDER,
+    COMMAND,
     READ,
-    OrderReply,
-    OrderRequest,
+    CommandReply,
+    CommandRequest,
     ReadReply,
     ReadRequest,
 )
 from ashlatch.raft.group import Group, NotLeading
 
-__all__ = ["Orders"]
+__all__ = ["CommandClient"]
 
 # How long an order or a read waits for the leader's answer; an operator moves
 # on to another VM after a second without one.
-ORDER_TIMEOUT_S = 0.9
+COMMAND_TIMEOUT_S = 0.9
 # How long an order waits for a leader to be elected.
 LEADER_WAIT_S = 0.7
-LEADER_LOOK_S = 0.05
+LEADER_POLL_S = 0.05
 
 
 @dataclass
-class Orders:
+class CommandClient:
     """Commits and reads of one core VM.
 
     `group` and `machine` are asked anew each time: both are others after a disk
@@ -49,18 +49,18 @@
     """
 
     losses_max: int
-    book: PeerBook
+    peers: PeerConnections
     group: Callable[[], Group]
     machine: Callable[[], FleetMachine]
 
     async def commit(self, command: Command) -> Outcome:
         """Have the leader commit a command; raises `NoQuorum`."""
-        leader = await self._leader()
-        if self.group().standing.leading:
-            return await self.commit_here(command)
+        leader = await self._wait_for_leader()
+        if self.group().status.leading:
+            return await self.commit_local(command)
         try:
-            reply: OrderReply = await self.book.peer(leader).call(
-                ORDER, OrderRequest(command), ORDER_TIMEOUT_S
+            reply: CommandReply = await self.peers.peer(leader).call(
+                COMMAND, CommandRequest(command), COMMAND_TIMEOUT_S
             )
         except TransportError as error:
             raise NoQuorum(f"leader {leader}: {error.reason}") from error
@@ -70,13 +70,13 @@
 
     async def read(self) -> ReadReply:
         """The newest state, by the leader's word; raises `NoQuorum`."""
-        leader = await self._leader()
-        if self.group().standing.leading:
-            reply = self._read_here()
+        leader = await self._wait_for_leader()
+        if self.group().status.leading:
+            reply = self._read_local()
         else:
             try:
-                reply = await self.book.peer(leader).call(
-                    READ, ReadRequest(), ORDER_TIMEOUT_S
+                reply = await self.peers.peer(leader).call(
+                    READ, ReadRequest(), COMMAND_TIMEOUT_S
                 )
             except TransportError as error:
                 raise NoQuorum(f"leader {leader}: {error.reason}") from error
@@ -84,14 +84,14 @@
             raise NoQuorum("no leader with a lease")
         return reply
 
-    async def commit_here(self, command: Command) -> Outcome:
+    async def commit_local(self, command: Command) -> Outcome:
         """Commit a command as the leader; raises `NoQuorum`."""
-        standing = self.group().standing
+        standing = self.group().status
         leading_ms = monotonic_ms() - standing.leading_since_ms
-        if not enough_voters(standing, self.losses_max, leading_ms):
+        if not has_enough_voters(standing, self.losses_max, leading_ms):
             raise NoQuorum(f"{len(standing.members.voters)} voters are too few")
         try:
-            async with asyncio.timeout(ORDER_TIMEOUT_S):
+            async with asyncio.timeout(COMMAND_TIMEOUT_S):
                 outcome: Outcome = await asyncio.wrap_future(
                     self.group().propose(encode(command))
                 )
@@ -103,23 +103,23 @@
 
     # Calls from other core VMs.
 
-    async def take_order(self, request: OrderRequest) -> OrderReply:
+    async def handle_command(self, request: CommandRequest) -> CommandReply:
         """Commit what another core VM was told to."""
-        if not self.group().standing.leading:
-            return OrderReply(None)
+        if not self.group().status.leading:
+            return CommandReply(None)
         try:
-            return OrderReply(await self.commit_here(request.command))
+            return CommandReply(await self.commit_local(request.command))
         except NoQuorum:
             # The caller logs it, with the operator's call that it ends.
-            return OrderReply(None)
+            return CommandReply(None)
 
-    async def take_read(self, request: ReadRequest) -> ReadReply:
+    async def handle_read(self, request: ReadRequest) -> ReadReply:
         """Tell another core VM the newest state."""
-        return self._read_here()
+        return self._read_local()
 
-    def _read_here(self) -> ReadReply:
+    def _read_local(self) -> ReadReply:
         group = self.group()
-        if not group.standing.may_read(monotonic_ms()):
+        if not group.status.may_read(monotonic_ms()):
             return ReadReply(False)
         with group.lock:
             state = self.machine().state
@@ -128,12 +128,12 @@
                 True, state.version, state.document, rollouts, state.evacuations
             )
 
-    async def _leader(self) -> str:
+    async def _wait_for_leader(self) -> str:
         """The leader's address, after a short wait if there is none."""
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + LEADER_WAIT_S
-        while not self.group().standing.leader_address:
+        while not self.group().status.leader_address:
             if loop.time() > ends_s:
                 raise NoQuorum("no leader is known")
-            await asyncio.sleep(LEADER_LOOK_S)
-        return self.group().standing.leader_address
+            await asyncio.sleep(LEADER_POLL_S)
+        return self.group().status.leader_address
--- a/ashlatch/fleet/daemon.py
+++ b/ashlatch/fleet/daemon.py
@@ -21,29 +21,29 @@
 from ashlatch.catalog import CoreVm, Endpoint, Rollout, Service
 from ashlatch.clock import monotonic_ms
 from ashlatch.fleet.bootstrap import open_member
-from ashlatch.fleet.command_client import Orders
+from ashlatch.fleet.command_client import CommandClient
 from ashlatch.fleet.discovery import ListReader
 from ashlatch.fleet.exposure import plan_exposure
-from ashlatch.fleet.leader import ListKeeper, RolloutKeeper
+from ashlatch.fleet.leader import ListPoller, RolloutController
 from ashlatch.fleet.leader_link import LeaderLink
 from ashlatch.fleet.logs import (
-    CrashesNoted,
-    CrashesUnnoted,
-    DiskLost,
-    DiskRefused,
-    DiskRegained,
+    CrashesCommitted,
+    CrashesNotCommitted,
+    DiskReopened,
+    DiskReopenFailed,
+    DiskWriteFailed,
+    GroupStatusChanged,
     MemberRemoved,
-    MoveLost,
-    StandingChanged,
+    RolloutUpdateLost,
 )
-from ashlatch.fleet.machine import FleetMachine, NoteCrashes
-from ashlatch.fleet.membership import join_group, silent_member
+from ashlatch.fleet.machine import FleetMachine, RecordCrashes
+from ashlatch.fleet.membership import find_unresponsive_member, join_group
 from ashlatch.fleet.operators import NoQuorum, OperatorApi
-from ashlatch.fleet.peers import PeerBook
-from ashlatch.fleet.prefix_caches import read_memories
+from ashlatch.fleet.peers import PeerConnections
+from ashlatch.fleet.prefix_caches import read_prefix_caches
 from ashlatch.fleet.protocol import (
+    COMMAND,
     JOIN,
-    ORDER,
     READ,
     SYNC,
     JoinReply,
@@ -52,7 +52,7 @@
     SyncRequest,
 )
 from ashlatch.fleet.seeds import Seeds
-from ashlatch.fleet.soft_state import Spread, has_news
+from ashlatch.fleet.soft_state import SoftState, has_updates
 from ashlatch.http.connection import HttpBounds
 from ashlatch.http.listener import HttpListener
 from ashlatch.log import emit
@@ -60,7 +60,7 @@
 from ashlatch.platform.document import decode_catalog
 from ashlatch.raft.core import RaftConfig
 from ashlatch.raft.effect import AddLearner, Received, RemoveMember
-from ashlatch.raft.group import Group, Standing
+from ashlatch.raft.group import Group, GroupStatus
 from ashlatch.raft.storage import Disk, DiskFailed
 from ashlatch.rpc import Address, RpcLoop, RpcService, watch_traffic
 from ashlatch.settings import CoreSettings
@@ -73,12 +73,12 @@
 log = logging.getLogger("ashlatch.fleet")
 
 # How often the leader looks at what is due.
-LEAD_EVERY_S = 0.2
+LEADER_INTERVAL_S = 0.2
 # How often a data folder is opened again after its disk has refused a write.
-REOPEN_EVERY_S = 0.5
+REOPEN_INTERVAL_S = 0.5
 # The longest document that is taken from an operator.
 DOCUMENT_MAX_BYTES = 16 * 1024 * 1024
-OPERATOR_IDLE_S = 60.0
+OPERATOR_IDLE_TIMEOUT_S = 60.0
 
 
 class CoreDaemon:
@@ -90,45 +90,47 @@
         self,
         settings: CoreSettings,
         failed: Callable[[BaseException], None],
-        reread: Callable[[], CoreSettings],
+        read_settings: Callable[[], CoreSettings],
     ) -> None:
         self.settings = settings
-        self._seeds = Seeds(settings, reread)
+        self._seeds = Seeds(settings, read_settings)
         self.rpc = RpcLoop()
         self.metrics = Metrics()
         self._failed = failed
-        self._open()
+        self._open_group()
         self._transport = Transport(
             self.rpc, self.member, lambda message: self.group.post(Received(message))
         )
         self.group.deliver = self._transport.send
-        self._book = PeerBook()
-        self._orders = Orders(
-            settings.losses_max, self._book, lambda: self.group, lambda: self.machine
+        self._peers = PeerConnections()
+        self._commands = CommandClient(
+            settings.losses_max, self._peers, lambda: self.group, lambda: self.machine
         )
         exposure = settings.exposure
-        self._rollouts = RolloutKeeper(plan_exposure(exposure.share, exposure.extra))
-        self._list = ListKeeper(
+        self._rollout_controller = RolloutController(
+            plan_exposure(exposure.share, exposure.extra)
+        )
+        self._list_poller = ListPoller(
             ListReader(settings.list_address), settings.list_read_ms
         )
         own = CoreVm(settings.rpc_address, settings.hall)
-        self._spread = Spread(own)
+        self._soft_state = SoftState(own)
         self._leader_link = LeaderLink(
             settings.vm,
             own,
             settings.sync_wait_ms,
-            self._spread,
-            self._book,
-            self._standing,
+            self._soft_state,
+            self._peers,
+            self._group_status,
             lambda: self.machine.state,
         )
-        self._logged: tuple[object, ...] = ()
-        self._lead_soon = asyncio.Event()
-        self._memories_term = 0
+        self._logged_status: tuple[object, ...] = ()
+        self._leader_wakeup = asyncio.Event()
+        self._prefix_caches_term = 0
         self._services_version = 0
-        self._services_known: tuple[Service, ...] = ()
+        self._services_cache: tuple[Service, ...] = ()
 
-    def _open(self) -> None:
+    def _open_group(self) -> None:
         """Open the data folder; raises `OSError` or `DiskFailed`."""
         settings = self.settings
         self.member, storage = open_member(
@@ -151,41 +153,41 @@
             self.machine,
             settings.snapshot_every_records,
         )
-        self.group.changed = lambda: self.rpc.post(self._wake)
-        self.group.failed = self._group_failed
+        self.group.changed = lambda: self.rpc.post(self._on_group_changed)
+        self.group.failed = self._on_group_failed
 
-    def _group_failed(self, error: BaseException) -> None:
+    def _on_group_failed(self, error: BaseException) -> None:
         """Called on the group's thread when it can go on no more."""
         if isinstance(error, DiskFailed | OSError):
-            self.rpc.keep(self._reopen(error), self._failed)
+            self.rpc.keep(self._reopen_group(error), self._failed)
         else:
             self._failed(error)
 
-    async def _reopen(self, error: BaseException) -> None:
+    async def _reopen_group(self, error: BaseException) -> None:
         """After the disk refused a write, begin again with what it holds.
 
         The rest of the process serves on meanwhile. What was not synced was
         promised to nobody.
         """
-        emit(log, DiskLost(self.member.member_id, str(error)), logging.ERROR)
+        emit(log, DiskWriteFailed(self.member.member_id, str(error)), logging.ERROR)
         self.metrics.count("disk_lost")
         begun_ms = monotonic_ms()
         folder = Path(self.settings.data_folder)
         while True:
-            await asyncio.sleep(REOPEN_EVERY_S)
+            await asyncio.sleep(REOPEN_INTERVAL_S)
             try:
                 # On a thread of its own, as the disk may hang.
                 await asyncio.to_thread(Disk().probe, folder)
-                self._open()
+                self._open_group()
             except (OSError, DiskFailed) as again:
                 self.metrics.count("disk_refused")
-                refused = DiskRefused(self.member.member_id, str(again))
+                refused = DiskReopenFailed(self.member.member_id, str(again))
                 emit(log, refused, logging.DEBUG)
                 continue
             self.group.deliver = self._transport.send
             self.group.start()
             away_ms = int(monotonic_ms() - begun_ms)
-            emit(log, DiskRegained(self.member.member_id, away_ms))
+            emit(log, DiskReopened(self.member.member_id, away_ms))
             self.metrics.count("disk_regained")
             return
 
@@ -208,36 +210,36 @@
     async def _start(self) -> None:
         service = RpcService()
         service.add(store_protocol.DELIVER, self._transport.take)
-        service.add(SYNC, self._sync)
-        service.add(JOIN, self._join)
-        service.add(ORDER, self._orders.take_order)
-        service.add(READ, self._orders.take_read)
+        service.add(SYNC, self._handle_sync)
+        service.add(JOIN, self._handle_join)
+        service.add(COMMAND, self._commands.handle_command)
+        service.add(READ, self._commands.handle_read)
         self._service = service
         await service.start(Address.parse(self.settings.rpc_address))
         bounds = HttpBounds(
-            body_max_bytes=DOCUMENT_MAX_BYTES, idle_timeout_s=OPERATOR_IDLE_S
+            body_max_bytes=DOCUMENT_MAX_BYTES, idle_timeout_s=OPERATOR_IDLE_TIMEOUT_S
         )
         self._operators = HttpListener(
-            OperatorApi(self._orders, frozenset(self.settings.halls)).handle, bounds
+            OperatorApi(self._commands, frozenset(self.settings.halls)).handle, bounds
         )
         self._operators.failed = self._failed
         listen = Address.parse(self.settings.listen)
         await self._operators.start(listen.host, listen.port)
         watch_traffic(self.metrics)
-        reader = self._list.reader
+        reader = self._list_poller.reader
         self.metrics.watch("list_entries_left_out", lambda: reader.left_out_total)
         await serve_metrics(
             self.metrics, self.settings.host, self.settings.metrics_port
         )
         join = join_group(
-            self.member, self._standing, self._known_addresses, self._book
+            self.member, self._group_status, self._join_addresses, self._peers
         )
         link = self._leader_link
         works = (
             join,
-            self._lead(),
-            link.follow(),
-            link.pass_on(),
+            self._run_leader(),
+            link.sync_with_leader(),
+            link.send_urgent_reports(),
             watch_suspension(),
         )
         for work in works:
@@ -248,109 +250,113 @@
         self._operators.abort()
         await self._service.stop()
 
-    def _standing(self) -> Standing:
-        return self.group.standing
+    def _group_status(self) -> GroupStatus:
+        return self.group.status
 
     # Calls from other processes.
 
-    async def _join(self, request: JoinRequest) -> JoinReply:
-        standing = self.group.standing
+    async def _handle_join(self, request: JoinRequest) -> JoinReply:
+        standing = self.group.status
         known = standing.members.find(request.member.member_id) is not None
         if standing.leading and not known:
             self.group.post(AddLearner(request.member))
         return JoinReply(known and standing.leading, standing.leader_address)
 
-    async def _sync(self, request: SyncRequest) -> SyncReply:
-        self._spread.asked(request)
+    async def _handle_sync(self, request: SyncRequest) -> SyncReply:
+        self._soft_state.apply_request(request)
         if request.crashes:
-            self._lead_soon.set()
+            self._leader_wakeup.set()
         ends_ms = monotonic_ms() + request.wait_ms
         while True:
-            reply = self._news(request)
+            reply = self._sync_reply(request)
             wait_ms = ends_ms - monotonic_ms()
-            if not reply.current or has_news(reply) or wait_ms <= 0:
+            if not reply.current or has_updates(reply) or wait_ms <= 0:
                 return reply
-            await self._spread.wait_change(wait_ms)
+            await self._soft_state.wait_change(wait_ms)
 
-    def _news(self, request: SyncRequest) -> SyncReply:
-        leads = self.group.standing.may_read(monotonic_ms())
-        current = leads or self._spread.hears_leader
-        members = self._spread.core_vms(self._core_addresses())
+    def _sync_reply(self, request: SyncRequest) -> SyncReply:
+        leads = self.group.status.may_read(monotonic_ms())
+        current = leads or self._soft_state.leader_reachable
+        members = self._soft_state.core_vms(self._member_addresses())
         with self.group.lock:
-            return self._spread.reply(request, current, members, self.machine.state)
+            return self._soft_state.build_reply(
+                request, current, members, self.machine.state
+            )
 
     # Leading.
 
-    async def _lead(self) -> None:
+    async def _run_leader(self) -> None:
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(LEAD_EVERY_S):
-                    await self._lead_soon.wait()
-            self._lead_soon.clear()
-            if not self.group.standing.may_read(monotonic_ms()):
-                self._rollouts.forget()
+                async with asyncio.timeout(LEADER_INTERVAL_S):
+                    await self._leader_wakeup.wait()
+            self._leader_wakeup.clear()
+            if not self.group.status.may_read(monotonic_ms()):
+                self._rollout_controller.clear_evidence()
                 continue
-            await self._lead_once()
+            await self._run_leader_once()
 
-    async def _lead_once(self) -> None:
+    async def _run_leader_once(self) -> None:
         now_ms = monotonic_ms()
-        standing = self.group.standing
-        self._remove_silent(standing, now_ms)
-        await self._list.read_if_due(standing.term, now_ms)
-        listed = self._list
-        self._spread.lead(
-            standing.term, listed.newest, listed.read_ms, listed.newest_ms
+        standing = self.group.status
+        self._remove_unresponsive(standing, now_ms)
+        await self._list_poller.read_if_due(standing.term, now_ms)
+        listed = self._list_poller
+        self._soft_state.apply_leader_state(
+            standing.term, listed.newest, listed.read_ms, listed.newest_since_ms
         )
-        self._read_memories_once(standing.term)
-        await self._note_crashes()
-        self._rollouts.add(self._spread.tallies.take(), now_ms)
-        self._rollouts.tell_sessions(self._spread.sessions())
-        rollouts = self._known_rollouts()
+        self._start_reading_prefix_caches(standing.term)
+        await self._commit_crashes()
+        self._rollout_controller.add_tallies(self._soft_state.tallies.take(), now_ms)
+        self._rollout_controller.set_sessions(self._soft_state.recent_sessions())
+        rollouts = self._current_rollouts()
         plain = self._plain_services() if rollouts else frozenset()
-        for move in self._rollouts.moves(
+        for move in self._rollout_controller.due_updates(
             rollouts,
-            self._spread.endpoints,
+            self._soft_state.endpoints,
             monotonic_ms(),
             plain,
-            self._spread.endpoints_age_ms,
+            self._soft_state.endpoints_age_ms,
         ):
             try:
-                await self._orders.commit_here(move)
+                await self._commands.commit_local(move)
             except NoQuorum as error:
-                emit(log, MoveLost(move.service, error.detail), logging.WARNING)
+                emit(
+                    log, RolloutUpdateLost(move.service, error.detail), logging.WARNING
+                )
 
-    async def _note_crashes(self) -> None:
+    async def _commit_crashes(self) -> None:
         """Commit what gateways have told of requests that crash endpoints."""
         with self.group.lock:
-            records = self._spread.crashes.unknown_to(self.machine.state.crashes)
+            records = self._soft_state.crashes.unknown_to(self.machine.state.crashes)
         if not records:
             return
         try:
-            await self._orders.commit_here(NoteCrashes(records))
+            await self._commands.commit_local(RecordCrashes(records))
         except NoQuorum as error:
             # They are told again with the next look.
-            emit(log, CrashesUnnoted(len(records), error.detail), logging.WARNING)
+            emit(log, CrashesNotCommitted(len(records), error.detail), logging.WARNING)
             return
-        emit(log, CrashesNoted(len(records), self.machine.state.crashes.number))
+        emit(log, CrashesCommitted(len(records), self.machine.state.crashes.number))
 
-    def _read_memories_once(self, term: int) -> None:
+    def _start_reading_prefix_caches(self, term: int) -> None:
         """Ask the engines what they keep, once as a new leader."""
-        if term == self._memories_term:
+        if term == self._prefix_caches_term:
             return
         engines = self._engines()
         if engines:
-            self._memories_term = term
-            self.rpc.keep(self._read_memories(engines), self._failed)
+            self._prefix_caches_term = term
+            self.rpc.keep(self._read_prefix_caches(engines), self._failed)
 
-    async def _read_memories(self, engines: tuple[Endpoint, ...]) -> None:
-        self._spread.tell_reads(await read_memories(engines))
+    async def _read_prefix_caches(self, engines: tuple[Endpoint, ...]) -> None:
+        self._soft_state.add_prefills(await read_prefix_caches(engines))
 
     def _engines(self) -> tuple[Endpoint, ...]:
         """The listed endpoints that are model engines."""
         services = {s.name for s in self._services() if s.engine is not None}
         with self.group.lock:
             evacuated = self.machine.state.evacuations.halls
-        listed = self._list.newest.endpoints
+        listed = self._list_poller.newest.endpoints
         asked = (e for e in listed if e.hall not in evacuated)
         return tuple(e for e in asked if e.service in services)
 
@@ -362,12 +368,12 @@
         with self.group.lock:
             version, document = self.machine.state.version, self.machine.state.document
         if document and version != self._services_version:
-            self._services_known = decode_catalog(zlib.decompress(document)).services
+            self._services_cache = decode_catalog(zlib.decompress(document)).services
             self._services_version = version
-        return self._services_known
+        return self._services_cache
 
-    def _remove_silent(self, standing: Standing, now_ms: float) -> None:
-        found = silent_member(standing, self.settings.losses_max, now_ms)
+    def _remove_unresponsive(self, standing: GroupStatus, now_ms: float) -> None:
+        found = find_unresponsive_member(standing, self.settings.losses_max, now_ms)
         if found is not None:
             member, silent_ms = found
             emit(log, MemberRemoved(member.member_id, int(silent_ms)))
@@ -375,31 +381,31 @@
 
     # What this VM knows of others.
 
-    def _known_rollouts(self) -> tuple[Rollout, ...]:
+    def _current_rollouts(self) -> tuple[Rollout, ...]:
         with self.group.lock:
             return tuple(self.machine.state.rollouts.values())
 
-    def _core_addresses(self) -> tuple[str, ...]:
-        return tuple(m.address for m in self.group.standing.members.everyone())
+    def _member_addresses(self) -> tuple[str, ...]:
+        return tuple(m.address for m in self.group.status.members.everyone())
 
-    def _known_addresses(self) -> tuple[str, ...]:
+    def _join_addresses(self) -> tuple[str, ...]:
         """Who may know the leader: the members, and the seeds."""
-        known = (*self._core_addresses(), *self._seeds.addresses)
+        known = (*self._member_addresses(), *self._seeds.addresses)
         return tuple(dict.fromkeys(known))
 
-    def _wake(self) -> None:
+    def _on_group_changed(self) -> None:
         """Something was applied, listed, or decided by vote: answer who waits."""
-        self._spread.wake()
-        self._rollouts.observe(self._known_rollouts(), monotonic_ms())
-        standing = self.group.standing
+        self._soft_state.notify_changed()
+        self._rollout_controller.observe(self._current_rollouts(), monotonic_ms())
+        standing = self.group.status
         members = standing.members
         news = (standing.term, standing.leader_address, members)
-        if news == self._logged:
+        if news == self._logged_status:
             return
-        self._logged = news
+        self._logged_status = news
         # A new leader reads the list at once: gateways that start wait for it.
-        self._lead_soon.set()
-        changed = StandingChanged(
+        self._leader_wakeup.set()
+        changed = GroupStatusChanged(
             self.member.member_id,
             standing.term,
             standing.leading,
--- a/ashlatch/fleet/discovery.py
+++ b/ashlatch/fleet/discovery.py
@@ -17,7 +17,7 @@
 
 from ashlatch.catalog import Endpoint
 from ashlatch.errors import AshlatchError
-from ashlatch.fleet.logs import EntriesLeftOut
+from ashlatch.fleet.logs import EntriesSkipped
 from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
 from ashlatch.log import emit
 from ashlatch.platform.instances import Page, decode_page, page_target
@@ -59,47 +59,47 @@
         """All endpoints; raises `ListUnreadable`."""
         try:
             async with asyncio.timeout(READ_TIMEOUT_S):
-                return await self._pages()
+                return await self._read_pages()
         except TimeoutError as error:
-            self._drop()
+            self._close_connection()
             raise ListUnreadable("timeout") from error
         except (ConnectFailed, UpstreamBroken) as error:
-            self._drop()
+            self._close_connection()
             raise ListUnreadable(error.reason) from error
         except JsonUnreadable as error:
-            self._drop()
+            self._close_connection()
             raise ListUnreadable(error.reason) from error
 
-    async def _pages(self) -> tuple[Endpoint, ...]:
+    async def _read_pages(self) -> tuple[Endpoint, ...]:
         found: dict[str, Endpoint] = {}
         left_out: Counter[str] = Counter()
-        mark: str | None = None
+        page_token: str | None = None
         for _ in range(PAGES_MAX):
-            page = await self._page(mark)
+            page = await self._read_page(page_token)
             left_out.update(page.left_out)
             for endpoint in page.endpoints:
                 if endpoint.instance in found:
                     left_out["listed twice"] += 1
                 found.setdefault(endpoint.instance, endpoint)
-            mark = page.next_page
-            if mark is None:
-                self._note(left_out)
+            page_token = page.next_page
+            if page_token is None:
+                self._log_left_out(left_out)
                 return tuple(found.values())
         raise ListUnreadable("too many pages")
 
-    def _note(self, left_out: Counter[str]) -> None:
+    def _log_left_out(self, left_out: Counter[str]) -> None:
         """Log which entries name no endpoint, when they are others than before."""
         if left_out != self._left_out and left_out:
             reasons = "; ".join(sorted(left_out)[:REASONS_MAX])
-            entries = EntriesLeftOut(left_out.total(), reasons)
+            entries = EntriesSkipped(left_out.total(), reasons)
             emit(log, entries, logging.WARNING)
         self._left_out = left_out
         self.left_out_total += left_out.total()
 
-    async def _page(self, mark: str | None) -> Page:
-        connection = await self._connected()
+    async def _read_page(self, page_token: str | None) -> Page:
+        connection = await self._connect()
         host = (b"Host", self._address.encode())
-        connection.send("GET", page_target(mark), [host], b"")
+        connection.send("GET", page_target(page_token), [host], b"")
         head = await connection.head()
         parts = []
         while (part := await connection.part()) is not None:
@@ -110,7 +110,7 @@
             raise ListUnreadable(f"status {head.status_code}")
         return decode_page(b"".join(parts))
 
-    async def _connected(self) -> Upstream:
+    async def _connect(self) -> Upstream:
         connection = self._connection
         if connection is None or not connection.usable:
             connection = await Upstream.connect(self._address, CONNECT_TIMEOUT_S)
@@ -118,7 +118,7 @@
         connection.take()
         return connection
 
-    def _drop(self) -> None:
+    def _close_connection(self) -> None:
         if self._connection is not None:
             self._connection.abort()
             self._connection = None
--- a/ashlatch/fleet/exposure.py
+++ b/ashlatch/fleet/exposure.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 
 __all__ = [
-    "SETTLE_FROM",
-    "SHIFT_FROM",
-    "SHIFT_WHOLE_FROM",
+    "SETTLE_START",
+    "SHIFT_START",
+    "FULL_SHIFT_START",
     "ExposurePlan",
     "plan_exposure",
 ]
@@ -23,18 +23,18 @@
 # The parts of a roll-out's time from which what the load test brought is waited for,
 # and from which the new version gets more than the trial and that test gave it, then
 # everything.
-SETTLE_FROM = 0.62
-SHIFT_FROM = 0.66
-SHIFT_WHOLE_FROM = 0.70
+SETTLE_START = 0.62
+SHIFT_START = 0.66
+FULL_SHIFT_START = 0.70
 # The share of sessions in the trial, of the allowed one. The trial takes half of the
 # time, so it gives a third of what is allowed.
-TRIAL_PART = 2 / 3
+TRIAL_SHARE_RATIO = 2 / 3
 # A larger trial would move so many sessions that taking it back shows.
 TRIAL_SHARE_MAX = 0.25
 # The load test ends when the version would have got this part of what is allowed by
 # the end of the time; the rest is for what follows it.
-TESTED_PART = 5 / 6
-TESTED_EXTRA_PART = 2 / 3
+TESTED_SHARE_RATIO = 5 / 6
+TESTED_EXTRA_RATIO = 2 / 3
 # The first step beyond the trial, where much is allowed.
 SHIFT_SHARE_MAX = 0.4
 
@@ -65,13 +65,15 @@
 
     plan_exposure(0.15, 30.0).trial_share  # 0.1
     """
-    trial_share = round(share * TRIAL_PART, 4)
-    left_share = share * (1.0 - TESTED_PART) - trial_share * (SHIFT_FROM - SETTLE_FROM)
-    shift_share = left_share / (SHIFT_WHOLE_FROM - SHIFT_FROM)
+    trial_share = round(share * TRIAL_SHARE_RATIO, 4)
+    left_share = share * (1.0 - TESTED_SHARE_RATIO) - trial_share * (
+        SHIFT_START - SETTLE_START
+    )
+    shift_share = left_share / (FULL_SHIFT_START - SHIFT_START)
     return ExposurePlan(
         trial_share,
         extra,
-        share * TESTED_PART,
-        extra * TESTED_EXTRA_PART,
+        share * TESTED_SHARE_RATIO,
+        extra * TESTED_EXTRA_RATIO,
         min(SHIFT_SHARE_MAX, shift_share),
     )
--- a/ashlatch/fleet/leader.py
+++ b/ashlatch/fleet/leader.py
@@ -26,27 +26,27 @@
 from ashlatch.fleet.discovery import ListReader, ListUnreadable
 from ashlatch.fleet.evaluation import DEFAULT_PLAN, Decision, Evidence, decide
 from ashlatch.fleet.exposure import ExposurePlan
-from ashlatch.fleet.logs import ListRead, ListUnread, RolloutDecided
-from ashlatch.fleet.machine import FINAL_STAGES, MoveRollout
+from ashlatch.fleet.logs import ListRead, ListReadFailed, RolloutDecided
+from ashlatch.fleet.machine import FINAL_STAGES, UpdateRollout
 from ashlatch.gateway.tally import Tally
 from ashlatch.log import emit
 
-__all__ = ["ListKeeper", "RolloutKeeper"]
+__all__ = ["ListPoller", "RolloutController"]
 
 log = logging.getLogger("ashlatch.fleet")
 
 # A roll-out waits for this part of its time for an endpoint that is warm; the trial
 # takes half of it.
-WARM_UP_PART_MAX = 0.25
+WARM_UP_RATIO_MAX = 0.25
 # The list lags by some hundred ms, more or less each time.
 COLD_TOLERANCE_MS = 600.0
 # How often the elapsed time of a roll-out is committed, so that a new leader
 # knows it to this precision.
-CHECKPOINT_MS = 2000.0
+CHECKPOINT_INTERVAL_MS = 2000.0
 
 
 @dataclass
-class ListKeeper:
+class ListPoller:
     """Reads the list when it is due; `newest` is what was read last.
 
     `newest_ms` is when that was read first: the endpoints were cold for the times it
@@ -54,74 +54,76 @@
     """
 
     reader: ListReader
-    read_every_ms: float
+    interval_ms: float
     newest: EndpointList = EndpointList()
     read_ms: float = float("-inf")
-    newest_ms: float = float("-inf")
+    newest_since_ms: float = float("-inf")
     _due_ms: float = float("-inf")
 
     async def read_if_due(self, epoch: int, now_ms: float) -> bool:
         """Whether the list is another now. `epoch` is the leader's term."""
         if now_ms < self._due_ms:
             return False
-        self._due_ms = now_ms + self.read_every_ms
+        self._due_ms = now_ms + self.interval_ms
         try:
             endpoints = await self.reader.read()
         except ListUnreadable as error:
             age_ms = min(now_ms - self.read_ms, 1e9)
-            emit(log, ListUnread(error.reason, int(age_ms)), logging.WARNING)
+            emit(log, ListReadFailed(error.reason, int(age_ms)), logging.WARNING)
             return False
         self.read_ms = now_ms
-        age_ms = now_ms - self.newest_ms
-        same = _equal(self.newest.endpoints, endpoints, age_ms)
+        age_ms = now_ms - self.newest_since_ms
+        same = _lists_match(self.newest.endpoints, endpoints, age_ms)
         if same and self.newest.epoch == epoch:
             return False
         number = self.newest.number + 1 if self.newest.epoch == epoch else 1
         self.newest = EndpointList(epoch, number, endpoints)
-        self.newest_ms = now_ms
+        self.newest_since_ms = now_ms
         leaving = sum(e.leaving for e in endpoints)
         emit(log, ListRead(epoch, number, len(endpoints), leaving))
         return True
 
 
-def _equal(
-    known: tuple[Endpoint, ...], read: tuple[Endpoint, ...], age_ms: float
+def _lists_match(
+    known: tuple[Endpoint, ...], listed: tuple[Endpoint, ...], age_ms: float
 ) -> bool:
     """Whether a list tells what one that was read `age_ms` before does.
 
     The time for which an endpoint is cold runs down by itself: told anew with each
     read, the whole list would go to all gateways each second.
     """
-    if len(known) != len(read):
+    if len(known) != len(listed):
         return False
-    return all(_same(a, b, age_ms) for a, b in zip(known, read, strict=True))
+    return all(
+        _endpoints_match(a, b, age_ms) for a, b in zip(known, listed, strict=True)
+    )
 
 
-def _same(known: Endpoint, read: Endpoint, age_ms: float) -> bool:
-    if known == read:
+def _endpoints_match(known: Endpoint, listed: Endpoint, age_ms: float) -> bool:
+    if known == listed:
         # Cold for as long as before, which is longer than was known then.
-        return read.cold_left_ms == 0.0 or age_ms < COLD_TOLERANCE_MS
+        return listed.cold_left_ms == 0.0 or age_ms < COLD_TOLERANCE_MS
     left_ms = max(0.0, known.cold_left_ms - age_ms)
-    if abs(left_ms - read.cold_left_ms) > COLD_TOLERANCE_MS:
+    if abs(left_ms - listed.cold_left_ms) > COLD_TOLERANCE_MS:
         return False
-    cold_left_ms = read.cold_left_ms
-    return msgspec.structs.replace(known, cold_left_ms=cold_left_ms) == read
+    cold_left_ms = listed.cold_left_ms
+    return msgspec.structs.replace(known, cold_left_ms=cold_left_ms) == listed
 
 
 @dataclass
-class _Clock:
+class _RolloutClock:
     """How long a roll-out had run when this VM first saw it, and when that was."""
 
     version: str
     elapsed_ms: float
-    seen_ms: float
+    observed_ms: float
 
-    def read_ms(self, now_ms: float) -> float:
-        return self.elapsed_ms + now_ms - self.seen_ms
+    def elapsed_at(self, now_ms: float) -> float:
+        return self.elapsed_ms + now_ms - self.observed_ms
 
 
 @dataclass
-class RolloutKeeper:
+class RolloutController:
     """The evidence and the clocks of the roll-outs.
 
     Every core VM keeps the clocks, from when it applied the order, so that a
@@ -131,12 +133,12 @@
 
     plan: ExposurePlan = DEFAULT_PLAN
     _evidence: dict[str, Evidence] = field(default_factory=dict)
-    _clocks: dict[str, _Clock] = field(default_factory=dict)
+    _clocks: dict[str, _RolloutClock] = field(default_factory=dict)
     _newest: dict[str, Rollout] = field(default_factory=dict)
     # By service and the version in whose trial they have begun, empty for the others.
     _sessions: dict[tuple[str, str], SessionMarks] = field(default_factory=dict)
 
-    def forget(self) -> None:
+    def clear_evidence(self) -> None:
         """This VM leads no more."""
         self._evidence.clear()
 
@@ -146,25 +148,25 @@
             self._newest[rollout.service] = rollout
             clock = self._clocks.get(rollout.service)
             begun = clock is None or clock.version != rollout.version
-            if clock is None or begun or rollout.elapsed_ms > clock.read_ms(now_ms):
-                clock = _Clock(rollout.version, rollout.elapsed_ms, now_ms)
+            if clock is None or begun or rollout.elapsed_ms > clock.elapsed_at(now_ms):
+                clock = _RolloutClock(rollout.version, rollout.elapsed_ms, now_ms)
                 self._clocks[rollout.service] = clock
 
-    def add(self, tallies: tuple[Tally, ...], now_ms: float) -> None:
+    def add_tallies(self, tallies: tuple[Tally, ...], now_ms: float) -> None:
         """Take what gateways have counted."""
         by_service: dict[str, list[Tally]] = {}
         for tally in tallies:
-            counted = self._timed_in_trial(tally)
+            counted = self._drop_times_after_trial(tally)
             by_service.setdefault(tally.key.service, []).append(counted)
         for service, own in by_service.items():
             if service in self._evidence:
                 self._evidence[service].add(tuple(own), now_ms)
 
-    def tell_sessions(self, sessions: tuple[SessionMarks, ...]) -> None:
+    def set_sessions(self, sessions: tuple[SessionMarks, ...]) -> None:
         """Take which sessions run before a trial, and which a load test moved."""
         self._sessions = {(s.service, s.trial_version): s for s in sessions}
 
-    def _timed_in_trial(self, tally: Tally) -> Tally:
+    def _drop_times_after_trial(self, tally: Tally) -> Tally:
         """A tally less the times of a new version that is past its trial.
 
         The load test makes its answers late, and so do the prompts that its
@@ -177,14 +179,14 @@
         trial = rollout.stage is RolloutStage.TRIAL
         return tally if trial else msgspec.structs.replace(tally, times={})
 
-    def moves(
+    def due_updates(
         self,
         rollouts: tuple[Rollout, ...],
         listed: EndpointList,
         now_ms: float,
         plain: frozenset[str] = frozenset(),
         listed_age_ms: float = 0.0,
-    ) -> Iterator[MoveRollout]:
+    ) -> Iterator[UpdateRollout]:
         """The decisions that are due now; `plain` services have no engines.
 
         `listed_age_ms` is how long ago the list was first read as it is.
@@ -194,12 +196,12 @@
             if rollout.stage in FINAL_STAGES:
                 self._evidence.pop(rollout.service, None)
                 continue
-            ready = self._ready(rollout, listed, listed_age_ms, now_ms)
-            move = self._move(rollout, ready, now_ms, rollout.service in plain)
+            ready = self._has_ready_endpoint(rollout, listed, listed_age_ms, now_ms)
+            move = self._due_update(rollout, ready, now_ms, rollout.service in plain)
             if move is not None:
                 yield move
 
-    def _ready(
+    def _has_ready_endpoint(
         self,
         rollout: Rollout,
         listed: EndpointList,
@@ -218,16 +220,16 @@
             and e.version == rollout.version
             and not e.leaving
         ]
-        elapsed_ms = self._clocks[rollout.service].read_ms(now_ms)
-        late = elapsed_ms > WARM_UP_PART_MAX * rollout.duration_ms
+        elapsed_ms = self._clocks[rollout.service].elapsed_at(now_ms)
+        late = elapsed_ms > WARM_UP_RATIO_MAX * rollout.duration_ms
         if rollout.share > 0.0 or late:
             return bool(new)
         return any(e.cold_left_ms <= listed_age_ms for e in new)
 
-    def _move(
+    def _due_update(
         self, rollout: Rollout, ready: bool, now_ms: float, plain: bool
-    ) -> MoveRollout | None:
-        elapsed_ms = self._clocks[rollout.service].read_ms(now_ms)
+    ) -> UpdateRollout | None:
+        elapsed_ms = self._clocks[rollout.service].elapsed_at(now_ms)
         evidence = self._evidence.setdefault(rollout.service, Evidence())
         decision = decide(
             rollout, elapsed_ms, evidence, now_ms, ready, plain, self.plan
@@ -236,8 +238,8 @@
         nothing = SessionMarks(rollout.service, ())
         told = self._sessions.get((rollout.service, ""), nothing)
         begun = self._sessions.get((rollout.service, rollout.version), nothing)
-        moved = _moved(rollout, decision, told, begun)
-        due = elapsed_ms - rollout.elapsed_ms >= CHECKPOINT_MS
+        moved = _moved_sessions(rollout, decision, told, begun)
+        due = elapsed_ms - rollout.elapsed_ms >= CHECKPOINT_INTERVAL_MS
         if not changed and not due and moved == rollout.moved:
             return None
         if changed:
@@ -251,7 +253,7 @@
                 decision.reason,
             )
             emit(log, decided)
-        return MoveRollout(
+        return UpdateRollout(
             rollout.service,
             rollout.number,
             decision.stage,
@@ -262,8 +264,8 @@
         )
 
 
-def _moved(
-    rollout: Rollout, decision: Decision, told: SessionMarks, begun: SessionMarks
+def _moved_sessions(
+    rollout: Rollout, decision: Decision, reported: SessionMarks, begun: SessionMarks
 ) -> tuple[int, ...]:
     """The marks of the sessions that stay on the new version, as not all know.
 
@@ -274,4 +276,4 @@
     if decision.stage is RolloutStage.TRIAL:
         # What `told` names was moved by a roll-out before this one.
         return tuple(sorted({*rollout.moved, *begun.moved}))
-    return tuple(sorted({*rollout.moved, *begun.moved, *told.moved}))
+    return tuple(sorted({*rollout.moved, *begun.moved, *reported.moved}))
--- a/ashlatch/fleet/leader_link.py
+++ b/ashlatch/fleet/leader_link.py
@@ -16,15 +16,15 @@
 
 from ashlatch.catalog import CoreVm
 from ashlatch.errors import TransportError
-from ashlatch.fleet.logs import UrgentUntold
+from ashlatch.fleet.logs import UrgentReportFailed
 from ashlatch.fleet.machine import FleetState
-from ashlatch.fleet.peers import PeerBook
+from ashlatch.fleet.peers import PeerConnections
 from ashlatch.fleet.protocol import SYNC, SyncReply, SyncRequest, gateways_digest
-from ashlatch.fleet.soft_state import Spread
+from ashlatch.fleet.soft_state import SoftState
 from ashlatch.gateway.kept import PromptRead
 from ashlatch.gateway.tally import Tally
 from ashlatch.log import emit
-from ashlatch.raft.group import Standing
+from ashlatch.raft.group import GroupStatus
 
 __all__ = ["LeaderLink"]
 
@@ -44,39 +44,39 @@
     """
 
     vm: str
-    own: CoreVm
+    local: CoreVm
     wait_ms: float
-    spread: Spread
-    book: PeerBook
-    standing: Callable[[], Standing]
+    soft_state: SoftState
+    peers: PeerConnections
+    group_status: Callable[[], GroupStatus]
     state: Callable[[], FleetState]
 
-    async def follow(self) -> None:
+    async def sync_with_leader(self) -> None:
         """Ask the leader for news again and again, while another VM leads."""
         while True:
             leader = self._leader()
             if not leader:
                 await asyncio.sleep(RETRY_S)
                 continue
-            tallies = self.spread.tallies.take()
-            reads = self.spread.take_reads()
-            request = self._question(self.wait_ms, tallies, reads)
+            tallies = self.soft_state.tallies.take()
+            reads = self.soft_state.take_prefills()
+            request = self._sync_request(self.wait_ms, tallies, reads)
             timeout_s = self.wait_ms / 1000.0 + TIMEOUT_MARGIN_S
             try:
-                reply: SyncReply = await self.book.peer(leader).call(
+                reply: SyncReply = await self.peers.peer(leader).call(
                     SYNC, request, timeout_s
                 )
             except TransportError:
                 # Shown to gateways by `current`, and logged with the standing.
-                self.spread.tallies.add(tallies)
-                self.spread.tell_reads(reads)
+                self.soft_state.tallies.add(tallies)
+                self.soft_state.add_prefills(reads)
                 await asyncio.sleep(RETRY_S)
                 continue
-            self.spread.learn(reply)
+            self.soft_state.apply_reply(reply)
             if not reply.current:
                 await asyncio.sleep(RETRY_S)
 
-    async def pass_on(self) -> None:
+    async def send_urgent_reports(self) -> None:
         """Tell the leader at once of what cannot wait.
 
         That is sessions that a load test has moved, and requests under which
@@ -84,43 +84,43 @@
         second more. Should this call fail, the next question tells them.
         """
         while True:
-            await self.spread.urgent.wait()
-            self.spread.urgent.clear()
+            await self.soft_state.urgent.wait()
+            self.soft_state.urgent.clear()
             leader = self._leader()
             if not leader:
                 continue
-            request = self._question(0.0)
+            request = self._sync_request(0.0)
             try:
-                await self.book.peer(leader).call(SYNC, request, TIMEOUT_MARGIN_S)
+                await self.peers.peer(leader).call(SYNC, request, TIMEOUT_MARGIN_S)
             except TransportError as error:
-                emit(log, UrgentUntold(leader, error.reason), logging.WARNING)
+                emit(log, UrgentReportFailed(leader, error.reason), logging.WARNING)
 
     def _leader(self) -> str:
         """The address of the leader; empty when there is none, or it is this VM."""
-        standing = self.standing()
+        standing = self.group_status()
         return "" if standing.leading else standing.leader_address
 
-    def _question(
+    def _sync_request(
         self,
         wait_ms: float,
         tallies: tuple[Tally, ...] = (),
-        reads: tuple[PromptRead, ...] = (),
+        prefills: tuple[PromptRead, ...] = (),
     ) -> SyncRequest:
         state = self.state()
         return SyncRequest(
             self.vm,
-            self.spread.live_gateways(),
+            self.soft_state.live_gateways(),
             state.version,
-            self.spread.endpoints.order,
+            self.soft_state.endpoints.order,
             state.number,
             wait_ms,
             tallies,
-            self.spread.sessions(),
-            reads,
-            self.spread.reads.position,
-            gateways_digest(self.spread.gateways),
-            self.own,
-            crashes=self.spread.crashes.unknown_to(state.crashes),
+            self.soft_state.recent_sessions(),
+            prefills,
+            self.soft_state.prefills.position,
+            gateways_digest(self.soft_state.gateways),
+            self.local,
+            crashes=self.soft_state.crashes.unknown_to(state.crashes),
             crashes_known=state.crashes.number,
             evacuations_known=state.evacuations.number,
         )
--- a/ashlatch/fleet/logs.py
+++ b/ashlatch/fleet/logs.py
@@ -14,27 +14,27 @@
 from ashlatch.log import LogEvent
 
 __all__ = [
-    "CrashesNoted",
-    "CrashesUnnoted",
-    "DiskLost",
-    "EntriesLeftOut",
-    "DiskRegained",
+    "CrashesCommitted",
+    "CrashesNotCommitted",
+    "DiskWriteFailed",
+    "EntriesSkipped",
+    "DiskReopened",
     "ListRead",
-    "ListUnread",
-    "DiskRefused",
+    "ListReadFailed",
+    "DiskReopenFailed",
     "MemberRemoved",
-    "MemoriesRead",
-    "MemoryUnread",
-    "MoveLost",
-    "OrderEnded",
+    "PrefixCachesRead",
+    "PrefixCacheReadFailed",
+    "RolloutUpdateLost",
+    "OperatorCallEnded",
     "RolloutDecided",
-    "StandingChanged",
-    "UrgentUntold",
+    "GroupStatusChanged",
+    "UrgentReportFailed",
 ]
 
 
 @dataclass(frozen=True)
-class StandingChanged(LogEvent):
+class GroupStatusChanged(LogEvent):
     """The leader or the members of the group are others now."""
 
     event: ClassVar[str] = "standing_changed"
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True)
-class OrderEnded(LogEvent):
+class OperatorCallEnded(LogEvent):
     """An operator's call has its answer."""
 
     event: ClassVar[str] = "order_ended"
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True)
-class MemoriesRead(LogEvent):
+class PrefixCachesRead(LogEvent):
     """A new leader has asked the engines which prompts they keep."""
 
     event: ClassVar[str] = "memories_read"
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True)
-class MemoryUnread(LogEvent):
+class PrefixCacheReadFailed(LogEvent):
     """An engine did not tell what it keeps."""
 
     event: ClassVar[str] = "memory_unread"
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True)
-class ListUnread(LogEvent):
+class ListReadFailed(LogEvent):
     """The list of endpoints could not be read."""
 
     event: ClassVar[str] = "list_unread"
@@ -121,7 +121,7 @@
 
 
 @dataclass(frozen=True)
-class DiskLost(LogEvent):
+class DiskWriteFailed(LogEvent):
     """The disk has refused a write; this VM's member stands still."""
 
     event: ClassVar[str] = "disk_lost"
@@ -130,7 +130,7 @@
 
 
 @dataclass(frozen=True)
-class DiskRegained(LogEvent):
+class DiskReopened(LogEvent):
     """The data folder could be opened again, and the member takes part."""
 
     event: ClassVar[str] = "disk_regained"
@@ -139,7 +139,7 @@
 
 
 @dataclass(frozen=True)
-class DiskRefused(LogEvent):
+class DiskReopenFailed(LogEvent):
     """The data folder cannot be opened again yet."""
 
     event: ClassVar[str] = "disk_refused"
@@ -148,7 +148,7 @@
 
 
 @dataclass(frozen=True)
-class UrgentUntold(LogEvent):
+class UrgentReportFailed(LogEvent):
     """The leader could not be told at once of moved sessions or of crashes.
 
     The next question to it tells them.
@@ -160,7 +160,7 @@
 
 
 @dataclass(frozen=True)
-class EntriesLeftOut(LogEvent):
+class EntriesSkipped(LogEvent):
     """Entries of the platform's list name no endpoint; the others are used."""
 
     event: ClassVar[str] = "entries_left_out"
@@ -169,7 +169,7 @@
 
 
 @dataclass(frozen=True)
-class CrashesNoted(LogEvent):
+class CrashesCommitted(LogEvent):
     """Requests under which endpoints have crashed stand in the log.
 
     `number` is that of the newest change.
@@ -181,7 +181,7 @@
 
 
 @dataclass(frozen=True)
-class CrashesUnnoted(LogEvent):
+class CrashesNotCommitted(LogEvent):
     """Requests under which endpoints have crashed were not committed yet."""
 
     event: ClassVar[str] = "crashes_unnoted"
@@ -190,7 +190,7 @@
 
 
 @dataclass(frozen=True)
-class MoveLost(LogEvent):
+class RolloutUpdateLost(LogEvent):
     """A decision on a roll-out was not committed; it is taken again."""
 
     event: ClassVar[str] = "move_lost"
--- a/ashlatch/fleet/machine.py
+++ b/ashlatch/fleet/machine.py
@@ -24,8 +24,8 @@
     "Conflict",
     "FleetMachine",
     "FleetState",
-    "MoveRollout",
-    "NoteCrashes",
+    "UpdateRollout",
+    "RecordCrashes",
     "Outcome",
     "ReplaceDocument",
     "SetEvacuation",
@@ -54,7 +54,7 @@
     duration_ms: float
 
 
-class MoveRollout(msgspec.Struct, frozen=True, tag="move_rollout"):
+class UpdateRollout(msgspec.Struct, frozen=True, tag="move_rollout"):
     """The leader's decision on a roll-out that is under way.
 
     `after_number` is the record that the decision is based on; a decision on
@@ -77,7 +77,7 @@
     evacuated: bool
 
 
-class NoteCrashes(msgspec.Struct, frozen=True, tag="note_crashes"):
+class RecordCrashes(msgspec.Struct, frozen=True, tag="note_crashes"):
     """What gateways have found of contents that crash endpoints, or survive it.
 
     It is replicated because a content that is refused has to stay so after a loss of
@@ -87,7 +87,7 @@
     records: tuple[CrashRecord, ...]
 
 
-Command = ReplaceDocument | BeginRollout | MoveRollout | NoteCrashes | SetEvacuation
+Command = ReplaceDocument | BeginRollout | UpdateRollout | RecordCrashes | SetEvacuation
 
 
 class Accepted(msgspec.Struct, frozen=True, tag="accepted"):
@@ -138,7 +138,7 @@
 
 
 @_HANDLERS.on(ReplaceDocument)
-def _replace(state: FleetState, command: ReplaceDocument) -> Outcome:
+def _replace_document(state: FleetState, command: ReplaceDocument) -> Outcome:
     if command.version < state.version:
         return Accepted(changed=False)
     if command.version == state.version:
@@ -151,7 +151,7 @@
 
 
 @_HANDLERS.on(BeginRollout)
-def _begin(state: FleetState, command: BeginRollout) -> Outcome:
+def _begin_rollout(state: FleetState, command: BeginRollout) -> Outcome:
     known = state.rollouts.get(command.service)
     if known is not None and known.version == command.version:
         return Accepted(changed=False)
@@ -167,8 +167,8 @@
     return Accepted(changed=True)
 
 
-@_HANDLERS.on(MoveRollout)
-def _move(state: FleetState, command: MoveRollout) -> Outcome:
+@_HANDLERS.on(UpdateRollout)
+def _update_rollout(state: FleetState, command: UpdateRollout) -> Outcome:
     known = state.rollouts.get(command.service)
     if known is None or known.number != command.after_number:
         return Accepted(changed=False)
@@ -187,8 +187,8 @@
     return Accepted(changed=True)
 
 
-@_HANDLERS.on(NoteCrashes)
-def _note_crashes(state: FleetState, command: NoteCrashes) -> Outcome:
+@_HANDLERS.on(RecordCrashes)
+def _record_crashes(state: FleetState, command: RecordCrashes) -> Outcome:
     return Accepted(changed=state.crashes.note(command.records))
 
 
--- a/ashlatch/fleet/operators.py
+++ b/ashlatch/fleet/operators.py
@@ -21,7 +21,7 @@
 from ashlatch.catalog import Rollout
 from ashlatch.codec import digest
 from ashlatch.errors import AshlatchError
-from ashlatch.fleet.logs import OrderEnded
+from ashlatch.fleet.logs import OperatorCallEnded
 from ashlatch.fleet.machine import (
     BeginRollout,
     Command,
@@ -41,7 +41,7 @@
 )
 from ashlatch.platform.operator import OperatorCall, OperatorVerb, recognise
 
-__all__ = ["Fleet", "NoQuorum", "OperatorApi"]
+__all__ = ["CommandBackend", "NoQuorum", "OperatorApi"]
 
 log = logging.getLogger("ashlatch.fleet")
 
@@ -55,7 +55,7 @@
     detail: str
 
 
-class Fleet(Protocol):
+class CommandBackend(Protocol):
     """What the operators' calls need of the core VM."""
 
     async def commit(self, command: Command) -> Outcome:
@@ -88,8 +88,10 @@
     be evacuated.
     """
 
-    def __init__(self, fleet: Fleet, halls: frozenset[str] = frozenset()) -> None:
-        self._fleet = fleet
+    def __init__(
+        self, backend: CommandBackend, halls: frozenset[str] = frozenset()
+    ) -> None:
+        self._backend = backend
         self._halls = halls
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
@@ -104,7 +106,7 @@
             answer = _Answer(503, b'{"type":"no_quorum"}\n', detail=error.detail)
         now_s = asyncio.get_running_loop().time()
         took_ms = int((now_s - request.received_s) * 1000)
-        ended = OrderEnded(
+        ended = OperatorCallEnded(
             call.verb.value, answer.status, answer.version, answer.detail, took_ms
         )
         emit(log, ended)
@@ -113,21 +115,21 @@
     async def _answer(self, call: OperatorCall, body: bytes) -> _Answer:
         match call.verb:
             case OperatorVerb.REPLACE_CONFIGURATION:
-                return await self._replace(body)
+                return await self._replace_document(body)
             case OperatorVerb.READ_CONFIGURATION:
-                return await self._read()
+                return await self._read_document()
             case OperatorVerb.BEGIN_ROLLOUT:
-                return await self._begin(body)
+                return await self._begin_rollout(body)
             case OperatorVerb.READ_ROLLOUT:
-                return await self._rollout(call.service)
+                return await self._read_rollout(call.service)
             case OperatorVerb.BEGIN_EVACUATION:
-                return await self._evacuate(call.hall, evacuated=True)
+                return await self._set_evacuation(call.hall, evacuated=True)
             case OperatorVerb.FINISH_EVACUATION:
-                return await self._evacuate(call.hall, evacuated=False)
+                return await self._set_evacuation(call.hall, evacuated=False)
             case OperatorVerb.READ_EVACUATIONS:
-                return await self._evacuations()
+                return await self._read_evacuations()
 
-    async def _replace(self, body: bytes) -> _Answer:
+    async def _replace_document(self, body: bytes) -> _Answer:
         try:
             catalog = decode_catalog(body)
         except DocumentError as error:
@@ -135,31 +137,31 @@
         # Documents are texts of names that repeat; they go to every VM.
         packed = zlib.compress(body)
         command = ReplaceDocument(catalog.version, packed, digest(body))
-        outcome = await self._fleet.commit(command)
+        outcome = await self._backend.commit(command)
         if isinstance(outcome, DocumentConflict):
             detail = "another document has this version"
             return _Answer(409, b'{"type":"version_taken"}\n', catalog.version, detail)
         detail = "changed" if outcome.changed else "unchanged"
         return _Answer(200, b"{}\n", catalog.version, detail)
 
-    async def _read(self) -> _Answer:
-        newest = await self._fleet.read()
+    async def _read_document(self) -> _Answer:
+        newest = await self._backend.read()
         if not newest.document:
             return _Answer(503, b'{"type":"no_configuration"}\n')
         document = zlib.decompress(newest.document)
         return _Answer(200, document, newest.document_version)
 
-    async def _begin(self, body: bytes) -> _Answer:
+    async def _begin_rollout(self, body: bytes) -> _Answer:
         try:
             order = decode_rollout_order(body)
         except DocumentError as error:
             return _invalid(error)
         command = BeginRollout(order.service, order.version, order.duration_ms)
-        await self._fleet.commit(command)
+        await self._backend.commit(command)
         return _Answer(200, b"{}\n", detail=f"{order.service} to {order.version}")
 
-    async def _rollout(self, service: str) -> _Answer:
-        newest = await self._fleet.read()
+    async def _read_rollout(self, service: str) -> _Answer:
+        newest = await self._backend.read()
         found: Rollout | None = next(
             (r for r in newest.rollouts if r.service == service), None
         )
@@ -168,18 +170,18 @@
         detail = f"{service} {found.stage.value}"
         return _Answer(200, encode_rollout_state(found), detail=detail)
 
-    async def _evacuate(self, hall: str, evacuated: bool) -> _Answer:
+    async def _set_evacuation(self, hall: str, evacuated: bool) -> _Answer:
         if not hall or (self._halls and hall not in self._halls):
             # Said at once: an evacuation of a hall that is not there would be
             # acknowledged, and empty nothing.
             return _Answer(404, b'{"type":"unknown_hall"}\n', detail=hall)
-        outcome = await self._fleet.commit(SetEvacuation(hall, evacuated))
+        outcome = await self._backend.commit(SetEvacuation(hall, evacuated))
         changed = not isinstance(outcome, DocumentConflict) and outcome.changed
         detail = f"{hall} {'changed' if changed else 'unchanged'}"
         return _Answer(200, b"{}\n", detail=detail)
 
-    async def _evacuations(self) -> _Answer:
-        newest = await self._fleet.read()
+    async def _read_evacuations(self) -> _Answer:
+        newest = await self._backend.read()
         halls = newest.evacuations.halls
         return _Answer(200, msgspec.json.encode({"halls": halls}))
 
--- a/ashlatch/fleet/peers.py
+++ b/ashlatch/fleet/peers.py
@@ -12,10 +12,10 @@
 
 from ashlatch.rpc import Address, Peer
 
-__all__ = ["PeerBook"]
+__all__ = ["PeerConnections"]
 
 
-class PeerBook:
+class PeerConnections:
     """One held connection to each address that is called."""
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
             found = self._peers[address] = Peer(Address.parse(address))
         return found
 
-    def keep_only(self, addresses: Iterable[str]) -> None:
+    def retain(self, addresses: Iterable[str]) -> None:
         """Close the connections to all other addresses."""
         kept = set(addresses)
         for address in [a for a in self._peers if a not in kept]:
--- a/ashlatch/fleet/prefill_log.py
+++ b/ashlatch/fleet/prefill_log.py
@@ -15,15 +15,15 @@
 
 from ashlatch.gateway.kept import PromptRead
 
-__all__ = ["ReadLog"]
+__all__ = ["PrefillLog"]
 
 # How many reads are kept for gateways that have just started: about 50 KB.
-READS_MAX = 1024
+PREFILLS_MAX = 1024
 
 Position = tuple[int, int]
 
 
-class ReadLog:
+class PrefillLog:
     """The newest reads, numbered from 1 within the term of a leader.
 
     A position is a term and the number of the last read that somebody knows::
@@ -35,27 +35,27 @@
 
     def __init__(self) -> None:
         self.position: Position = (0, 0)
-        self._reads: deque[PromptRead] = deque(maxlen=READS_MAX)
+        self._prefills: deque[PromptRead] = deque(maxlen=PREFILLS_MAX)
 
-    def extend(self, term: int, reads: tuple[PromptRead, ...]) -> None:
+    def extend(self, term: int, prefills: tuple[PromptRead, ...]) -> None:
         """Number new reads, as the leader of a term."""
         known_term, number = self.position
         if term != known_term:
-            self._reads.clear()
+            self._prefills.clear()
             number = 0
-        self._reads.extend(reads)
-        self.position = (term, number + len(reads))
+        self._prefills.extend(prefills)
+        self.position = (term, number + len(prefills))
 
-    def learn(self, position: Position, reads: tuple[PromptRead, ...]) -> None:
+    def apply(self, position: Position, prefills: tuple[PromptRead, ...]) -> None:
         """Take what the leader has told up to a position."""
         if position[0] != self.position[0]:
-            self._reads.clear()
-        self._reads.extend(reads)
+            self._prefills.clear()
+        self._prefills.extend(prefills)
         self.position = position
 
     def since(self, position: Position) -> tuple[PromptRead, ...]:
         """What is newer than a position; all that is kept for another term's."""
         term, number = self.position
         newer = number - position[1] if position[0] == term else number
-        newer = min(max(newer, 0), len(self._reads))
-        return tuple(islice(self._reads, len(self._reads) - newer, None))
+        newer = min(max(newer, 0), len(self._prefills))
+        return tuple(islice(self._prefills, len(self._prefills) - newer, None))
--- a/ashlatch/fleet/prefix_caches.py
+++ b/ashlatch/fleet/prefix_caches.py
@@ -19,7 +19,7 @@
 
 from ashlatch.catalog import Endpoint
 from ashlatch.errors import AshlatchError
-from ashlatch.fleet.logs import MemoriesRead, MemoryUnread
+from ashlatch.fleet.logs import PrefixCacheReadFailed, PrefixCachesRead
 from ashlatch.gateway.kept import PromptRead
 from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
 from ashlatch.log import emit
@@ -31,7 +31,7 @@
 )
 from ashlatch.platform.reading import JsonUnreadable
 
-__all__ = ["MemoryUnreadable", "read_memories"]
+__all__ = ["MemoryUnreadable", "read_prefix_caches"]
 
 log = logging.getLogger("ashlatch.fleet")
 
@@ -52,25 +52,29 @@
     reason: str
 
 
-async def read_memories(engines: tuple[Endpoint, ...]) -> tuple[PromptRead, ...]:
+async def read_prefix_caches(engines: tuple[Endpoint, ...]) -> tuple[PromptRead, ...]:
     """Ask all engines at once; those that do not answer are left out."""
-    asked = (_read(engine) for engine in engines)
+    asked = (_read_prefix_cache(engine) for engine in engines)
     answers = await asyncio.gather(*asked, return_exceptions=True)
     reads: list[PromptRead] = []
     unread = 0
     for engine, answer in zip(engines, answers, strict=True):
         if isinstance(answer, MemoryUnreadable):
             unread += 1
-            emit(log, MemoryUnread(answer.instance, answer.reason), logging.WARNING)
+            emit(
+                log,
+                PrefixCacheReadFailed(answer.instance, answer.reason),
+                logging.WARNING,
+            )
         elif isinstance(answer, BaseException):
             raise answer
         else:
-            reads += _reads(engine.instance, answer, PARTS_MAX // len(engines))
-    emit(log, MemoriesRead(len(engines) - unread, unread, len(reads)))
+            reads += _to_prefills(engine.instance, answer, PARTS_MAX // len(engines))
+    emit(log, PrefixCachesRead(len(engines) - unread, unread, len(reads)))
     return tuple(reads)
 
 
-async def _read(engine: Endpoint) -> tuple[KeptPart, ...]:
+async def _read_prefix_cache(engine: Endpoint) -> tuple[KeptPart, ...]:
     connection: Upstream | None = None
     try:
         async with asyncio.timeout(TIMEOUT_S):
@@ -96,7 +100,9 @@
             connection.abort()
 
 
-def _reads(instance: str, kept: Iterable[KeptPart], parts_max: int) -> list[PromptRead]:
+def _to_prefills(
+    instance: str, kept: Iterable[KeptPart], parts_max: int
+) -> list[PromptRead]:
     """The longest parts that an engine keeps, by model."""
     long = [part for part in kept if part.tokens >= PART_TOKENS_MIN]
     long.sort(key=lambda part: part.tokens, reverse=True)
--- a/ashlatch/fleet/protocol.py
+++ b/ashlatch/fleet/protocol.py
@@ -29,13 +29,13 @@
 
 __all__ = [
     "JOIN",
-    "ORDER",
+    "COMMAND",
     "READ",
     "SYNC",
     "JoinReply",
     "JoinRequest",
-    "OrderReply",
-    "OrderRequest",
+    "CommandReply",
+    "CommandRequest",
     "ReadReply",
     "ReadRequest",
     "SyncReply",
@@ -67,8 +67,8 @@
     wait_ms: float
     tallies: tuple[Tally, ...] = ()
     sessions: tuple[SessionMarks, ...] = ()
-    reads: tuple[PromptRead, ...] = ()
-    reads_known: tuple[int, int] = (0, 0)
+    prefills: tuple[PromptRead, ...] = ()
+    prefills_known: tuple[int, int] = (0, 0)
     gateways_known: int = 0
     core: CoreVm | None = None
     rates: tuple[ReadingRate, ...] = ()
@@ -102,8 +102,8 @@
     endpoints: EndpointList | None = None
     rollouts: tuple[Rollout, ...] = ()
     list_age_ms: float = 0.0
-    reads: tuple[PromptRead, ...] = ()
-    reads_known: tuple[int, int] = (0, 0)
+    prefills: tuple[PromptRead, ...] = ()
+    prefills_known: tuple[int, int] = (0, 0)
     rates: tuple[ReadingRate, ...] = ()
     crashes: tuple[CrashRecord, ...] = ()
     crashes_known: int = 0
@@ -124,13 +124,13 @@
     leader_address: str
 
 
-class OrderRequest(msgspec.Struct, frozen=True):
+class CommandRequest(msgspec.Struct, frozen=True):
     """An order that is to be committed by the leader."""
 
     command: Command
 
 
-class OrderReply(msgspec.Struct, frozen=True):
+class CommandReply(msgspec.Struct, frozen=True):
     """How the order ended; no outcome when it is not known to be committed."""
 
     outcome: Outcome | None
@@ -158,5 +158,5 @@
 
 SYNC = Method("/fleet/sync", SyncRequest, SyncReply)
 JOIN = Method("/fleet/join", JoinRequest, JoinReply)
-ORDER = Method("/fleet/order", OrderRequest, OrderReply)
+COMMAND = Method("/fleet/order", CommandRequest, CommandReply)
 READ = Method("/fleet/read", ReadRequest, ReadReply)
--- a/ashlatch/fleet/seeds.py
+++ b/ashlatch/fleet/seeds.py
@@ -43,14 +43,16 @@
 class Seeds:
     """The seeds as they were read last; `refresh` reads them again."""
 
-    def __init__(self, settings: VmSettings, reread: Callable[[], VmSettings]) -> None:
+    def __init__(
+        self, settings: VmSettings, read_settings: Callable[[], VmSettings]
+    ) -> None:
         self.addresses = settings.seed_rpc_addresses
-        self._reread = reread
+        self._read_settings = read_settings
 
     def refresh(self) -> None:
         """Read the settings file again; a wrong one changes nothing."""
         try:
-            found = self._reread().seed_rpc_addresses
+            found = self._read_settings().seed_rpc_addresses
         except SettingsError as group:
             emit(log, ReloadFailed(str(group.exceptions[0])), logging.ERROR)
             return
--- a/ashlatch/fleet/soft_state.py
+++ b/ashlatch/fleet/soft_state.py
@@ -15,58 +15,58 @@
 from ashlatch.catalog import CoreVm, EndpointList, GatewayVm, SessionMarks
 from ashlatch.clock import monotonic_ms
 from ashlatch.fleet.machine import FleetState
-from ashlatch.fleet.prefill_log import ReadLog
+from ashlatch.fleet.prefill_log import PrefillLog
 from ashlatch.fleet.protocol import SyncReply, SyncRequest, gateways_digest
 from ashlatch.gateway.kept import PromptRead
 from ashlatch.gateway.tally import Tallies
 from ashlatch.policy.quarantine import UnloggedCrashes
 from ashlatch.policy.reading import ReadingRates
 
-__all__ = ["Spread", "has_news"]
+__all__ = ["SoftState", "has_updates"]
 
 # A core VM that has not heard the leader for this long says so to gateways.
-LEADER_HEARD_MS = 1500.0
+LEADER_TIMEOUT_MS = 1500.0
 # Gateways that have not asked for this long are gone.
-GATEWAY_SEEN_MS = 4000.0
+GATEWAY_TIMEOUT_MS = 4000.0
 # Sessions are told before a trial only; what is older was before another one.
-SESSION_TOLD_MS = 10_000.0
+SESSION_REPORT_MAX_AGE_MS = 10_000.0
 # Until a core VM has run for this long, some gateways have not asked it yet, and
 # what it knows of them is no reason to forget others: each asks every half second,
 # and so do the other core VMs.
 GATEWAYS_SETTLE_MS = 1500.0
 # Reads that wait for a leader; what is older is of no use by then.
-TOLD_MAX = 1024
+PENDING_PREFILLS_MAX = 1024
 
 
-class Spread:
+class SoftState:
     """Used on the loop only. `own` is the VM that this is."""
 
-    def __init__(self, own: CoreVm) -> None:
-        self._halls = {own.address: own.hall}
+    def __init__(self, local: CoreVm) -> None:
+        self._halls = {local.address: local.hall}
         self.endpoints = EndpointList()
-        self._endpoints_ms = monotonic_ms()
+        self._endpoints_changed_ms = monotonic_ms()
         self.tallies = Tallies()
-        self.reads = ReadLog()
+        self.prefills = PrefillLog()
         # Gateways of one hall together see an engine read many times a second, one
         # of 39 by itself too seldom to know a rate before it needs it.
         self._rates = ReadingRates()
-        self._told: list[PromptRead] = []
-        self._begun_ms = monotonic_ms()
-        self._listed_ms = self._begun_ms
-        self._term_led = 0
+        self._pending_prefills: list[PromptRead] = []
+        self._started_ms = monotonic_ms()
+        self._list_read_ms = self._started_ms
+        self._leader_term = 0
         self._gateways: dict[GatewayVm, float] = {}
         self.gateways: tuple[GatewayVm, ...] = ()
-        self._leader_heard_ms = float("-inf")
+        self._leader_reply_ms = float("-inf")
         self._changed = asyncio.Event()
-        self._running: dict[str, dict[int, float]] = {}
-        self._moved: dict[str, dict[int, float]] = {}
+        self._running_sessions: dict[str, dict[int, float]] = {}
+        self._moved_sessions: dict[str, dict[int, float]] = {}
         # By service and version.
         self._begun_in_trial: dict[tuple[str, str], dict[int, float]] = {}
         self.crashes = UnloggedCrashes()
         # Set when something was told that the leader should hear at once.
         self.urgent = asyncio.Event()
 
-    def asked(self, request: SyncRequest) -> None:
+    def apply_request(self, request: SyncRequest) -> None:
         """Somebody asks, and tells what it knows."""
         now_ms = monotonic_ms()
         for gateway in request.gateways:
@@ -75,8 +75,8 @@
             self._halls[request.core.address] = request.core.hall
         self.tallies.add(request.tallies)
         for sessions in request.sessions:
-            self._take_sessions(sessions, now_ms)
-        self.tell_reads(request.reads)
+            self._apply_sessions(sessions, now_ms)
+        self.add_prefills(request.prefills)
         self._rates.add(request.rates)
         if self.crashes.take(request.crashes):
             self.urgent.set()
@@ -85,42 +85,47 @@
         """Core VMs by their addresses, with their halls as far as they are known."""
         return tuple(CoreVm(a, self._halls.get(a, "")) for a in addresses)
 
-    def _take_sessions(self, sessions: SessionMarks, now_ms: float) -> None:
+    def _apply_sessions(self, sessions: SessionMarks, now_ms: float) -> None:
         if sessions.trial_version:
             key = sessions.service, sessions.trial_version
-            self._take_moved(self._begun_in_trial.setdefault(key, {}), sessions, now_ms)
+            self._apply_moved(
+                self._begun_in_trial.setdefault(key, {}), sessions, now_ms
+            )
             return
-        running = self._running.setdefault(sessions.service, {})
+        running = self._running_sessions.setdefault(sessions.service, {})
         running.update(dict.fromkeys(sessions.marks, now_ms))
-        moved = self._moved.setdefault(sessions.service, {})
-        self._take_moved(moved, sessions, now_ms)
+        moved = self._moved_sessions.setdefault(sessions.service, {})
+        self._apply_moved(moved, sessions, now_ms)
 
-    def _take_moved(
+    def _apply_moved(
         self, moved: dict[int, float], sessions: SessionMarks, now_ms: float
     ) -> None:
         if not moved.keys() >= set(sessions.moved):
             self.urgent.set()
         moved.update(dict.fromkeys(sessions.moved, now_ms))
 
-    def tell_reads(self, reads: tuple[PromptRead, ...]) -> None:
+    def add_prefills(self, prefills: tuple[PromptRead, ...]) -> None:
         """Take reads that are to reach the leader; the oldest give way."""
-        self._told.extend(reads)
-        del self._told[:-TOLD_MAX]
+        self._pending_prefills.extend(prefills)
+        del self._pending_prefills[:-PENDING_PREFILLS_MAX]
 
-    def take_reads(self) -> tuple[PromptRead, ...]:
+    def take_prefills(self) -> tuple[PromptRead, ...]:
         """The reads that the leader has not got yet."""
-        told, self._told = self._told, []
+        told, self._pending_prefills = self._pending_prefills, []
         return tuple(told)
 
-    def sessions(self) -> tuple[SessionMarks, ...]:
+    def recent_sessions(self) -> tuple[SessionMarks, ...]:
         """The sessions that were told lately, by service."""
-        oldest_ms = monotonic_ms() - SESSION_TOLD_MS
+        oldest_ms = monotonic_ms() - SESSION_REPORT_MAX_AGE_MS
         found = []
-        for service in self._running:
-            for told in (self._running, self._moved):
+        for service in self._running_sessions:
+            for told in (self._running_sessions, self._moved_sessions):
                 marks = told[service].items()
                 told[service] = {mark: at for mark, at in marks if at >= oldest_ms}
-            running, moved = self._running[service], self._moved[service]
+            running, moved = (
+                self._running_sessions[service],
+                self._moved_sessions[service],
+            )
             found.append(SessionMarks(service, tuple(running), tuple(moved)))
         for (service, version), begun in list(self._begun_in_trial.items()):
             recent = tuple(mark for mark, at in begun.items() if at >= oldest_ms)
@@ -133,7 +138,9 @@
     def live_gateways(self) -> tuple[GatewayVm, ...]:
         """The gateways that have asked lately, here or below."""
         now_ms = monotonic_ms()
-        gone = [g for g, at in self._gateways.items() if now_ms - at > GATEWAY_SEEN_MS]
+        gone = [
+            g for g, at in self._gateways.items() if now_ms - at > GATEWAY_TIMEOUT_MS
+        ]
         for gateway in gone:
             del self._gateways[gateway]
         return tuple(self._gateways)
@@ -141,29 +148,29 @@
     @property
     def endpoints_age_ms(self) -> float:
         """How long ago the endpoints were first read as they are."""
-        return monotonic_ms() - self._endpoints_ms
+        return monotonic_ms() - self._endpoints_changed_ms
 
     @property
-    def hears_leader(self) -> bool:
+    def leader_reachable(self) -> bool:
         """Whether the leader has answered lately."""
-        return monotonic_ms() - self._leader_heard_ms < LEADER_HEARD_MS
+        return monotonic_ms() - self._leader_reply_ms < LEADER_TIMEOUT_MS
 
-    def learn(self, reply: SyncReply) -> None:
+    def apply_reply(self, reply: SyncReply) -> None:
         """Take the leader's answer."""
         if not reply.current:
             return
-        self._leader_heard_ms = monotonic_ms()
+        self._leader_reply_ms = monotonic_ms()
         self._halls.update({m.address: m.hall for m in reply.members if m.hall})
         if reply.gateways is not None:
             self.gateways = reply.gateways
-        self._listed_ms = self._leader_heard_ms - reply.list_age_ms
-        self.reads.learn(reply.reads_known, reply.reads)
+        self._list_read_ms = self._leader_reply_ms - reply.list_age_ms
+        self.prefills.apply(reply.prefills_known, reply.prefills)
         if reply.endpoints is not None:
             self.endpoints = reply.endpoints
-            self._endpoints_ms = self._leader_heard_ms - reply.endpoints_age_ms
-            self.wake()
+            self._endpoints_changed_ms = self._leader_reply_ms - reply.endpoints_age_ms
+            self.notify_changed()
 
-    def lead(
+    def apply_leader_state(
         self, term: int, listed: EndpointList, read_ms: float, changed_ms: float
     ) -> None:
         """Take what this VM knows as the leader of a term.
@@ -171,18 +178,18 @@
         `read_ms` is when the platform's list was last read, `changed_ms` when it was
         first read as it is now.
         """
-        self.reads.extend(term, self.take_reads())
-        if term != self._term_led:
-            self._term_led = term
-            self._inherit_gateways()
+        self.prefills.extend(term, self.take_prefills())
+        if term != self._leader_term:
+            self._leader_term = term
+            self._adopt_gateways()
         self.gateways = tuple(sorted(self.live_gateways()))
-        self._listed_ms = max(self._listed_ms, read_ms)
+        self._list_read_ms = max(self._list_read_ms, read_ms)
         if listed.order > self.endpoints.order:
             self.endpoints = listed
-            self._endpoints_ms = changed_ms
-            self.wake()
+            self._endpoints_changed_ms = changed_ms
+            self.notify_changed()
 
-    def _inherit_gateways(self) -> None:
+    def _adopt_gateways(self) -> None:
         """Begin a term with the gateways that the leader before told of.
 
         They ask this VM, or another that tells it, within half a second. Without
@@ -194,7 +201,7 @@
         for gateway in self.gateways:
             self._gateways.setdefault(gateway, now_ms)
 
-    def reply(
+    def build_reply(
         self,
         request: SyncRequest,
         current: bool,
@@ -211,14 +218,14 @@
         return SyncReply(
             current,
             members,
-            self._gateways_unknown_to(request),
+            self._gateways_if_changed(request),
             state.version,
             state.document if newer else b"",
             endpoints if endpoints.order > request.list_order else None,
             rollouts,
-            monotonic_ms() - self._listed_ms,
-            self.reads.since(request.reads_known),
-            self.reads.position,
+            monotonic_ms() - self._list_read_ms,
+            self.prefills.since(request.prefills_known),
+            self.prefills.position,
             self._rates.estimates(),
             state.crashes.since(request.crashes_known),
             state.crashes.number,
@@ -226,15 +233,15 @@
             self.endpoints_age_ms,
         )
 
-    def _gateways_unknown_to(
+    def _gateways_if_changed(
         self, request: SyncRequest
     ) -> tuple[GatewayVm, ...] | None:
         if gateways_digest(self.gateways) == request.gateways_known:
             return None
-        young = monotonic_ms() - self._begun_ms < GATEWAYS_SETTLE_MS
+        young = monotonic_ms() - self._started_ms < GATEWAYS_SETTLE_MS
         return None if young and request.gateways_known else self.gateways
 
-    def wake(self) -> None:
+    def notify_changed(self) -> None:
         """There may be news: answer who waits."""
         self._changed.set()
         self._changed = asyncio.Event()
@@ -249,7 +256,7 @@
             pass
 
 
-def has_news(reply: SyncReply) -> bool:
+def has_updates(reply: SyncReply) -> bool:
     """Whether an answer brings anything newer."""
     listed = reply.endpoints is not None
     evacuated = reply.evacuations is not None
--- a/ashlatch/gateway/corenews.py
+++ b/ashlatch/gateway/corenews.py
@@ -99,9 +99,9 @@
 
     def learn_reads(self, reply: SyncReply) -> None:
         """Take what engines have read for other gateways."""
-        self.reads_known = reply.reads_known
+        self.reads_known = reply.prefills_known
         now_ms = _now_ms()
-        for read in reply.reads:
+        for read in reply.prefills:
             memory_tokens = self._known.memory_tokens(read.instance)
             state = self._known.directory.state(read.instance)
             if state is not None and state.ended_lately(now_ms):
--- a/ashlatch/gateway/directory.py
+++ b/ashlatch/gateway/directory.py
@@ -306,7 +306,7 @@
             return EndpointState(listed)
         if known.endpoint.address != listed.address:
             return EndpointState(listed)
-        if listed.begins_after(known.endpoint):
+        if listed.is_later_incarnation_of(known.endpoint):
             self.life_ended(listed.instance)
             return EndpointState(listed)
         # A list that lags may still tell the start before the last one.
--- a/ashlatch/gateway/exchange.py
+++ b/ashlatch/gateway/exchange.py
@@ -12,7 +12,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from ashlatch.catalog import Repeat
+from ashlatch.catalog import RepeatPolicy
 from ashlatch.gateway.account import Account
 from ashlatch.gateway.admission import (
     RETRY_AFTER_S,
@@ -140,7 +140,7 @@
         self._expected_first_ms = self._chooser.expected_ms(choice, self._model)
         self._account.sent(choice, self._model, self._why)
         choice.state.breaker.sent(self._now_ms())
-        repeatable = self._route.repeat is not Repeat.NEVER
+        repeatable = self._route.repeat is not RepeatPolicy.NEVER
         pool = self._known.pool
         return Attempt(
             choice.state,
@@ -299,9 +299,9 @@
     def _may_send_again(self, kind: FailureKind) -> bool:
         if self._held() is not None:
             return False
-        if not kind.not_run and self._route.repeat is Repeat.NEVER:
+        if not kind.not_run and self._route.repeat is RepeatPolicy.NEVER:
             return False
-        if self._account.events and self._route.repeat is not Repeat.RESUME:
+        if self._account.events and self._route.repeat is not RepeatPolicy.RESUME:
             return False
         if self._account.events and not self._last_event:
             return False
--- a/ashlatch/gateway/patience.py
+++ b/ashlatch/gateway/patience.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ashlatch.catalog import Repeat, Route
+from ashlatch.catalog import RepeatPolicy, Route
 
 __all__ = [
     "CONNECT_MAX_S",
@@ -56,7 +56,7 @@
     route: Route, expected_ms: float, may_give_up: Callable[[], bool]
 ) -> Patience:
     """Until the beginning of an answer that is expected after some time."""
-    if route.repeat is Repeat.NEVER:
+    if route.repeat is RepeatPolicy.NEVER:
         return Patience(None, _never)
     aimed_ms = SILENCE_RATIO * route.target_ms
     usual_ms = SILENCE_USUAL_RATIO * expected_ms
@@ -76,7 +76,7 @@
 
 def event_patience(route: Route, may_give_up: Callable[[], bool]) -> Patience:
     """Between two events of a stream that has begun."""
-    if route.repeat is not Repeat.RESUME or not route.event_gap_max_ms:
+    if route.repeat is not RepeatPolicy.RESUME or not route.event_gap_max_ms:
         return Patience(None, _never)
     silence_s = EVENT_SILENCE_RATIO * route.event_gap_max_ms / 1000.0
     return Patience(silence_s, may_give_up)
--- a/ashlatch/gateway/sync.py
+++ b/ashlatch/gateway/sync.py
@@ -20,7 +20,7 @@
 from ashlatch.codec import TRAFFIC
 from ashlatch.errors import TransportError
 from ashlatch.fleet.discovery import ListReader, ListUnreadable
-from ashlatch.fleet.peers import PeerBook
+from ashlatch.fleet.peers import PeerConnections
 from ashlatch.fleet.protocol import (
     SYNC,
     SyncReply,
@@ -99,7 +99,7 @@
         self._reader = ListReader(list_address)
         self._wait_ms = wait_ms
         self._own = own
-        self._book = PeerBook()
+        self._book = PeerConnections()
         self._contact = CoreContact(own.hall, lambda: seeds.addresses, known.generator)
         self._news = CoreNews(known)
         self._loop = asyncio.get_running_loop()
@@ -299,7 +299,7 @@
     def _take(self, address: str, reply: SyncReply) -> None:
         if reply.members:
             self._contact.learn(reply.members)
-            self._book.keep_only(self._contact.known())
+            self._book.retain(self._contact.known())
         self._news.take(address, reply)
         if reply.current:
             self._regain(address)
--- a/ashlatch/platform/document.py
+++ b/ashlatch/platform/document.py
@@ -21,7 +21,7 @@
     EngineSpec,
     ModelPrice,
     Organisation,
-    Repeat,
+    RepeatPolicy,
     Rollout,
     RolloutStage,
     Route,
@@ -196,10 +196,12 @@
     return (ServiceShare(route.service, 1.0),) if route.service else ()
 
 
-def _repeat(route: _Route) -> Repeat:
+def _repeat(route: _Route) -> RepeatPolicy:
     if route.route_kind == "stream":
-        return Repeat.RESUME if route.resumable else Repeat.NEVER
-    return Repeat.FREELY if route.route_kind == "idempotent" else Repeat.NEVER
+        return RepeatPolicy.RESUME if route.resumable else RepeatPolicy.NEVER
+    return (
+        RepeatPolicy.FREELY if route.route_kind == "idempotent" else RepeatPolicy.NEVER
+    )
 
 
 def _route(route: _Route) -> Route:
--- a/ashlatch/raft/group.py
+++ b/ashlatch/raft/group.py
@@ -43,7 +43,7 @@
 from ashlatch.raft.message import Entry, Member, Members, Message
 from ashlatch.raft.storage import GroupStorage
 
-__all__ = ["Group", "NotLeading", "Replica", "Standing"]
+__all__ = ["Group", "GroupStatus", "NotLeading", "Replica"]
 
 TICK_MS = 20.0
 MAX_BATCH = 512
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True)
-class Standing:
+class GroupStatus:
     """What a group's member knew of itself after its last batch of events."""
 
     member_id: str
@@ -141,7 +141,7 @@
         replica.restore(boot.snapshot_data)
         self.applied_index = boot.snapshot.index
         self._core = RaftCore(config, boot, monotonic_ms())
-        self.standing = self._describe()
+        self.status = self._describe()
         self._thread = threading.Thread(
             target=self._run, name=f"group-{config.group}", daemon=True
         )
@@ -182,8 +182,8 @@
             while self._round():
                 pass
         except BaseException as error:
-            self.standing = dataclasses.replace(
-                self.standing, leading=False, readable=False, leader_address=""
+            self.status = dataclasses.replace(
+                self.status, leading=False, readable=False, leader_address=""
             )
             self._storage.close()
             self.failed(error)
@@ -201,7 +201,7 @@
         effects += self._core.step(now_ms, Tick())
         effects += self._core.step(now_ms, Flush())
         applied = self._perform_all(effects)
-        self.standing = self._describe()
+        self.status = self._describe()
         if applied:
             self.changed()
         return True
@@ -315,13 +315,13 @@
         leader = self._core.leader
         return leader.address if leader else ""
 
-    def _describe(self) -> Standing:
+    def _describe(self) -> GroupStatus:
         core = self._core
         matches = {key: p.match_index for key, p in core.progress.items()}
         matches[core.member_id] = core.synced_index
         answered = {key: core.acked_ms(key) for key in matches}
         added = {key: p.added_ms for key, p in core.progress.items()}
-        return Standing(
+        return GroupStatus(
             core.member_id,
             core.term,
             core.leading,
--- a/ashlatch/router/host.py
+++ b/ashlatch/router/host.py
@@ -21,7 +21,7 @@
 
 from ashlatch.adapter.bounds import AttemptBounds
 from ashlatch.adapter.engine import EngineCall, Prices
-from ashlatch.adapter.liveness import has_ended
+from ashlatch.adapter.liveness import refuses_connections
 from ashlatch.adapter.notices import decode_notice
 from ashlatch.adapter.service import call_service
 from ashlatch.client import StateClient
@@ -222,7 +222,7 @@
         result = self._call(effect)
         wanted = effect.attempt_id not in self._cancelled
         if isinstance(result, Broken) and not result.replied and wanted:
-            result = replace(result, ended=has_ended(effect.url))
+            result = replace(result, ended=refuses_connections(effect.url))
         self._cancelled.discard(effect.attempt_id)
         request = effect.request
         if isinstance(result, Answered) and request.kind is RequestKind.CHAT:
--- a/ashlatch/store/member.py
+++ b/ashlatch/store/member.py
@@ -22,7 +22,7 @@
 from ashlatch.errors import AshlatchError
 from ashlatch.log import LogEvent, emit
 from ashlatch.raft.core import RaftConfig
-from ashlatch.raft.group import Group, Standing
+from ashlatch.raft.group import Group, GroupStatus
 from ashlatch.raft.message import Member, Members
 from ashlatch.raft.storage import (
     GroupStorage,
@@ -153,9 +153,9 @@
         self.expired_s = monotonic_s()
 
     @property
-    def standing(self) -> Standing:
+    def standing(self) -> GroupStatus:
         """What this member knows of itself and its group."""
-        return self.group.standing
+        return self.group.status
 
     async def commit(self, command: Command) -> Outcome:
         """Stamp a command, and wait until it is applied; fails as `propose`."""
--- a/ashlatch/store/status.py
+++ b/ashlatch/store/status.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ashlatch.raft.group import Standing
+from ashlatch.raft.group import GroupStatus
 from ashlatch.raft.message import Member
 from ashlatch.store.lease import Leases
 from ashlatch.store.machine import State
@@ -24,7 +24,7 @@
 
 
 def describe(
-    standing: Standing,
+    standing: GroupStatus,
     state: State,
     leases: Leases,
     now_ms: float,
@@ -67,7 +67,7 @@
     )
 
 
-def losses_survived(standing: Standing, now_ms: float) -> int:
+def losses_survived(standing: GroupStatus, now_ms: float) -> int:
     """How many answering, current voters may be lost while a quorum stays.
 
     None while a change of members is under way: it may be lost itself, and
@@ -84,19 +84,21 @@
     return len(current) - standing.members.quorum()
 
 
-def _lag(standing: Standing, member: Member) -> int:
+def _lag(standing: GroupStatus, member: Member) -> int:
     match_index = standing.match_index.get(member.member_id, 0)
     return max(0, standing.commit_index - match_index)
 
 
-def _silent_ms(standing: Standing, member: Member, now_ms: float) -> float:
+def _silent_ms(standing: GroupStatus, member: Member, now_ms: float) -> float:
     if member.member_id == standing.member_id:
         return 0.0
     answered_ms = standing.answered_ms.get(member.member_id, standing.leading_since_ms)
     return now_ms - max(answered_ms, standing.leading_since_ms)
 
 
-def _member_status(standing: Standing, member: Member, now_ms: float) -> MemberStatus:
+def _member_status(
+    standing: GroupStatus, member: Member, now_ms: float
+) -> MemberStatus:
     voter = member.member_id in standing.members.voter_ids()
     role = "voter" if voter else "learner"
     if member.member_id == standing.member_id:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -347,7 +347,7 @@
         "latest-answers-held-to-calm-ones",
         "ashlatch/fleet/evaluation.py",
         "        for window_ms in WINDOWS_MS:\n"
-        "            yield self._within(window_ms, now_ms)\n",
+        "            yield self._sum_window(window_ms, now_ms)\n",
         "",
         FLEET,
     ),
@@ -431,7 +431,7 @@
     Mutant(
         "crashes-not-committed",
         "ashlatch/fleet/daemon.py",
-        "            await self._orders.commit_here(NoteCrashes(records))\n",
+        "            await self._commands.commit_local(RecordCrashes(records))\n",
         "            return\n",
         CRASHING,
     ),
@@ -571,7 +571,7 @@
     Mutant(
         "load-test-by-the-bound-of-one-sheet",
         "ashlatch/fleet/exposure.py",
-        "        share * TESTED_PART,\n",
+        "        share * TESTED_SHARE_RATIO,\n",
         "        0.125,\n",
         EXPOSED,
     ),
@@ -858,8 +858,8 @@
     Mutant(
         "added-member-silent-since-the-leader-began",
         "ashlatch/fleet/membership.py",
-        "standing.added_ms.get(member.member_id, standing.leading_since_ms)",
-        "standing.leading_since_ms",
+        "status.added_ms.get(member.member_id, status.leading_since_ms)",
+        "status.leading_since_ms",
         FLEET,
     ),
     Mutant(
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -16,7 +16,7 @@
 from ashlatch.clock import ClockLoop, monotonic_ms
 from ashlatch.fleet.seeds import Seeds
 from ashlatch.gateway.sync import STOOD_STILL_MS, FleetLink
-from ashlatch.raft.group import Standing
+from ashlatch.raft.group import GroupStatus
 from ashlatch.rpc import RpcLoop
 from ashlatch.suspension import SuspensionMeter
 from tests.gateway import GatewayHarness, ask
@@ -63,9 +63,9 @@
 
     def test_a_leader_that_wakes_has_no_lease(self) -> None:
         with Suspension() as vm:
-            standing = mock.Mock(spec=Standing, readable=True)
+            standing = mock.Mock(spec=GroupStatus, readable=True)
             standing.lease_until_ms = monotonic_ms() + 400.0
-            may_read = Standing.may_read.__get__(standing)
+            may_read = GroupStatus.may_read.__get__(standing)
             self.assertTrue(may_read(monotonic_ms()))
             vm.suspended_s = SUSPENDED_S
             self.assertFalse(may_read(monotonic_ms()))
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -21,7 +21,7 @@
     RolloutStage,
     Service,
 )
-from ashlatch.fleet.leader import ListKeeper, RolloutKeeper
+from ashlatch.fleet.leader import ListPoller, RolloutController
 from ashlatch.gateway.cold import ColdGate, warm_up_returned
 from ashlatch.gateway.directory import UNPROVEN_MS, Directory, EndpointState
 from ashlatch.gateway.routing import RouteTable
@@ -236,7 +236,7 @@
             async def read(self) -> tuple[Endpoint, ...]:
                 return reads.pop(0)
 
-        keeper = ListKeeper(Reader(), 1000.0)  # type: ignore[arg-type]
+        keeper = ListPoller(Reader(), 1000.0)  # type: ignore[arg-type]
 
         def read(now_ms: float, cold_left_ms: float) -> bool:
             reads.append((endpoint(cold_left_ms=cold_left_ms),))
@@ -245,7 +245,7 @@
         self.assertTrue(read(0.0, 0.0))
         self.assertFalse(read(1000.0, 0.0))
         self.assertTrue(read(2000.0, 2800.0))
-        self.assertEqual(2000.0, keeper.newest_ms)
+        self.assertEqual(2000.0, keeper.newest_since_ms)
         self.assertFalse(read(3000.0, 1900.0))
         self.assertFalse(read(4000.0, 700.0))
         self.assertFalse(read(5000.0, 0.0))
@@ -283,34 +283,34 @@
 class RolloutTest(testtools.TestCase):
     def test_a_trial_waits_for_a_warm_endpoint(self) -> None:
         """Few gateways may send to a cold one, and a session may come by any."""
-        keeper = RolloutKeeper()
+        keeper = RolloutController()
         order = Rollout("app", "v1", RolloutStage.TRIAL, 0.0, 1, 20_000.0)
         keeper.observe((order,), 0.0)
         cold = EndpointList(1, 1, (endpoint(cold_left_ms=3000.0),))
-        self.assertEqual([], list(keeper.moves((order,), cold, 1900.0)))
+        self.assertEqual([], list(keeper.due_updates((order,), cold, 1900.0)))
         warm = EndpointList(1, 2, (endpoint(),))
-        (move,) = keeper.moves((order,), warm, 2100.0)
+        (move,) = keeper.due_updates((order,), warm, 2100.0)
         self.assertTrue(move.share > 0.0)
 
     def test_time_that_runs_down_is_not_listed_again(self) -> None:
         """The list tells once for how long an endpoint is cold."""
-        keeper = RolloutKeeper()
+        keeper = RolloutController()
         order = Rollout("app", "v1", RolloutStage.TRIAL, 0.0, 1, 20_000.0)
         keeper.observe((order,), 0.0)
         listed = EndpointList(1, 1, (endpoint(cold_left_ms=3000.0),))
         # The time is noted, and nothing goes to the version yet.
-        (early,) = keeper.moves((order,), listed, 2900.0, listed_age_ms=2900.0)
+        (early,) = keeper.due_updates((order,), listed, 2900.0, listed_age_ms=2900.0)
         self.assertEqual(0.0, early.share)
-        (move,) = keeper.moves((order,), listed, 3100.0, listed_age_ms=3100.0)
+        (move,) = keeper.due_updates((order,), listed, 3100.0, listed_age_ms=3100.0)
         self.assertTrue(move.share > 0.0)
 
     def test_a_trial_does_not_wait_for_ever(self) -> None:
         """Endpoints that stay cold for longer than that are judged as they are."""
-        keeper = RolloutKeeper()
+        keeper = RolloutController()
         order = Rollout("app", "v1", RolloutStage.TRIAL, 0.0, 1, 20_000.0)
         keeper.observe((order,), 0.0)
         cold = EndpointList(1, 1, (endpoint(cold_left_ms=60_000.0),))
-        moves = list(keeper.moves((order,), cold, 6000.0))
+        moves = list(keeper.due_updates((order,), cold, 6000.0))
         self.assertTrue(moves and moves[0].share > 0.0)
 
     def test_a_load_test_leaves_cold_endpoints_alone(self) -> None:
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from ashlatch.catalog import Repeat, Rollout, RolloutStage
+from ashlatch.catalog import RepeatPolicy, Rollout, RolloutStage
 from ashlatch.platform.document import (
     DocumentError,
     decode_catalog,
@@ -27,7 +27,12 @@
         catalog = decode_catalog(encoded(document(7)))
         self.assertEqual(7, catalog.version)
         repeats = [route.repeat for route in catalog.routes]
-        expected = [Repeat.FREELY, Repeat.NEVER, Repeat.FREELY, Repeat.RESUME]
+        expected = [
+            RepeatPolicy.FREELY,
+            RepeatPolicy.NEVER,
+            RepeatPolicy.FREELY,
+            RepeatPolicy.RESUME,
+        ]
         self.assertEqual(expected, repeats)
         self.assertEqual(("small", "middle", "large"), catalog.routes[3].models)
         self.assertEqual(2, catalog.organisations[0].priority)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -32,7 +32,7 @@
 )
 from ashlatch.fleet.operators import NoQuorum, OperatorApi
 from ashlatch.fleet.protocol import ReadReply, SyncRequest
-from ashlatch.fleet.soft_state import Spread, has_news
+from ashlatch.fleet.soft_state import SoftState, has_updates
 from ashlatch.gateway.directory import Directory
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import VersionChooser
@@ -180,13 +180,13 @@
 
 class SpreadTest(testtools.TestCase):
     def test_news_for_who_knows_less(self) -> None:
-        spread = Spread(CoreVm("a:1", "h"))
+        spread = SoftState(CoreVm("a:1", "h"))
         state = FleetState(evacuations=Evacuations(2, ("h",)))
         for known, expected in ((0, state.evacuations), (2, None)):
             request = SyncRequest("g", (), 0, (0, 0), 0, 0.0, evacuations_known=known)
-            reply = spread.reply(request, True, (), state)
+            reply = spread.build_reply(request, True, (), state)
             self.assertEqual(expected, reply.evacuations)
-            self.assertEqual(expected is not None, has_news(reply))
+            self.assertEqual(expected is not None, has_updates(reply))
 
 
 def endpoint(instance: str, hall: str, version: str = "v1") -> Endpoint:
--- a/tests/test_evaluation.py
+++ b/tests/test_evaluation.py
@@ -32,7 +32,7 @@
     def decide(self, part: float, evidence: Evidence, share: float = 0.1) -> Decision:
         stage = RolloutStage.TRIAL if part < 0.5 else RolloutStage.SHIFT
         rollout = Rollout("app", "v2", stage, share, 1, 20_000.0)
-        return decide(rollout, part * 20_000.0, evidence, 0.0, listed=True)
+        return decide(rollout, part * 20_000.0, evidence, 0.0, ready=True)
 
     def test_good(self) -> None:
         good = self.evidence()
@@ -112,7 +112,7 @@
         evidence = self.evidence(answered=400)
         evidence.add((self.tally("v2", 12, late=6),), 10_000.0)
         rollout = Rollout("app", "v2", RolloutStage.SHIFT, 0.3, 1, 20_000.0)
-        decision = decide(rollout, 11_000.0, evidence, 11_000.0, listed=True)
+        decision = decide(rollout, 11_000.0, evidence, 11_000.0, ready=True)
         self.assertEqual(RolloutStage.ROLLED_BACK, decision.stage)
 
     def slowing(self, *old: Tally) -> Decision:
@@ -127,7 +127,7 @@
             evidence.add((tally,), 9000.0)
         evidence.add((self.tally("v2", 8, late=8),), 9500.0)
         rollout = Rollout("app", "v2", RolloutStage.TRIAL, 0.1, 1, 20_000.0)
-        return decide(rollout, 9500.0, evidence, 9500.0, listed=True)
+        return decide(rollout, 9500.0, evidence, 9500.0, ready=True)
 
     def test_what_slows_both_versions_is_no_fault(self) -> None:
         decision = self.slowing(self.tally("v1", 40, late=40))
@@ -172,7 +172,7 @@
             evidence.add((self.tally("v1", 30, route=route),), 0.0)
             evidence.add((self.tally("v2", 3, late=2, route=route),), 0.0)
         rollout = Rollout("app", "v2", RolloutStage.TRIAL, 0.25, 1, 20_000.0)
-        return decide(rollout, 6000.0, evidence, 0.0, listed=True, plain=plain)
+        return decide(rollout, 6000.0, evidence, 0.0, ready=True, plain=plain)
 
     def test_a_plain_service_is_judged_over_all_routes(self) -> None:
         """Its answers take as long at once as later: it keeps no prompts."""
@@ -192,10 +192,10 @@
         evidence.add((self.tally("v1", 40, 20),), 9000.0)
         evidence.add((self.tally("v2", 6, 4),), 9500.0)
         rollout = Rollout("app", "v2", RolloutStage.TRIAL, 0.1, 1, 20_000.0)
-        decision = decide(rollout, 9500.0, evidence, 9500.0, listed=True)
+        decision = decide(rollout, 9500.0, evidence, 9500.0, ready=True)
         self.assertEqual(RolloutStage.TRIAL, decision.stage, decision.reason)
 
     def test_waits_for_endpoints(self) -> None:
         rollout = Rollout("app", "v2", RolloutStage.TRIAL, 0.0, 1, 20_000.0)
-        decision = decide(rollout, 15_000.0, Evidence(), 0.0, listed=False)
+        decision = decide(rollout, 15_000.0, Evidence(), 0.0, ready=False)
         self.assertEqual((RolloutStage.TRIAL, 0.0), (decision.stage, decision.share))
--- a/tests/test_exposure.py
+++ b/tests/test_exposure.py
@@ -54,7 +54,7 @@
             tally = Tally(key, count, 0, {step_of(60.0): count} if count else {})
             self.evidence.add((tally,), now_ms)
         decision = decide(
-            self.rollout, now_ms, self.evidence, now_ms, listed=True, plan=self.plan
+            self.rollout, now_ms, self.evidence, now_ms, ready=True, plan=self.plan
         )
         self.rollout = Rollout(
             "app", "v2", decision.stage, decision.share, 1, self.end_ms
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,19 +11,19 @@
     RolloutStage,
 )
 from ashlatch.codec import digest, encode
-from ashlatch.fleet.bootstrap import founders, open_member
+from ashlatch.fleet.bootstrap import bootstrap_members, open_member
 from ashlatch.fleet.machine import (
     Accepted,
     BeginRollout,
     Command,
     Conflict,
     FleetMachine,
-    MoveRollout,
     Outcome,
     ReplaceDocument,
+    UpdateRollout,
 )
-from ashlatch.fleet.membership import enough_voters, silent_member
-from ashlatch.raft.group import Standing
+from ashlatch.fleet.membership import find_unresponsive_member, has_enough_voters
+from ashlatch.raft.group import GroupStatus
 from ashlatch.raft.message import Member, Members
 
 SEEDS = ("10.0.0.1:70", "10.0.0.2:70", "10.0.0.3:70")
@@ -53,12 +53,12 @@
         begin = BeginRollout("app", "v2", 1000.0)
         self.assertEqual(Accepted(True), self.apply(begin))
         self.assertEqual(Accepted(False), self.apply(begin))
-        move = MoveRollout("app", 1, RolloutStage.SHIFT, 0.3, 500.0)
+        move = UpdateRollout("app", 1, RolloutStage.SHIFT, 0.3, 500.0)
         self.assertEqual(Accepted(True), self.apply(move))
         self.assertEqual(Accepted(False), self.apply(move))
-        bad = MoveRollout("app", 2, RolloutStage.ROLLED_BACK, 0.0, 600.0)
+        bad = UpdateRollout("app", 2, RolloutStage.ROLLED_BACK, 0.0, 600.0)
         self.assertEqual(Accepted(True), self.apply(bad))
-        late = MoveRollout("app", 3, RolloutStage.COMPLETED, 1.0, 700.0)
+        late = UpdateRollout("app", 3, RolloutStage.COMPLETED, 1.0, 700.0)
         self.assertEqual(Accepted(False), self.apply(late))
 
     def test_snapshot(self) -> None:
@@ -84,9 +84,9 @@
 
     def test_seeds_found_the_same_group(self) -> None:
         shuffled = random.Random(1).sample(SEEDS, 3)
-        self.assertEqual(founders(SEEDS), founders(tuple(shuffled)))
+        self.assertEqual(bootstrap_members(SEEDS), bootstrap_members(tuple(shuffled)))
         member, members = self.open(SEEDS[1], True)
-        self.assertEqual(founders(SEEDS), members)
+        self.assertEqual(bootstrap_members(SEEDS), members)
         self.assertIn(member, members.voters)
 
     def test_folder_is_kept(self) -> None:
@@ -102,16 +102,18 @@
     def test_an_emptied_seed_is_a_new_member(self) -> None:
         member, members = self.open(SEEDS[0], False)
         self.assertEqual(Members(), members)
-        self.assertNotIn(member.member_id, founders(SEEDS).voter_ids())
+        self.assertNotIn(member.member_id, bootstrap_members(SEEDS).voter_ids())
 
 
-def standing(voters: int, silent: dict[int, float], committed: bool = True) -> Standing:
+def standing(
+    voters: int, silent: dict[int, float], committed: bool = True
+) -> GroupStatus:
     """A leader's standing at 100 s; `silent` voters were heard so long ago."""
     members = tuple(Member(f"m{n}", f"v{n}", f"a{n}") for n in range(voters))
     answered = {
         m.member_id: 100_000.0 - silent.get(n, 50.0) for n, m in enumerate(members)
     }
-    return Standing(
+    return GroupStatus(
         "m0",
         1,
         True,
@@ -131,12 +133,12 @@
 
 class MembershipTest(testtools.TestCase):
     def test_enough_voters(self) -> None:
-        self.assertFalse(enough_voters(standing(3, {}), 2, 1000.0))
-        self.assertFalse(enough_voters(standing(4, {}), 2, 1000.0))
-        self.assertTrue(enough_voters(standing(4, {}), 2, 9000.0))
-        self.assertFalse(enough_voters(standing(3, {}), 2, 9000.0))
-        self.assertTrue(enough_voters(standing(5, {}), 2, 0.0))
-        self.assertFalse(enough_voters(standing(5, {}, committed=False), 2, 0.0))
+        self.assertFalse(has_enough_voters(standing(3, {}), 2, 1000.0))
+        self.assertFalse(has_enough_voters(standing(4, {}), 2, 1000.0))
+        self.assertTrue(has_enough_voters(standing(4, {}), 2, 9000.0))
+        self.assertFalse(has_enough_voters(standing(3, {}), 2, 9000.0))
+        self.assertTrue(has_enough_voters(standing(5, {}), 2, 0.0))
+        self.assertFalse(has_enough_voters(standing(5, {}, committed=False), 2, 0.0))
 
     def test_a_member_that_was_added_a_moment_ago_is_not_taken_out(self) -> None:
         now_ms = 100_000.0
@@ -149,15 +151,15 @@
             answered_ms={**before.answered_ms, "m9": float("-inf")},
             added_ms={"m9": now_ms - 1.0},
         )
-        self.assertIsNone(silent_member(known, 2, now_ms))
-        found = silent_member(known, 2, now_ms + 4000.0)
+        self.assertIsNone(find_unresponsive_member(known, 2, now_ms))
+        found = find_unresponsive_member(known, 2, now_ms + 4000.0)
         assert found is not None
         self.assertEqual("m9", found[0].member_id)
 
     def test_silent_members(self) -> None:
         now_ms = 100_000.0
-        self.assertIsNone(silent_member(standing(6, {}), 2, now_ms))
-        self.assertIsNone(silent_member(standing(5, {1: 9000.0}), 2, now_ms))
-        found = silent_member(standing(6, {1: 4000.0, 2: 9000.0}), 2, now_ms)
+        self.assertIsNone(find_unresponsive_member(standing(6, {}), 2, now_ms))
+        self.assertIsNone(find_unresponsive_member(standing(5, {1: 9000.0}), 2, now_ms))
+        found = find_unresponsive_member(standing(6, {1: 4000.0, 2: 9000.0}), 2, now_ms)
         assert found is not None
         self.assertEqual("m2", found[0].member_id)
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -32,7 +32,7 @@
         self.ended = threading.Event()
         self.group.failed = self.fail_with
         self.group.start()
-        wait_until(lambda: self.group.standing.leading, "it leads")
+        wait_until(lambda: self.group.status.leading, "it leads")
 
     def fail_with(self, error: BaseException) -> None:
         self.failed.append(error)
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from ashlatch.fleet.prefill_log import READS_MAX, ReadLog
+from ashlatch.fleet.prefill_log import PREFILLS_MAX, PrefillLog
 from ashlatch.gateway.kept import FRESH_MS, KEPT_MS, KeptParts, PromptRead
 from ashlatch.gateway.message import PromptPart
 
@@ -70,30 +70,30 @@
         return tuple(PromptRead(name, "m", ()) for name in names)
 
     def test_what_is_newer(self) -> None:
-        log = ReadLog()
+        log = PrefillLog()
         log.extend(3, self.reads("a", "b"))
         self.assertEqual(self.reads("a", "b"), log.since((0, 0)))
         self.assertEqual(self.reads("b"), log.since((3, 1)))
         self.assertEqual((), log.since(log.position))
 
     def test_another_leader(self) -> None:
-        log = ReadLog()
+        log = PrefillLog()
         log.extend(3, self.reads("a", "b"))
         log.extend(4, self.reads("c"))
         self.assertEqual((4, 1), log.position)
         self.assertEqual(self.reads("c"), log.since((3, 2)))
 
     def test_followers_take_the_leaders_numbers(self) -> None:
-        leading, following = ReadLog(), ReadLog()
+        leading, following = PrefillLog(), PrefillLog()
         leading.extend(3, self.reads("a", "b"))
-        following.learn(leading.position, leading.since(following.position))
+        following.apply(leading.position, leading.since(following.position))
         leading.extend(3, self.reads("c"))
-        following.learn(leading.position, leading.since(following.position))
+        following.apply(leading.position, leading.since(following.position))
         self.assertEqual(leading.position, following.position)
         self.assertEqual(self.reads("b", "c"), following.since((3, 1)))
 
     def test_bounded(self) -> None:
-        log = ReadLog()
-        log.extend(1, self.reads(*(str(n) for n in range(3 * READS_MAX))))
-        self.assertEqual(READS_MAX, len(log.since((1, 0))))
-        self.assertEqual(3 * READS_MAX, log.position[1])
+        log = PrefillLog()
+        log.extend(1, self.reads(*(str(n) for n in range(3 * PREFILLS_MAX))))
+        self.assertEqual(PREFILLS_MAX, len(log.since((1, 0))))
+        self.assertEqual(3 * PREFILLS_MAX, log.position[1])
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -142,7 +142,7 @@
     def test_reads_of_the_life_that_has_ended_are_not_believed(self) -> None:
         """They are on their way through the core for up to a second."""
         read = PromptRead("i-0", "small", (("aa", 4000),))
-        reply = SyncReply(True, reads=(read,))
+        reply = SyncReply(True, prefills=(read,))
 
         def end(known: Knowledge, state: EndpointState) -> None:
             now_ms = asyncio.get_running_loop().time() * 1000.0
--- a/tests/test_prefix_caches.py
+++ b/tests/test_prefix_caches.py
@@ -6,7 +6,7 @@
 import testtools
 
 from ashlatch.catalog import Endpoint
-from ashlatch.fleet.prefix_caches import PART_TOKENS_MIN, PARTS_MAX, read_memories
+from ashlatch.fleet.prefix_caches import PART_TOKENS_MIN, PARTS_MAX, read_prefix_caches
 from ashlatch.gateway.kept import PromptRead
 from tests.gateway import hang
 from tests.stub_server import Script, StandIn, answer
@@ -29,7 +29,7 @@
                 Endpoint(f"i-{n}", "app", e.address, "h", "v1", 8, False)
                 for n, e in enumerate(engines)
             )
-            reads = await read_memories(listed)
+            reads = await read_prefix_caches(listed)
             self.seen = [engine.seen for engine in engines]
             for engine in engines:
                 engine.stop()
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -11,7 +11,7 @@
 from ashlatch.catalog import CoreVm
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncRequest
-from ashlatch.fleet.soft_state import Spread
+from ashlatch.fleet.soft_state import SoftState
 from ashlatch.gateway.pace import TOKEN_MS_PRIOR, UNTOLD_MAX, Pace
 from ashlatch.policy.reading import RATES_KEPT, ReadingRate, ReadingRates
 
@@ -25,24 +25,24 @@
 
 class SharedPaceTest(testtools.TestCase):
     def test_a_gateway_that_has_seen_nothing(self) -> None:
-        spread, newcomer = Spread(CORE), Pace()
+        spread, newcomer = SoftState(CORE), Pace()
         for n in range(10):
             pace = Pace()
             pace.began("app", "small", 6000, 6000 * SMALL_MS, float(n))
-            spread.asked(asked(pace.take_rates()))
+            spread.apply_request(asked(pace.take_rates()))
             self.assertEqual((), pace.take_rates())
         self.assertEqual(TOKEN_MS_PRIOR, newcomer.token_ms("app", "small"))
-        newcomer.learn(spread.reply(asked(), True, (), FleetState()).rates)
+        newcomer.learn(spread.build_reply(asked(), True, (), FleetState()).rates)
         self.assertAlmostEqual(SMALL_MS, newcomer.token_ms("app", "small"))
         self.assertEqual(TOKEN_MS_PRIOR, newcomer.token_ms("app", "large"))
 
     def test_engines_that_turn_slow_are_noticed(self) -> None:
-        spread, pace = Spread(CORE), Pace()
+        spread, pace = SoftState(CORE), Pace()
         for token_ms in (SMALL_MS, 5 * SMALL_MS):
             for _ in range(RATES_KEPT):
                 pace.began("app", "small", 6000, 6000 * token_ms, 0.0)
-                spread.asked(asked(pace.take_rates()))
-                pace.learn(spread.reply(asked(), True, (), FleetState()).rates)
+                spread.apply_request(asked(pace.take_rates()))
+                pace.learn(spread.build_reply(asked(), True, (), FleetState()).rates)
             self.assertAlmostEqual(token_ms, pace.token_ms("app", "small"))
 
     def test_a_lost_report_is_told_again(self) -> None:
--- a/tests/test_router_crashes.py
+++ b/tests/test_router_crashes.py
@@ -12,7 +12,7 @@
 
 import testtools
 
-from ashlatch.adapter.liveness import has_ended
+from ashlatch.adapter.liveness import refuses_connections
 from ashlatch.http import problem as problems
 from ashlatch.policy.detector import VersionTally
 from ashlatch.policy.quarantine import CrashRecord, Quarantine
@@ -187,11 +187,11 @@
             listener.bind((HOST, 0))
             listener.listen(1)
             url = f"http://{HOST}:{listener.getsockname()[1]}"
-            self.assertFalse(has_ended(url))
-        self.assertTrue(has_ended(url))
+            self.assertFalse(refuses_connections(url))
+        self.assertTrue(refuses_connections(url))
 
     def test_what_is_not_known_is_no_end(self) -> None:
-        self.assertFalse(has_ended("http://no-such-host.invalid:80"))
+        self.assertFalse(refuses_connections("http://no-such-host.invalid:80"))
 
 
 class CrashingChatTest(testtools.TestCase):
@@ -231,4 +231,4 @@
 
 def alive(engine: Fake) -> bool:
     """Whether an engine's process listens."""
-    return not has_ended(engine.url)
+    return not refuses_connections(engine.url)
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -46,7 +46,7 @@
 from ashlatch.fleet.evaluation import Evidence, decide
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncRequest
-from ashlatch.fleet.soft_state import Spread
+from ashlatch.fleet.soft_state import SoftState
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.hearing import HEARD, Teller
@@ -98,7 +98,7 @@
             for version, answered in (("v1", answers_each_step), ("v2", 1))
         )
         evidence.add(tallies, float(elapsed_ms))
-        decision = decide(rollout, elapsed_ms, evidence, elapsed_ms, listed=True)
+        decision = decide(rollout, elapsed_ms, evidence, elapsed_ms, ready=True)
         rollout = Rollout(
             "app",
             "v2",
@@ -222,13 +222,13 @@
         return SyncRequest("vm", gateways, 0, (0, 0), 0, 0.0)
 
     def test_a_new_leader_knows_the_gateways_of_the_one_before(self) -> None:
-        leader, follower = Spread(CORE), Spread(CORE)
+        leader, follower = SoftState(CORE), SoftState(CORE)
         asked = self.request(*self.GATEWAYS)
-        leader.asked(asked)
-        leader.lead(1, EndpointList(), 0.0, 0.0)
-        follower.learn(leader.reply(asked, True, (), FleetState()))
-        follower.lead(2, EndpointList(), 0.0, 0.0)
-        told = follower.reply(self.request(), True, (), FleetState())
+        leader.apply_request(asked)
+        leader.apply_leader_state(1, EndpointList(), 0.0, 0.0)
+        follower.apply_reply(leader.build_reply(asked, True, (), FleetState()))
+        follower.apply_leader_state(2, EndpointList(), 0.0, 0.0)
+        told = follower.build_reply(self.request(), True, (), FleetState())
         self.assertEqual(self.GATEWAYS, told.gateways)
 
 
--- a/tests/test_soft_state.py
+++ b/tests/test_soft_state.py
@@ -5,7 +5,11 @@
 from ashlatch.catalog import CoreVm, EndpointList, GatewayVm, SessionMarks
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncReply, SyncRequest, gateways_digest
-from ashlatch.fleet.soft_state import GATEWAYS_SETTLE_MS, TOLD_MAX, Spread
+from ashlatch.fleet.soft_state import (
+    GATEWAYS_SETTLE_MS,
+    PENDING_PREFILLS_MAX,
+    SoftState,
+)
 from ashlatch.gateway.kept import PromptRead
 
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
@@ -39,44 +43,48 @@
 class SpreadTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.leader = Spread(CORE)
-        self.follower = Spread(CORE)
+        self.leader = SoftState(CORE)
+        self.follower = SoftState(CORE)
 
-    def ask(self, spread: Spread, asked: SyncRequest) -> SyncReply:
-        spread.asked(asked)
-        return spread.reply(asked, True, (), FleetState())
+    def ask(self, spread: SoftState, asked: SyncRequest) -> SyncReply:
+        spread.apply_request(asked)
+        return spread.build_reply(asked, True, (), FleetState())
 
     def follow(self) -> None:
         """One question of the follower to the leader, and its answer."""
         asked = request(
             *self.follower.live_gateways(),
-            reads=self.follower.take_reads(),
-            reads_known=self.follower.reads.position,
+            reads=self.follower.take_prefills(),
+            reads_known=self.follower.prefills.position,
             gateways_known=gateways_digest(self.follower.gateways),
         )
-        self.leader.asked(asked)
-        self.leader.lead(3, EndpointList(), 0.0, 0.0)
-        self.follower.learn(self.leader.reply(asked, True, (), FleetState()))
+        self.leader.apply_request(asked)
+        self.leader.apply_leader_state(3, EndpointList(), 0.0, 0.0)
+        self.follower.apply_reply(
+            self.leader.build_reply(asked, True, (), FleetState())
+        )
 
     def test_reads_reach_the_gateways_of_all_core_vms(self) -> None:
         self.ask(self.follower, request(ONE, reads=(READ,)))
         self.follow()
         for spread in (self.leader, self.follower):
             told = self.ask(spread, request(TWO))
-            self.assertEqual((READ,), told.reads)
-            self.assertEqual((3, 1), told.reads_known)
-            again = self.ask(spread, request(TWO, reads_known=told.reads_known))
-            self.assertEqual((), again.reads)
+            self.assertEqual((READ,), told.prefills)
+            self.assertEqual((3, 1), told.prefills_known)
+            again = self.ask(spread, request(TWO, reads_known=told.prefills_known))
+            self.assertEqual((), again.prefills)
 
     def test_halls_of_core_vms_reach_all(self) -> None:
         """The leader hears of a hall from its VM, the others from the leader."""
         far = CoreVm("10.0.2.1:7000", "hall-2")
-        self.leader.asked(SyncRequest("core-2", (), 0, (0, 0), 0, 0.0, core=far))
+        self.leader.apply_request(
+            SyncRequest("core-2", (), 0, (0, 0), 0, 0.0, core=far)
+        )
         addresses = (CORE.address, far.address, "10.0.3.1:7000")
         known = (CORE, far, CoreVm("10.0.3.1:7000"))
         told = self.leader.core_vms(addresses)
         self.assertEqual(known, told)
-        self.follower.learn(SyncReply(True, members=told))
+        self.follower.apply_reply(SyncReply(True, members=told))
         self.assertEqual(known, self.follower.core_vms(addresses))
 
     def test_gateways_are_told_when_they_change(self) -> None:
@@ -97,12 +105,12 @@
         """
         everyone = gateways_digest((ONE, TWO))
         self.ask(self.leader, request(ONE, gateways_known=everyone))
-        self.leader.lead(3, EndpointList(), 0.0, 0.0)
+        self.leader.apply_leader_state(3, EndpointList(), 0.0, 0.0)
         told = self.ask(self.leader, request(ONE, gateways_known=everyone))
         self.assertIsNone(told.gateways)
         told = self.ask(self.leader, request(ONE))
         self.assertEqual((ONE,), told.gateways)
-        self.leader._begun_ms -= GATEWAYS_SETTLE_MS
+        self.leader._started_ms -= GATEWAYS_SETTLE_MS
         told = self.ask(self.leader, request(ONE, gateways_known=everyone))
         self.assertEqual((ONE,), told.gateways)
 
@@ -111,15 +119,15 @@
         for spread in (self.follower, self.leader):
             self.assertFalse(spread.urgent.is_set())
             asked = request(ONE, sessions=(moved,))
-            spread.asked(asked)
+            spread.apply_request(asked)
             self.assertTrue(spread.urgent.is_set())
-            self.assertEqual((moved,), spread.sessions())
+            self.assertEqual((moved,), spread.recent_sessions())
             spread.urgent.clear()
-            spread.asked(asked)
+            spread.apply_request(asked)
             self.assertFalse(spread.urgent.is_set())
 
     def test_reads_without_a_leader_are_bounded(self) -> None:
         for _ in range(3):
-            self.ask(self.follower, request(ONE, reads=(READ,) * TOLD_MAX))
-        self.assertEqual(TOLD_MAX, len(self.follower.take_reads()))
-        self.assertEqual((), self.follower.take_reads())
+            self.ask(self.follower, request(ONE, reads=(READ,) * PENDING_PREFILLS_MAX))
+        self.assertEqual(PENDING_PREFILLS_MAX, len(self.follower.take_prefills()))
+        self.assertEqual((), self.follower.take_prefills())
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -17,10 +17,10 @@
 from ashlatch.errors import TransportError
 from ashlatch.fleet.leader_link import LeaderLink
 from ashlatch.fleet.machine import FleetState
-from ashlatch.fleet.peers import PeerBook
+from ashlatch.fleet.peers import PeerConnections
 from ashlatch.fleet.protocol import SyncReply, SyncRequest
 from ashlatch.fleet.seeds import Seeds
-from ashlatch.fleet.soft_state import Spread
+from ashlatch.fleet.soft_state import SoftState
 from ashlatch.gateway import sync
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.knowledge import Knowledge
@@ -48,7 +48,7 @@
 )
 
 
-class Book(PeerBook):
+class Book(PeerConnections):
     """Core VMs that answer as told; notes what was asked of them.
 
     With `holds`, a question is held for as long as it may be. `own_replies` are
@@ -124,17 +124,19 @@
 
     def test_a_core_vm_tells_the_leader(self) -> None:
         async def run() -> list[tuple[float, tuple[int, ...]]]:
-            book, spread = Book(SyncReply(True), holds=True), Spread(CORE)
+            book, spread = Book(SyncReply(True), holds=True), SoftState(CORE)
             leader = "127.0.0.9:7000"
             following = replace(standing(3, {}), leading=False, leader_address=leader)
             link = LeaderLink(
                 "core-1", CORE, 10_000.0, spread, book, lambda: following, FleetState
             )
-            tasks = [asyncio.create_task(link.follow())]
-            tasks.append(asyncio.create_task(link.pass_on()))
+            tasks = [asyncio.create_task(link.sync_with_leader())]
+            tasks.append(asyncio.create_task(link.send_urgent_reports()))
             await asyncio.sleep(0.1)
             told = (SessionMarks("app", (), (7,)),)
-            spread.asked(SyncRequest("gw", (), 0, (0, 0), 0, 0.0, sessions=told))
+            spread.apply_request(
+                SyncRequest("gw", (), 0, (0, 0), 0, 0.0, sessions=told)
+            )
             await asyncio.sleep(self.TOLD_WITHIN_S)
             for task in tasks:
                 task.cancel()
