--- a/ashlatch/gateway/directory.py
+++ b/ashlatch/gateway/directory.py
@@ -14,13 +14,13 @@
 from dataclasses import dataclass, field
 
 import msgspec
+from ashlatch.policy.load_advertisement import LoadAdvertisement
 
 from ashlatch.catalog import Endpoint, EndpointList, Evacuations
 from ashlatch.gateway.message import LoadFigures
 from ashlatch.policy.backoff import Backoff
 from ashlatch.policy.breaker import Breaker
 from ashlatch.policy.load import EndpointLoad, LoadReport
-from ashlatch.policy.load_advertisement import LoadAdvertisement
 from ashlatch.policy.permission import (
     ALLOWED,
     NEVER_MS,
@@ -31,7 +31,11 @@
 from ashlatch.policy.rate_limit import RateLimit
 from ashlatch.policy.workload import Workload
 
-__all__ = ["Directory", "EndpointState"]
+__all__ = [
+    "Directory",
+    "EndpointState",
+]
+
 
 # Failures in a row until an endpoint is left alone, and for how long.
 BREAKER_FAILURES = 2
@@ -308,7 +312,7 @@
             return EndpointState(listed)
         if known.endpoint.address != listed.address:
             return EndpointState(listed)
-        if listed.begins_after(known.endpoint):
+        if listed.is_later_incarnation_of(known.endpoint):
             self.life_ended(listed.instance)
             return EndpointState(listed)
         # A list that lags may still tell the start before the last one.
--- a/ashlatch/router/host.py
+++ b/ashlatch/router/host.py
@@ -21,7 +21,7 @@
 
 from ashlatch.adapter.bounds import AttemptBounds
 from ashlatch.adapter.engine import EngineCall, Prices
-from ashlatch.adapter.liveness import has_ended
+from ashlatch.adapter.liveness import refuses_connections
 from ashlatch.adapter.notices import decode_notice
 from ashlatch.adapter.service import call_service
 from ashlatch.client import StateClient
@@ -66,7 +66,12 @@
 from ashlatch.rpc import RpcLoop
 from ashlatch.settings import RouterSettings, addresses
 
-__all__ = ["Chunk", "Mailbox", "RouterHost"]
+__all__ = [
+    "Chunk",
+    "Mailbox",
+    "RouterHost",
+]
+
 
 log = logging.getLogger("ashlatch.router")
 
@@ -228,7 +233,7 @@
         result = self._call_endpoint(effect)
         not_cancelled = effect.attempt_id not in self._cancelled
         if isinstance(result, Broken) and not result.replied and not_cancelled:
-            result = replace(result, endpoint_gone=has_ended(effect.url))
+            result = replace(result, endpoint_gone=refuses_connections(effect.url))
         self._cancelled.discard(effect.attempt_id)
         request = effect.request
         if isinstance(result, Answered) and request.kind is RequestKind.CHAT:
--- a/tests/test_prefill_rate.py
+++ b/tests/test_prefill_rate.py
@@ -8,7 +8,7 @@
 """
 
 import testtools
-from ashlatch.fleet.soft_state import Spread
+from ashlatch.fleet.soft_state import SoftState
 from ashlatch.policy.prefill_rate import RATES_MAX, PrefillRate, PrefillRates
 
 from ashlatch.catalog import CoreVm
@@ -26,24 +26,26 @@
 
 class SharedRatesTest(testtools.TestCase):
     def test_a_gateway_without_own_rates(self) -> None:
-        spread, newcomer = Spread(CORE), Pace()
+        spread, newcomer = SoftState(CORE), Pace()
         for n in range(10):
             pace = Pace()
             pace.began("app", "small", 6000, 6000 * SMALL_MS, float(n))
-            spread.asked(sync_request(pace.take_rates()))
+            spread.apply_request(sync_request(pace.take_rates()))
             self.assertEqual((), pace.take_rates())
         self.assertEqual(TOKEN_MS_PRIOR, newcomer.token_ms("app", "small"))
-        newcomer.learn(spread.reply(sync_request(), True, (), FleetState()).rates)
+        newcomer.learn(spread.build_reply(sync_request(), True, (), FleetState()).rates)
         self.assertAlmostEqual(SMALL_MS, newcomer.token_ms("app", "small"))
         self.assertEqual(TOKEN_MS_PRIOR, newcomer.token_ms("app", "large"))
 
     def test_slower_engines_change_the_estimate(self) -> None:
-        spread, pace = Spread(CORE), Pace()
+        spread, pace = SoftState(CORE), Pace()
         for token_ms in (SMALL_MS, 5 * SMALL_MS):
             for _ in range(RATES_MAX):
                 pace.began("app", "small", 6000, 6000 * token_ms, 0.0)
-                spread.asked(sync_request(pace.take_rates()))
-                pace.learn(spread.reply(sync_request(), True, (), FleetState()).rates)
+                spread.apply_request(sync_request(pace.take_rates()))
+                pace.learn(
+                    spread.build_reply(sync_request(), True, (), FleetState()).rates
+                )
             self.assertAlmostEqual(token_ms, pace.token_ms("app", "small"))
 
     def test_rates_of_a_lost_report_are_sent_again(self) -> None:
--- a/tests/test_router_crashes.py
+++ b/tests/test_router_crashes.py
@@ -14,7 +14,7 @@
 from ashlatch.router.quarantine import request_fingerprint
 from tests.small_system import SmallSystem, start_small_system
 
-from ashlatch.adapter.liveness import has_ended
+from ashlatch.adapter.liveness import refuses_connections
 from ashlatch.http import problem as problems
 from ashlatch.policy.detector import VersionTally
 from ashlatch.policy.quarantine import CrashRecord, Quarantine
@@ -203,11 +203,11 @@
             listener.bind((HOST, 0))
             listener.listen(1)
             url = f"http://{HOST}:{listener.getsockname()[1]}"
-            self.assertFalse(has_ended(url))
-        self.assertTrue(has_ended(url))
+            self.assertFalse(refuses_connections(url))
+        self.assertTrue(refuses_connections(url))
 
     def test_unresolvable_host_has_not_ended(self) -> None:
-        self.assertFalse(has_ended("http://no-such-host.invalid:80"))
+        self.assertFalse(refuses_connections("http://no-such-host.invalid:80"))
 
 
 class CrashingChatTest(testtools.TestCase):
@@ -247,4 +247,4 @@
 
 def is_listening(engine: Fake) -> bool:
     """Checks whether an engine's process listens."""
-    return not has_ended(engine.url)
+    return not refuses_connections(engine.url)
