--- a/ashlatch/fleet/__init__.py
+++ b/ashlatch/fleet/__init__.py
@@ -2,9 +2,9 @@
 ashlatch.fleet
 ~~~~~~~~~~~~~~
 
-The core VMs' process behind the gateways: keeps the configuration and the
-roll-outs in a replicated log, answers operators, reads the platform's list of
-endpoints, and spreads all of it.
+The processes of the core VMs. They keep the configuration and the roll-outs in a
+replicated log, answer operators' calls, read the platform's list of endpoints and
+distribute all of it to the gateways.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
--- a/ashlatch/fleet/bootstrap.py
+++ b/ashlatch/fleet/bootstrap.py
@@ -1,12 +1,11 @@
 """
-ashlatch.fleet.founding
-~~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.fleet.bootstrap
+~~~~~~~~~~~~~~~~~~~~~~~~
 
-How a core VM comes to its data folder. At the very first start of a
-deployment the seeds found the group: each knows the three addresses, and so
-the ids that they have as founders, without asking. Every other empty folder
-belongs to a learner under a new id, so a disk that was lost never votes as the
-member it was.
+Opens or creates the data folder of a core VM. At the first start of a deployment the
+seeds form the group: each of them derives the members' ids from the three seed
+addresses and needs no communication for it. Any other empty folder belongs to a learner
+with a new id, so a VM whose disk was lost never votes as the member that it was before.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -23,25 +22,25 @@
 
 
 def bootstrap_members(addresses: tuple[str, ...]) -> Members:
-    """The first voters of a group, equal wherever they are computed."""
+    """Returns the first voters of a group, the same on every VM."""
     return Members(tuple(_bootstrap_member(address) for address in sorted(addresses)))
 
 
 def open_member(
     folder: Path, address: str, seeds: tuple[str, ...], first_start: bool
 ) -> tuple[Member, GroupStorage]:
-    """Open a data folder, and make it if it is empty.
+    """Opens a data folder and creates it if it is empty.
 
-    `address` and `seeds` are where members of the group call each other.
+    `address` and `seeds` are the addresses at which members call each other.
     """
     identity = read_identity(folder)
     storage = GroupStorage(folder / GROUP_FOLDER)
-    founds = identity is None and first_start and address in seeds
+    bootstraps = identity is None and first_start and address in seeds
     if identity is None:
-        member_id = _bootstrap_member(address).member_id if founds else ""
+        member_id = _bootstrap_member(address).member_id if bootstraps else ""
         identity = create_identity(folder, address, member_id=member_id)
     if not storage.folder.exists():
-        storage.create(bootstrap_members(seeds) if founds else Members())
+        storage.create(bootstrap_members(seeds) if bootstraps else Members())
     return Member(identity.member_id, address, address), storage
 
 
--- a/ashlatch/fleet/command_client.py
+++ b/ashlatch/fleet/command_client.py
@@ -1,9 +1,9 @@
 """
-ashlatch.fleet.orders
-~~~~~~~~~~~~~~~~~~~~~
+ashlatch.fleet.command_client
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-How a core VM has a command committed, or reads the newest state: by its own group
-while it leads, else by the leader's word.
+Commits commands and reads the newest state for a core VM: through its own group member
+while it is the leader, otherwise through a call to the leader.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -32,20 +32,20 @@
 
 __all__ = ["CommandClient"]
 
-# How long an order or a read waits for the leader's answer; an operator moves
-# on to another VM after a second without one.
+# How long a command or a read waits for the leader's answer; an operator tries another
+# VM after one second without an answer.
 COMMAND_TIMEOUT_S = 0.9
-# How long an order waits for a leader to be elected.
+# How long a command waits for a leader to be elected.
 LEADER_WAIT_S = 0.7
 LEADER_POLL_S = 0.05
 
 
 @dataclass
 class CommandClient:
-    """Commits and reads of one core VM.
+    """Commits commands and reads state for one core VM.
 
-    `group` and `machine` are asked anew each time: both are others after a disk
-    was lost.
+    `group` and `machine` are called for each use because both are replaced after a
+    failed disk write.
     """
 
     losses_max: int
@@ -54,7 +54,7 @@
     machine: Callable[[], FleetMachine]
 
     async def commit(self, command: Command) -> Outcome:
-        """Have the leader commit a command; raises `NoQuorum`."""
+        """Has the leader commit a command; raises `NoQuorum`."""
         leader = await self._wait_for_leader()
         if self.group().status.leading:
             return await self.commit_local(command)
@@ -69,7 +69,7 @@
         return reply.outcome
 
     async def read(self) -> ReadReply:
-        """The newest state, by the leader's word; raises `NoQuorum`."""
+        """Returns the newest state, confirmed by the leader; raises `NoQuorum`."""
         leader = await self._wait_for_leader()
         if self.group().status.leading:
             reply = self._read_local()
@@ -85,11 +85,11 @@
         return reply
 
     async def commit_local(self, command: Command) -> Outcome:
-        """Commit a command as the leader; raises `NoQuorum`."""
-        standing = self.group().status
-        leading_ms = monotonic_ms() - standing.leading_since_ms
-        if not has_enough_voters(standing, self.losses_max, leading_ms):
-            raise NoQuorum(f"{len(standing.members.voters)} voters are too few")
+        """Commits a command as the leader; raises `NoQuorum`."""
+        status = self.group().status
+        leading_ms = monotonic_ms() - status.leading_since_ms
+        if not has_enough_voters(status, self.losses_max, leading_ms):
+            raise NoQuorum(f"{len(status.members.voters)} voters are too few")
         try:
             async with asyncio.timeout(COMMAND_TIMEOUT_S):
                 outcome: Outcome = await asyncio.wrap_future(
@@ -97,24 +97,24 @@
                 )
                 return outcome
         except TimeoutError as error:
-            raise NoQuorum("no quorum in time") from error
+            raise NoQuorum("no quorum within the time limit") from error
         except NotLeading as error:
-            raise NoQuorum("leads no more") from error
+            raise NoQuorum("this VM is no longer the leader") from error
 
     # Calls from other core VMs.
 
     async def handle_command(self, request: CommandRequest) -> CommandReply:
-        """Commit what another core VM was told to."""
+        """Commits a command for another core VM."""
         if not self.group().status.leading:
             return CommandReply(None)
         try:
             return CommandReply(await self.commit_local(request.command))
         except NoQuorum:
-            # The caller logs it, with the operator's call that it ends.
+            # The caller logs it with the operator's call that fails by it.
             return CommandReply(None)
 
     async def handle_read(self, request: ReadRequest) -> ReadReply:
-        """Tell another core VM the newest state."""
+        """Returns the newest state to another core VM."""
         return self._read_local()
 
     def _read_local(self) -> ReadReply:
@@ -129,7 +129,7 @@
             )
 
     async def _wait_for_leader(self) -> str:
-        """The leader's address, after a short wait if there is none."""
+        """Returns the leader's address, after a short wait if there is none."""
         loop = asyncio.get_running_loop()
         ends_s = loop.time() + LEADER_WAIT_S
         while not self.group().status.leader_address:
--- a/ashlatch/fleet/daemon.py
+++ b/ashlatch/fleet/daemon.py
@@ -2,10 +2,10 @@
 ashlatch.fleet.daemon
 ~~~~~~~~~~~~~~~~~~~~~
 
-The process of a core VM: one member of the replicated log, the operators' API,
-and what is spread to the gateways. Gateways and the other core VMs ask with
-`SYNC` and are held until there is news; the leader tells the core VMs, and
-each core VM tells the gateways that ask it.
+The process of a core VM: a member of the replicated log, the operators' API and the
+distribution of state to the gateways. Gateways and the other core VMs send `SYNC`
+requests, which are held until there are updates. Core VMs get updates from the leader,
+and each gateway gets them from the core VM that it syncs with.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -72,18 +72,20 @@
 
 log = logging.getLogger("ashlatch.fleet")
 
-# How often the leader looks at what is due.
+# How often the leader checks for due work.
 LEADER_INTERVAL_S = 0.2
-# How often a data folder is opened again after its disk has refused a write.
+# How often reopening the data folder is tried after a failed disk write.
 REOPEN_INTERVAL_S = 0.5
-# The longest document that is taken from an operator.
+# The size limit of a configuration document sent by an operator.
 DOCUMENT_MAX_BYTES = 16 * 1024 * 1024
 OPERATOR_IDLE_TIMEOUT_S = 60.0
 
 
 class CoreDaemon:
-    """One core VM. `failed` is called with the error when it must not go on;
-    `reread` gives the settings anew.
+    """Runs one core VM.
+
+    `failed` is called with the error when the process must not go on; `read_settings`
+    reads the settings file again.
     """
 
     def __init__(
@@ -113,11 +115,11 @@
         self._list_poller = ListPoller(
             ListReader(settings.list_address), settings.list_read_ms
         )
-        own = CoreVm(settings.rpc_address, settings.hall)
-        self._soft_state = SoftState(own)
+        local = CoreVm(settings.rpc_address, settings.hall)
+        self._soft_state = SoftState(local)
         self._leader_link = LeaderLink(
             settings.vm,
-            own,
+            local,
             settings.sync_wait_ms,
             self._soft_state,
             self._peers,
@@ -131,7 +133,7 @@
         self._services_cache: tuple[Service, ...] = ()
 
     def _open_group(self) -> None:
-        """Open the data folder; raises `OSError` or `DiskFailed`."""
+        """Opens the data folder; raises `OSError` or `DiskFailed`."""
         settings = self.settings
         self.member, storage = open_member(
             Path(settings.data_folder),
@@ -157,51 +159,51 @@
         self.group.failed = self._on_group_failed
 
     def _on_group_failed(self, error: BaseException) -> None:
-        """Called on the group's thread when it can go on no more."""
+        """Called on the group's thread when the group cannot go on."""
         if isinstance(error, DiskFailed | OSError):
             self.rpc.keep(self._reopen_group(error), self._failed)
         else:
             self._failed(error)
 
     async def _reopen_group(self, error: BaseException) -> None:
-        """After the disk refused a write, begin again with what it holds.
+        """Reopens the group with the data on disk after a write has failed.
 
-        The rest of the process serves on meanwhile. What was not synced was
-        promised to nobody.
+        The rest of the process keeps serving meanwhile. Writes that were not synced
+        were never acknowledged to anybody.
         """
         emit(log, DiskWriteFailed(self.member.member_id, str(error)), logging.ERROR)
         self.metrics.count("disk_lost")
-        begun_ms = monotonic_ms()
+        failed_ms = monotonic_ms()
         folder = Path(self.settings.data_folder)
         while True:
             await asyncio.sleep(REOPEN_INTERVAL_S)
             try:
-                # On a thread of its own, as the disk may hang.
+                # Runs in a separate thread because the disk may hang.
                 await asyncio.to_thread(Disk().probe, folder)
                 self._open_group()
-            except (OSError, DiskFailed) as again:
+            except (OSError, DiskFailed) as reopen_error:
                 self.metrics.count("disk_refused")
-                refused = DiskReopenFailed(self.member.member_id, str(again))
+                refused = DiskReopenFailed(self.member.member_id, str(reopen_error))
                 emit(log, refused, logging.DEBUG)
                 continue
             self.group.deliver = self._transport.send
             self.group.start()
-            away_ms = int(monotonic_ms() - begun_ms)
+            away_ms = int(monotonic_ms() - failed_ms)
             emit(log, DiskReopened(self.member.member_id, away_ms))
             self.metrics.count("disk_regained")
             return
 
     def start(self) -> None:
-        """Take part in the group and answer calls."""
+        """Joins the group and starts to answer calls."""
         self.group.start()
         self.rpc.submit(self._start()).result(timeout=10.0)
 
     def reload(self) -> None:
-        """Take over what may change while the process runs: the seeds."""
+        """Applies the settings that may change at run time: the seeds."""
         self._seeds.refresh()
 
     def stop(self) -> int:
-        """Answer no more, and stop the group."""
+        """Stops answering calls and stops the group."""
         self.rpc.submit(self._stop()).result(timeout=5.0)
         self.group.stop()
         self.rpc.stop()
@@ -235,15 +237,15 @@
             self.member, self._group_status, self._join_addresses, self._peers
         )
         link = self._leader_link
-        works = (
+        tasks = (
             join,
             self._run_leader(),
             link.sync_with_leader(),
             link.send_urgent_reports(),
             watch_suspension(),
         )
-        for work in works:
-            self.rpc.keep(work, self._failed)
+        for task in tasks:
+            self.rpc.keep(task, self._failed)
 
     async def _stop(self) -> None:
         self._operators.refuse_new()
@@ -256,11 +258,11 @@
     # Calls from other processes.
 
     async def _handle_join(self, request: JoinRequest) -> JoinReply:
-        standing = self.group.status
-        known = standing.members.find(request.member.member_id) is not None
-        if standing.leading and not known:
+        status = self.group.status
+        is_member = status.members.find(request.member.member_id) is not None
+        if status.leading and not is_member:
             self.group.post(AddLearner(request.member))
-        return JoinReply(known and standing.leading, standing.leader_address)
+        return JoinReply(is_member and status.leading, status.leader_address)
 
     async def _handle_sync(self, request: SyncRequest) -> SyncReply:
         self._soft_state.apply_request(request)
@@ -275,15 +277,15 @@
             await self._soft_state.wait_change(wait_ms)
 
     def _sync_reply(self, request: SyncRequest) -> SyncReply:
-        leads = self.group.status.may_read(monotonic_ms())
-        current = leads or self._soft_state.leader_reachable
+        is_leader = self.group.status.may_read(monotonic_ms())
+        current = is_leader or self._soft_state.leader_reachable
         members = self._soft_state.core_vms(self._member_addresses())
         with self.group.lock:
             return self._soft_state.build_reply(
                 request, current, members, self.machine.state
             )
 
-    # Leading.
+    # Work of the leader.
 
     async def _run_leader(self) -> None:
         while True:
@@ -298,14 +300,14 @@
 
     async def _run_leader_once(self) -> None:
         now_ms = monotonic_ms()
-        standing = self.group.status
-        self._remove_unresponsive(standing, now_ms)
-        await self._list_poller.read_if_due(standing.term, now_ms)
+        status = self.group.status
+        self._remove_unresponsive(status, now_ms)
+        await self._list_poller.read_if_due(status.term, now_ms)
         listed = self._list_poller
         self._soft_state.apply_leader_state(
-            standing.term, listed.newest, listed.read_ms, listed.newest_since_ms
+            status.term, listed.newest, listed.read_ms, listed.newest_since_ms
         )
-        self._start_reading_prefix_caches(standing.term)
+        self._start_reading_prefix_caches(status.term)
         await self._commit_crashes()
         self._rollout_controller.add_tallies(self._soft_state.tallies.take(), now_ms)
         self._rollout_controller.set_sessions(self._soft_state.recent_sessions())
@@ -326,7 +328,7 @@
                 )
 
     async def _commit_crashes(self) -> None:
-        """Commit what gateways have told of requests that crash endpoints."""
+        """Commits the reports of gateways on requests that crash endpoints."""
         with self.group.lock:
             records = self._soft_state.crashes.unknown_to(self.machine.state.crashes)
         if not records:
@@ -334,13 +336,13 @@
         try:
             await self._commands.commit_local(RecordCrashes(records))
         except NoQuorum as error:
-            # They are told again with the next look.
+            # The next iteration tries to commit them again.
             emit(log, CrashesNotCommitted(len(records), error.detail), logging.WARNING)
             return
         emit(log, CrashesCommitted(len(records), self.machine.state.crashes.number))
 
     def _start_reading_prefix_caches(self, term: int) -> None:
-        """Ask the engines what they keep, once as a new leader."""
+        """Reads the engines' prefix caches, once for each term as the leader."""
         if term == self._prefix_caches_term:
             return
         engines = self._engines()
@@ -352,7 +354,7 @@
         self._soft_state.add_prefills(await read_prefix_caches(engines))
 
     def _engines(self) -> tuple[Endpoint, ...]:
-        """The listed endpoints that are model engines."""
+        """Returns the listed endpoints that are model engines."""
         services = {s.name for s in self._services() if s.engine is not None}
         with self.group.lock:
             evacuated = self.machine.state.evacuations.halls
@@ -364,7 +366,10 @@
         return frozenset(s.name for s in self._services() if s.engine is None)
 
     def _services(self) -> tuple[Service, ...]:
-        """The services of the newest configuration, read once for each version."""
+        """Returns the services of the newest configuration.
+
+        The document is decoded once for each version.
+        """
         with self.group.lock:
             version, document = self.machine.state.version, self.machine.state.document
         if document and version != self._services_version:
@@ -372,14 +377,14 @@
             self._services_version = version
         return self._services_cache
 
-    def _remove_unresponsive(self, standing: GroupStatus, now_ms: float) -> None:
-        found = find_unresponsive_member(standing, self.settings.losses_max, now_ms)
+    def _remove_unresponsive(self, status: GroupStatus, now_ms: float) -> None:
+        found = find_unresponsive_member(status, self.settings.losses_max, now_ms)
         if found is not None:
             member, silent_ms = found
             emit(log, MemberRemoved(member.member_id, int(silent_ms)))
             self.group.post(RemoveMember(member.member_id))
 
-    # What this VM knows of others.
+    # State of this VM and of others.
 
     def _current_rollouts(self) -> tuple[Rollout, ...]:
         with self.group.lock:
@@ -389,27 +394,27 @@
         return tuple(m.address for m in self.group.status.members.everyone())
 
     def _join_addresses(self) -> tuple[str, ...]:
-        """Who may know the leader: the members, and the seeds."""
-        known = (*self._member_addresses(), *self._seeds.addresses)
-        return tuple(dict.fromkeys(known))
+        """Returns the addresses to ask for the leader: the members and the seeds."""
+        addresses = (*self._member_addresses(), *self._seeds.addresses)
+        return tuple(dict.fromkeys(addresses))
 
     def _on_group_changed(self) -> None:
-        """Something was applied, listed, or decided by vote: answer who waits."""
+        """Answers held sync requests after a commit or a change of the leader."""
         self._soft_state.notify_changed()
         self._rollout_controller.observe(self._current_rollouts(), monotonic_ms())
-        standing = self.group.status
-        members = standing.members
-        news = (standing.term, standing.leader_address, members)
-        if news == self._logged_status:
+        status = self.group.status
+        members = status.members
+        current_status = (status.term, status.leader_address, members)
+        if current_status == self._logged_status:
             return
-        self._logged_status = news
-        # A new leader reads the list at once: gateways that start wait for it.
+        self._logged_status = current_status
+        # A new leader reads the list at once because starting gateways wait for it.
         self._leader_wakeup.set()
         changed = GroupStatusChanged(
             self.member.member_id,
-            standing.term,
-            standing.leading,
-            standing.leader_address,
+            status.term,
+            status.leading,
+            status.leader_address,
             len(members.voters),
             len(members.learners),
         )
--- a/ashlatch/fleet/discovery.py
+++ b/ashlatch/fleet/discovery.py
@@ -2,9 +2,9 @@
 ashlatch.fleet.discovery
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-Reads the platform's list of endpoints over one kept connection. The platform
-allows a number of reads a second for all VMs together, so one core VM reads
-for all; a gateway reads by itself only when it has lost the core.
+Reads the platform's list of endpoints over one persistent connection. The platform
+limits the number of reads a second for all VMs together, so one core VM reads for all;
+a gateway reads the list itself only when it cannot reach the core.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -27,18 +27,18 @@
 
 log = logging.getLogger("ashlatch.fleet")
 
-# The list is small and near; what takes longer is lost or refused.
+# The list is small and the platform is near; a slower read was lost or refused.
 READ_TIMEOUT_S = 1.0
 CONNECT_TIMEOUT_S = 0.5
-# So many reasons why entries were left out stand in one log line.
+# The number of reasons for skipped entries that one log line names.
 REASONS_MAX = 4
-# More pages than this are no list of a deployment of the sizes aimed at.
+# A list of more pages is invalid for any deployment of the supported sizes.
 PAGES_MAX = 200
 
 
 @dataclass
 class ListUnreadable(AshlatchError):
-    """The list could not be read whole."""
+    """The list could not be read completely."""
 
     reason: str
 
@@ -46,7 +46,8 @@
 class ListReader:
     """Reads the list from one address.
 
-    `left_out_total` counts the entries that named no endpoint, in all reads.
+    `left_out_total` counts the skipped entries of all reads: those that name no
+    endpoint.
     """
 
     def __init__(self, address: str) -> None:
@@ -56,7 +57,7 @@
         self._connection: Upstream | None = None
 
     async def read(self) -> tuple[Endpoint, ...]:
-        """All endpoints; raises `ListUnreadable`."""
+        """Returns all endpoints; raises `ListUnreadable`."""
         try:
             async with asyncio.timeout(READ_TIMEOUT_S):
                 return await self._read_pages()
@@ -88,7 +89,7 @@
         raise ListUnreadable("too many pages")
 
     def _log_left_out(self, left_out: Counter[str]) -> None:
-        """Log which entries name no endpoint, when they are others than before."""
+        """Logs the reasons for skipped entries when they differ from before."""
         if left_out != self._left_out and left_out:
             reasons = "; ".join(sorted(left_out)[:REASONS_MAX])
             entries = EntriesSkipped(left_out.total(), reasons)
@@ -101,14 +102,14 @@
         host = (b"Host", self._address.encode())
         connection.send("GET", page_target(page_token), [host], b"")
         head = await connection.head()
-        parts = []
-        while (part := await connection.part()) is not None:
-            parts.append(part)
+        chunks = []
+        while (chunk := await connection.part()) is not None:
+            chunks.append(chunk)
         if not connection.release(asyncio.get_running_loop().time()):
             self._connection = None
         if head.status_code != 200:
             raise ListUnreadable(f"status {head.status_code}")
-        return decode_page(b"".join(parts))
+        return decode_page(b"".join(chunks))
 
     async def _connect(self) -> Upstream:
         connection = self._connection
--- a/ashlatch/fleet/exposure.py
+++ b/ashlatch/fleet/exposure.py
@@ -2,9 +2,9 @@
 ashlatch.fleet.exposure
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-How much a roll-out gives to a version that has not proved itself, derived from what
-operators allow a bad one to get: a share of all requests to its service between the
-order and the end of its time, and some requests more.
+Derives how much traffic a roll-out gives to an unproven version from what operators
+allow a bad version to get: a share of all requests to its service between the start and
+the end of the roll-out, and a number of requests more.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -20,32 +20,32 @@
     "plan_exposure",
 ]
 
-# The parts of a roll-out's time from which what the load test brought is waited for,
-# and from which the new version gets more than the trial and that test gave it, then
-# everything.
+# Fractions of a roll-out's time: from SETTLE_START on the roll-out waits for the
+# results of the load test, from SHIFT_START on the new version gets more than the trial
+# and the load test gave it, and from FULL_SHIFT_START on it gets everything.
 SETTLE_START = 0.62
 SHIFT_START = 0.66
 FULL_SHIFT_START = 0.70
-# The share of sessions in the trial, of the allowed one. The trial takes half of the
-# time, so it gives a third of what is allowed.
+# The trial's share of sessions, as a fraction of the allowed share. The trial takes
+# half of the time, so it uses a third of what is allowed.
 TRIAL_SHARE_RATIO = 2 / 3
-# A larger trial would move so many sessions that taking it back shows.
+# A larger trial would move so many sessions that rolling it back is noticeable.
 TRIAL_SHARE_MAX = 0.25
-# The load test ends when the version would have got this part of what is allowed by
-# the end of the time; the rest is for what follows it.
+# The load test ends when the version has got this fraction of what is allowed by the
+# end of the time; the rest is left for the stages after it.
 TESTED_SHARE_RATIO = 5 / 6
 TESTED_EXTRA_RATIO = 2 / 3
-# The first step beyond the trial, where much is allowed.
+# The upper bound of the first step after the trial, where much is allowed.
 SHIFT_SHARE_MAX = 0.4
 
 
 @dataclass(frozen=True)
 class ExposurePlan:
-    """What a roll-out may give, as shares of the requests to its service.
+    """The exposure limits of a roll-out, as shares of the requests to its service.
 
-    `trial_extra` requests come on top of the trial's share: services with few requests
-    need a larger one to be judged by. The load test ends at `tested_share` and
-    `tested_extra` more. `shift_share` is that of the first step after it.
+    `trial_extra` requests are added to the trial's share because services with few
+    requests need a larger share to be evaluated. The load test ends at `tested_share`
+    plus `tested_extra` requests. `shift_share` is the share of the first step after it.
     """
 
     trial_share: float
@@ -55,13 +55,13 @@
     shift_share: float
 
     def trial_share_of(self, requests: float) -> float:
-        """The trial's share, with so many requests in the whole time."""
+        """Returns the trial's share for a number of requests in the whole time."""
         share = self.trial_share + self.trial_extra / requests
         return round(min(max(TRIAL_SHARE_MAX, self.trial_share), share), 4)
 
 
 def plan_exposure(share: float, extra: float) -> ExposurePlan:
-    """The plan for an allowed share, and some requests more::
+    """Returns the plan for an allowed share and a number of extra requests::
 
     plan_exposure(0.15, 30.0).trial_share  # 0.1
     """
--- a/ashlatch/fleet/leader.py
+++ b/ashlatch/fleet/leader.py
@@ -2,9 +2,9 @@
 ashlatch.fleet.leader
 ~~~~~~~~~~~~~~~~~~~~~
 
-What only the leader of the core does: reading the platform's list, and moving
-roll-outs on. All of it is soft but for the decisions, which are committed; a
-new leader begins its reading and its evidence anew.
+The tasks of the core's leader: reading the platform's list and advancing roll-outs.
+Their state is soft except for the decisions, which are committed; a new leader reads
+the list again and collects new evidence.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -35,22 +35,22 @@
 
 log = logging.getLogger("ashlatch.fleet")
 
-# A roll-out waits for this part of its time for an endpoint that is warm; the trial
-# takes half of it.
+# The longest wait of a roll-out for a warm endpoint, as a fraction of its time; the
+# trial takes half of it.
 WARM_UP_RATIO_MAX = 0.25
-# The list lags by some hundred ms, more or less each time.
+# The platform's list lags by some hundred ms, and the lag varies.
 COLD_TOLERANCE_MS = 600.0
-# How often the elapsed time of a roll-out is committed, so that a new leader
-# knows it to this precision.
+# How often the elapsed time of a roll-out is committed, which is the precision with
+# which a new leader knows it.
 CHECKPOINT_INTERVAL_MS = 2000.0
 
 
 @dataclass
 class ListPoller:
-    """Reads the list when it is due; `newest` is what was read last.
+    """Reads the list when it is due; `newest` is the last list read.
 
-    `newest_ms` is when that was read first: the endpoints were cold for the times it
-    tells from then on.
+    `newest_since_ms` is when this list was first read: the remaining cold times of its
+    endpoints count from then.
     """
 
     reader: ListReader
@@ -61,7 +61,10 @@
     _due_ms: float = float("-inf")
 
     async def read_if_due(self, epoch: int, now_ms: float) -> bool:
-        """Whether the list is another now. `epoch` is the leader's term."""
+        """Reads the list if due and returns whether it has changed.
+
+        `epoch` is the leader's term.
+        """
         if now_ms < self._due_ms:
             return False
         self._due_ms = now_ms + self.interval_ms
@@ -87,10 +90,10 @@
 def _lists_match(
     known: tuple[Endpoint, ...], listed: tuple[Endpoint, ...], age_ms: float
 ) -> bool:
-    """Whether a list tells what one that was read `age_ms` before does.
+    """Checks whether a list equals one that was read `age_ms` before.
 
-    The time for which an endpoint is cold runs down by itself: told anew with each
-    read, the whole list would go to all gateways each second.
+    The remaining cold time of an endpoint decreases by itself. If each decrease counted
+    as a change, the whole list would be sent to all gateways every second.
     """
     if len(known) != len(listed):
         return False
@@ -101,7 +104,8 @@
 
 def _endpoints_match(known: Endpoint, listed: Endpoint, age_ms: float) -> bool:
     if known == listed:
-        # Cold for as long as before, which is longer than was known then.
+        # The remaining cold time has not decreased: the endpoint stays cold for longer
+        # than was known before.
         return listed.cold_left_ms == 0.0 or age_ms < COLD_TOLERANCE_MS
     left_ms = max(0.0, known.cold_left_ms - age_ms)
     if abs(left_ms - listed.cold_left_ms) > COLD_TOLERANCE_MS:
@@ -112,7 +116,7 @@
 
 @dataclass
 class _RolloutClock:
-    """How long a roll-out had run when this VM first saw it, and when that was."""
+    """A roll-out's elapsed time when this VM first saw it, and when that was."""
 
     version: str
     elapsed_ms: float
@@ -126,24 +130,24 @@
 class RolloutController:
     """The evidence and the clocks of the roll-outs.
 
-    Every core VM keeps the clocks, from when it applied the order, so that a
-    new leader knows the time exactly. The evidence is the leader's alone. The `plan`
-    follows from what operators allow a bad version to get.
+    Every core VM runs the clocks from when it applied the start of a roll-out, so that
+    a new leader knows the exact elapsed time. Only the leader has evidence. The `plan`
+    derives from what operators allow a bad version to get.
     """
 
     plan: ExposurePlan = DEFAULT_PLAN
     _evidence: dict[str, Evidence] = field(default_factory=dict)
     _clocks: dict[str, _RolloutClock] = field(default_factory=dict)
     _newest: dict[str, Rollout] = field(default_factory=dict)
-    # By service and the version in whose trial they have begun, empty for the others.
+    # By service and the version in whose trial they began, empty for the others.
     _sessions: dict[tuple[str, str], SessionMarks] = field(default_factory=dict)
 
     def clear_evidence(self) -> None:
-        """This VM leads no more."""
+        """Clears the evidence when this VM is not the leader."""
         self._evidence.clear()
 
     def observe(self, rollouts: tuple[Rollout, ...], now_ms: float) -> None:
-        """Take note of what was applied just now."""
+        """Updates the clocks for the roll-outs that were just applied."""
         for rollout in rollouts:
             self._newest[rollout.service] = rollout
             clock = self._clocks.get(rollout.service)
@@ -153,7 +157,7 @@
                 self._clocks[rollout.service] = clock
 
     def add_tallies(self, tallies: tuple[Tally, ...], now_ms: float) -> None:
-        """Take what gateways have counted."""
+        """Adds the counts that gateways have reported."""
         by_service: dict[str, list[Tally]] = {}
         for tally in tallies:
             counted = self._drop_times_after_trial(tally)
@@ -163,15 +167,15 @@
                 self._evidence[service].add(tuple(own), now_ms)
 
     def set_sessions(self, sessions: tuple[SessionMarks, ...]) -> None:
-        """Take which sessions run before a trial, and which a load test moved."""
+        """Sets the sessions running before a trial and those moved by a load test."""
         self._sessions = {(s.service, s.trial_version): s for s in sessions}
 
     def _drop_times_after_trial(self, tally: Tally) -> Tally:
-        """A tally less the times of a new version that is past its trial.
+        """Removes the times of a new version that is past its trial.
 
-        The load test makes its answers late, and so do the prompts that its
-        engines have not kept yet when all sessions come. A version that is slow
-        of itself shows that in the trial.
+        The load test delays its answers, and so do prompts that its engines have not
+        cached yet when all sessions arrive. A version that is slow by itself is slow in
+        the trial already.
         """
         rollout = self._newest.get(tally.key.service)
         if rollout is None or tally.key.version != rollout.version:
@@ -187,9 +191,9 @@
         plain: frozenset[str] = frozenset(),
         listed_age_ms: float = 0.0,
     ) -> Iterator[UpdateRollout]:
-        """The decisions that are due now; `plain` services have no engines.
+        """Yields the updates that are due now; `plain` services have no engines.
 
-        `listed_age_ms` is how long ago the list was first read as it is.
+        `listed_age_ms` is how long ago the list was first read in its present form.
         """
         self.observe(rollouts, now_ms)
         for rollout in rollouts:
@@ -208,10 +212,11 @@
         listed_age_ms: float,
         now_ms: float,
     ) -> bool:
-        """Whether an endpoint of the new version may be sent to.
+        """Checks whether an endpoint of the new version may get requests.
 
-        A trial begins when one is warm: few gateways send to cold ones, and each of
-        its sessions may come by any gateway. It waits for a part of the time at most.
+        A trial starts when one endpoint is warm: only few gateways send to cold ones,
+        but the trial's sessions may arrive at any gateway. The wait is limited to a
+        fraction of the roll-out's time.
         """
         new = [
             e
@@ -236,9 +241,9 @@
         )
         changed = (decision.stage, decision.share) != (rollout.stage, rollout.share)
         nothing = SessionMarks(rollout.service, ())
-        told = self._sessions.get((rollout.service, ""), nothing)
+        reported = self._sessions.get((rollout.service, ""), nothing)
         begun = self._sessions.get((rollout.service, rollout.version), nothing)
-        moved = _moved_sessions(rollout, decision, told, begun)
+        moved = _moved_sessions(rollout, decision, reported, begun)
         due = elapsed_ms - rollout.elapsed_ms >= CHECKPOINT_INTERVAL_MS
         if not changed and not due and moved == rollout.moved:
             return None
@@ -259,7 +264,7 @@
             decision.stage,
             decision.share,
             elapsed_ms,
-            rollout.held if rollout.share else told.marks,
+            rollout.held if rollout.share else reported.marks,
             moved,
         )
 
@@ -267,13 +272,14 @@
 def _moved_sessions(
     rollout: Rollout, decision: Decision, reported: SessionMarks, begun: SessionMarks
 ) -> tuple[int, ...]:
-    """The marks of the sessions that stay on the new version, as not all know.
+    """Returns the hashes of moved sessions that stay on the new version.
 
-    `begun` are those that have begun on it in its trial.
+    They are committed because not all gateways know them. `begun` are the sessions that
+    began on the new version in its trial.
     """
     if decision.stage in FINAL_STAGES or decision.share >= 1.0:
         return ()
     if decision.stage is RolloutStage.TRIAL:
-        # What `told` names was moved by a roll-out before this one.
+        # The sessions in `reported` were moved by an earlier roll-out.
         return tuple(sorted({*rollout.moved, *begun.moved}))
     return tuple(sorted({*rollout.moved, *begun.moved, *reported.moved}))
--- a/ashlatch/fleet/leader_link.py
+++ b/ashlatch/fleet/leader_link.py
@@ -1,9 +1,9 @@
 """
-ashlatch.fleet.following
-~~~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.fleet.leader_link
+~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-How a core VM that does not lead learns from the leader what the log does not
-hold, and tells it what gateways have told here.
+Syncs a core VM that is not the leader with the leader: gets the soft state, which is
+not in the replicated log, and forwards what gateways have reported to this VM.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -30,17 +30,17 @@
 
 log = logging.getLogger("ashlatch.fleet")
 
-# A leader that does not answer in this time beyond the wait is asked again.
+# A leader that has not answered this long after the wait is asked again.
 TIMEOUT_MARGIN_S = 0.7
 RETRY_S = 0.2
 
 
 @dataclass
 class LeaderLink:
-    """The way to the leader. `follow` and `pass_on` run for ever.
+    """The connection to the leader.
 
-    `standing` and `state` are asked anew each time: both are others after a disk
-    was lost.
+    `sync_with_leader` and `send_urgent_reports` run forever. `group_status` and `state`
+    are called for each use because both are replaced after a failed disk write.
     """
 
     vm: str
@@ -52,7 +52,7 @@
     state: Callable[[], FleetState]
 
     async def sync_with_leader(self) -> None:
-        """Ask the leader for news again and again, while another VM leads."""
+        """Requests updates from the leader in a loop while another VM leads."""
         while True:
             leader = self._leader()
             if not leader:
@@ -67,7 +67,8 @@
                     SYNC, request, timeout_s
                 )
             except TransportError:
-                # Shown to gateways by `current`, and logged with the standing.
+                # Gateways see the loss through `current`; the log shows it with the
+                # group status.
                 self.soft_state.tallies.add(tallies)
                 self.soft_state.add_prefills(reads)
                 await asyncio.sleep(RETRY_S)
@@ -77,11 +78,11 @@
                 await asyncio.sleep(RETRY_S)
 
     async def send_urgent_reports(self) -> None:
-        """Tell the leader at once of what cannot wait.
+        """Sends the leader at once what cannot wait for the next sync.
 
-        That is sessions that a load test has moved, and requests under which
-        endpoints have crashed. The question of `follow` may be held for half a
-        second more. Should this call fail, the next question tells them.
+        These are sessions that a load test has moved and requests that crashed
+        endpoints. The sync request of `sync_with_leader` may be held for half a second
+        more. If this call fails, the next sync request carries the reports.
         """
         while True:
             await self.soft_state.urgent.wait()
@@ -96,9 +97,9 @@
                 emit(log, UrgentReportFailed(leader, error.reason), logging.WARNING)
 
     def _leader(self) -> str:
-        """The address of the leader; empty when there is none, or it is this VM."""
-        standing = self.group_status()
-        return "" if standing.leading else standing.leader_address
+        """Returns the leader's address; empty if there is none or it is this VM."""
+        status = self.group_status()
+        return "" if status.leading else status.leader_address
 
     def _sync_request(
         self,
--- a/ashlatch/fleet/logs.py
+++ b/ashlatch/fleet/logs.py
@@ -2,7 +2,7 @@
 ashlatch.fleet.logs
 ~~~~~~~~~~~~~~~~~~~
 
-What a core VM logs.
+Log events of a core VM.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class GroupStatusChanged(LogEvent):
-    """The leader or the members of the group are others now."""
+    """The leader or the members of the group have changed."""
 
     event: ClassVar[str] = "standing_changed"
     member: str
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class OperatorCallEnded(LogEvent):
-    """An operator's call has its answer."""
+    """An operator's call was answered."""
 
     event: ClassVar[str] = "order_ended"
     call: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class PrefixCachesRead(LogEvent):
-    """A new leader has asked the engines which prompts they keep."""
+    """A new leader has read the engines' prefix caches."""
 
     event: ClassVar[str] = "memories_read"
     engines: int
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True)
 class PrefixCacheReadFailed(LogEvent):
-    """An engine did not tell what it keeps."""
+    """The prefix cache of an engine could not be read."""
 
     event: ClassVar[str] = "memory_unread"
     instance: str
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True)
 class ListRead(LogEvent):
-    """The list of endpoints has changed since it was read last."""
+    """The list of endpoints has changed since the last read."""
 
     event: ClassVar[str] = "list_read"
     epoch: int
@@ -99,7 +99,7 @@
 
 @dataclass(frozen=True)
 class RolloutDecided(LogEvent):
-    """A roll-out moves on, with what speaks for it."""
+    """A roll-out changes its stage or share, with the reason."""
 
     event: ClassVar[str] = "rollout_decided"
     service: str
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True)
 class MemberRemoved(LogEvent):
-    """The leader takes a member out that has been silent for long."""
+    """The leader removes a member that has been unresponsive for too long."""
 
     event: ClassVar[str] = "member_removed"
     member: str
@@ -122,7 +122,7 @@
 
 @dataclass(frozen=True)
 class DiskWriteFailed(LogEvent):
-    """The disk has refused a write; this VM's member stands still."""
+    """A disk write has failed; this VM's member is stopped."""
 
     event: ClassVar[str] = "disk_lost"
     member: str
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True)
 class DiskReopened(LogEvent):
-    """The data folder could be opened again, and the member takes part."""
+    """The data folder was reopened, and the member takes part again."""
 
     event: ClassVar[str] = "disk_regained"
     member: str
@@ -140,7 +140,7 @@
 
 @dataclass(frozen=True)
 class DiskReopenFailed(LogEvent):
-    """The data folder cannot be opened again yet."""
+    """The data folder could not be reopened yet."""
 
     event: ClassVar[str] = "disk_refused"
     member: str
@@ -149,9 +149,9 @@
 
 @dataclass(frozen=True)
 class UrgentReportFailed(LogEvent):
-    """The leader could not be told at once of moved sessions or of crashes.
+    """An urgent report of moved sessions or crashes did not reach the leader.
 
-    The next question to it tells them.
+    The next sync request carries it.
     """
 
     event: ClassVar[str] = "urgent_untold"
@@ -161,7 +161,7 @@
 
 @dataclass(frozen=True)
 class EntriesSkipped(LogEvent):
-    """Entries of the platform's list name no endpoint; the others are used."""
+    """Entries of the platform's list that name no endpoint were skipped."""
 
     event: ClassVar[str] = "entries_left_out"
     entries: int
@@ -170,9 +170,9 @@
 
 @dataclass(frozen=True)
 class CrashesCommitted(LogEvent):
-    """Requests under which endpoints have crashed stand in the log.
+    """Requests that crashed endpoints were committed to the log.
 
-    `number` is that of the newest change.
+    `number` is the number of the newest change.
     """
 
     event: ClassVar[str] = "crashes_noted"
@@ -182,7 +182,7 @@
 
 @dataclass(frozen=True)
 class CrashesNotCommitted(LogEvent):
-    """Requests under which endpoints have crashed were not committed yet."""
+    """Requests that crashed endpoints could not be committed yet."""
 
     event: ClassVar[str] = "crashes_unnoted"
     contents: int
@@ -191,7 +191,7 @@
 
 @dataclass(frozen=True)
 class RolloutUpdateLost(LogEvent):
-    """A decision on a roll-out was not committed; it is taken again."""
+    """An update of a roll-out was not committed; it is decided again."""
 
     event: ClassVar[str] = "move_lost"
     service: str
--- a/ashlatch/fleet/machine.py
+++ b/ashlatch/fleet/machine.py
@@ -2,9 +2,9 @@
 ashlatch.fleet.machine
 ~~~~~~~~~~~~~~~~~~~~~~
 
-The reducer that every core VM runs over the replicated log: the newest
-configuration document, as operators sent it, the roll-outs, the halls that are
-evacuated, and the requests under which endpoints have crashed.
+The state machine that every core VM runs over the replicated log. Its state is the
+newest configuration document as operators sent it, the roll-outs, the evacuated halls
+and the requests that crashed endpoints.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -36,9 +36,10 @@
 
 
 class ReplaceDocument(msgspec.Struct, frozen=True, tag="replace_document"):
-    """An operator's configuration document, checked before it is proposed.
+    """An operator's configuration document, validated before it is proposed.
 
-    `body` is compressed by `zlib`; `body_digest` is of the document as sent.
+    `body` is compressed with `zlib`; `body_digest` is the digest of the uncompressed
+    document.
     """
 
     version: int
@@ -47,7 +48,7 @@
 
 
 class BeginRollout(msgspec.Struct, frozen=True, tag="begin_rollout"):
-    """An operator's order to move a service to a version within a time."""
+    """An operator's command to move a service to a version within a time."""
 
     service: str
     version: str
@@ -55,10 +56,10 @@
 
 
 class UpdateRollout(msgspec.Struct, frozen=True, tag="move_rollout"):
-    """The leader's decision on a roll-out that is under way.
+    """The leader's decision on a running roll-out.
 
-    `after_number` is the record that the decision is based on; a decision on
-    an older record changes nothing.
+    `after_number` is the number of the record that the decision is based on; a decision
+    on an outdated record has no effect.
     """
 
     service: str
@@ -71,17 +72,20 @@
 
 
 class SetEvacuation(msgspec.Struct, frozen=True, tag="set_evacuation"):
-    """An operator's order to send nothing to the endpoints of a hall, or to again."""
+    """An operator's command to evacuate a hall or to end its evacuation.
+
+    No requests are sent to the endpoints of an evacuated hall.
+    """
 
     hall: str
     evacuated: bool
 
 
 class RecordCrashes(msgspec.Struct, frozen=True, tag="note_crashes"):
-    """What gateways have found of contents that crash endpoints, or survive it.
+    """Reports of gateways on requests that crash endpoints or complete normally.
 
-    It is replicated because a content that is refused has to stay so after a loss of
-    power of all VMs: its caller comes back, and nobody else remembers.
+    They are replicated because a request that is refused must stay refused after all
+    VMs have lost power: its caller sends it again, and no other process remembers it.
     """
 
     records: tuple[CrashRecord, ...]
@@ -91,13 +95,13 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, tag="accepted"):
-    """The order is taken; `changed` is false when it changed nothing."""
+    """The command was accepted; `changed` is false when it had no effect."""
 
     changed: bool
 
 
 class Conflict(msgspec.Struct, frozen=True, tag="conflict"):
-    """Another document is held under the same version."""
+    """Another document has the same version."""
 
     version: int
 
@@ -106,7 +110,7 @@
 
 
 class FleetState(msgspec.Struct):
-    """Everything that is replicated; a snapshot is this, encoded."""
+    """The complete replicated state; a snapshot is its encoding."""
 
     version: int = 0
     document: bytes = b""
@@ -124,16 +128,16 @@
         self.state = FleetState()
 
     def apply(self, command: bytes) -> Outcome:
-        """Apply one encoded command."""
+        """Applies one encoded command."""
         outcome: Outcome = _HANDLERS.call(self.state, decode(command, Command))
         return outcome
 
     def snapshot(self) -> bytes:
-        """The whole state as bytes."""
+        """Returns the whole state as bytes."""
         return encode(self.state)
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by a snapshot; empty bytes are the empty state."""
+        """Replaces the state with a snapshot; empty bytes are the empty state."""
         self.state = decode(data, FleetState) if data else FleetState()
 
 
--- a/ashlatch/fleet/membership.py
+++ b/ashlatch/fleet/membership.py
@@ -2,8 +2,7 @@
 ashlatch.fleet.membership
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-How a core VM becomes and stays a member of the group, and which members its
-leader takes out.
+Joins a core VM to the group, and decides which members the leader removes.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -20,21 +19,21 @@
 
 __all__ = ["has_enough_voters", "join_group", "find_unresponsive_member"]
 
-# How often a VM that is no member, or knows no leader, asks for one.
+# How often a VM that is no member or knows no leader tries to join.
 JOIN_RETRY_S = 0.25
 JOIN_TIMEOUT_S = 0.6
-# A member's link is asked anew after it has shown no leader for this long.
+# A member tries to join again after it had no leader for this long.
 LEADERLESS_TIMEOUT_S = 1.5
-# Silent members beyond the number that is needed are taken out after this;
-# one that only stood still comes back as a learner with its log.
+# Unresponsive members beyond the required number are removed after this time. One that
+# was only suspended comes back as a learner and keeps its log.
 UNRESPONSIVE_MS = 2500.0
-# A group of fewer voters than are wanted takes orders after this time if a
-# quorum still outnumbers the losses: a VM may have been lost at the start.
+# A group with fewer voters than required accepts commands after this time if a quorum
+# still exceeds `losses_max`, as a VM may be lost at the first start.
 FEWER_VOTERS_DELAY_MS = 8000.0
 
 
 def has_enough_voters(status: GroupStatus, losses_max: int, leading_ms: float) -> bool:
-    """Whether what is committed now outlives the losses that are to be borne."""
+    """Checks whether commits now survive the loss of `losses_max` VMs."""
     voters = len(status.members.voters)
     if not status.members_committed:
         return False
@@ -47,25 +46,26 @@
 def find_unresponsive_member(
     status: GroupStatus, losses_max: int, now_ms: float
 ) -> tuple[Member, float] | None:
-    """A member that the leader should take out, and for how long it is silent.
+    """Returns the member that the leader should remove, with its unresponsive time.
 
-    Learners that never came up, and voters beyond the number that is needed.
+    Candidates are learners that never came up and voters beyond the required number.
     """
     spare_voters = len(status.members.voters) - (2 * losses_max + 1)
-    found: tuple[Member, float] | None = None
+    unresponsive: tuple[Member, float] | None = None
     for member in status.members.everyone():
-        # One that was never heard counts from when it was added, or the leader began.
-        heard_ms = max(
+        # A member that never answered counts from when it was added or the leader
+        # began.
+        answered_ms = max(
             status.answered_ms.get(member.member_id, 0.0),
             status.added_ms.get(member.member_id, status.leading_since_ms),
         )
-        silent_ms = now_ms - heard_ms
-        votes = member.member_id in status.members.voter_ids()
-        if silent_ms < UNRESPONSIVE_MS or (votes and spare_voters <= 0):
+        unresponsive_ms = now_ms - answered_ms
+        is_voter = member.member_id in status.members.voter_ids()
+        if unresponsive_ms < UNRESPONSIVE_MS or (is_voter and spare_voters <= 0):
             continue
-        if found is None or silent_ms > found[1]:
-            found = (member, silent_ms)
-    return found
+        if unresponsive is None or unresponsive_ms > unresponsive[1]:
+            unresponsive = (member, unresponsive_ms)
+    return unresponsive
 
 
 async def join_group(
@@ -74,20 +74,23 @@
     addresses: Callable[[], tuple[str, ...]],
     peers: PeerConnections,
 ) -> None:
-    """Ask to be taken in whenever this VM knows of no leader; runs for ever.
+    """Asks to join the group whenever this VM knows no leader; runs forever.
 
-    A member that was taken out while it stood still hears of no leader, since
-    none sends to it any more.
+    A member that was removed while it was suspended has no leader either, because no
+    member sends to it any more.
     """
     loop = asyncio.get_running_loop()
-    seen_s = loop.time()
+    leader_seen_s = loop.time()
     while True:
         await asyncio.sleep(JOIN_RETRY_S)
-        now = group_status()
-        known = now.members.find(local.member_id) is not None
-        if now.leader_address and known:
-            seen_s = loop.time()
-        elif not now.members.voters or loop.time() - seen_s > LEADERLESS_TIMEOUT_S:
+        status = group_status()
+        is_member = status.members.find(local.member_id) is not None
+        if status.leader_address and is_member:
+            leader_seen_s = loop.time()
+        elif (
+            not status.members.voters
+            or loop.time() - leader_seen_s > LEADERLESS_TIMEOUT_S
+        ):
             await _send_join_requests(local, addresses(), peers)
 
 
@@ -95,9 +98,9 @@
     local: Member, addresses: tuple[str, ...], peers: PeerConnections
 ) -> None:
     asked: set[str] = set()
-    waiting = [address for address in addresses if address != local.address]
-    while waiting:
-        address = waiting.pop(0)
+    pending = [address for address in addresses if address != local.address]
+    while pending:
+        address = pending.pop(0)
         asked.add(address)
         reply = await _send_join_request(local, address, peers)
         if reply is None:
@@ -106,7 +109,7 @@
             return
         leader = reply.leader_address
         if leader and leader not in asked and leader != local.address:
-            waiting.insert(0, leader)
+            pending.insert(0, leader)
 
 
 async def _send_join_request(
@@ -118,5 +121,5 @@
         )
         return reply
     except TransportError:
-        # The next address is asked, and all of them again after a moment.
+        # The next address is tried, and all of them again after JOIN_RETRY_S.
         return None
--- a/ashlatch/fleet/operators.py
+++ b/ashlatch/fleet/operators.py
@@ -2,9 +2,9 @@
 ashlatch.fleet.operators
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-Answers operators' calls at any core VM. Changes are committed by the leader,
-and reads are answered with the leader's word that they are the newest;
-without it the answer is 503, and the operator asks another VM.
+Answers operators' calls on any core VM. The leader commits changes, and a read is
+answered only after the leader has confirmed that the state is the newest. Without a
+leader the answer is 503, and the operator tries another VM.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -50,19 +50,19 @@
 
 @dataclass
 class NoQuorum(AshlatchError):
-    """No leader has answered; it is not known whether an order was taken."""
+    """No leader has answered; it is unknown whether a command was committed."""
 
     detail: str
 
 
 class CommandBackend(Protocol):
-    """What the operators' calls need of the core VM."""
+    """The access to the core VM that operators' calls need."""
 
     async def commit(self, command: Command) -> Outcome:
-        """Have the leader commit a command; raises `NoQuorum`."""
+        """Has the leader commit a command; raises `NoQuorum`."""
 
     async def read(self) -> ReadReply:
-        """The newest state, by the leader's word; raises `NoQuorum`."""
+        """Returns the newest state, confirmed by the leader; raises `NoQuorum`."""
 
 
 @dataclass(frozen=True)
@@ -74,7 +74,7 @@
 
 
 class _Problem(msgspec.Struct, frozen=True):
-    """One thing that is wrong with a document."""
+    """One error in a document."""
 
     field: str
     value: str
@@ -82,10 +82,10 @@
 
 
 class OperatorApi:
-    """The handler of the operators' listener.
+    """Handles the requests of the operators' listener.
 
-    `halls` are those of the deployment; empty, if they are not known, any hall may
-    be evacuated.
+    `halls` are the halls of the deployment. If it is empty, the halls are unknown and
+    any hall may be evacuated.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
         self._halls = halls
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Answer one call."""
+        """Answers one call."""
         call = recognise(request.method, request.target)
         if call is None:
             responder.respond(404, JSON, b'{"type":"unknown_call"}\n')
@@ -134,9 +134,9 @@
             catalog = decode_catalog(body)
         except DocumentError as error:
             return _invalid(error)
-        # Documents are texts of names that repeat; they go to every VM.
-        packed = zlib.compress(body)
-        command = ReplaceDocument(catalog.version, packed, digest(body))
+        # Documents are sent to every VM and compress well, as their names repeat.
+        compressed = zlib.compress(body)
+        command = ReplaceDocument(catalog.version, compressed, digest(body))
         outcome = await self._backend.commit(command)
         if isinstance(outcome, DocumentConflict):
             detail = "another document has this version"
@@ -153,12 +153,12 @@
 
     async def _begin_rollout(self, body: bytes) -> _Answer:
         try:
-            order = decode_rollout_order(body)
+            rollout = decode_rollout_order(body)
         except DocumentError as error:
             return _invalid(error)
-        command = BeginRollout(order.service, order.version, order.duration_ms)
+        command = BeginRollout(rollout.service, rollout.version, rollout.duration_ms)
         await self._backend.commit(command)
-        return _Answer(200, b"{}\n", detail=f"{order.service} to {order.version}")
+        return _Answer(200, b"{}\n", detail=f"{rollout.service} to {rollout.version}")
 
     async def _read_rollout(self, service: str) -> _Answer:
         newest = await self._backend.read()
@@ -172,8 +172,8 @@
 
     async def _set_evacuation(self, hall: str, evacuated: bool) -> _Answer:
         if not hall or (self._halls and hall not in self._halls):
-            # Said at once: an evacuation of a hall that is not there would be
-            # acknowledged, and empty nothing.
+            # Rejected at once: an evacuation of a hall that does not exist would be
+            # acknowledged and have no effect.
             return _Answer(404, b'{"type":"unknown_hall"}\n', detail=hall)
         outcome = await self._backend.commit(SetEvacuation(hall, evacuated))
         changed = not isinstance(outcome, DocumentConflict) and outcome.changed
--- a/ashlatch/fleet/peers.py
+++ b/ashlatch/fleet/peers.py
@@ -2,7 +2,7 @@
 ashlatch.fleet.peers
 ~~~~~~~~~~~~~~~~~~~~
 
-The connections that a process holds to core VMs.
+The connections of a process to core VMs.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -16,20 +16,20 @@
 
 
 class PeerConnections:
-    """One held connection to each address that is called."""
+    """Holds one connection for each address that was called."""
 
     def __init__(self) -> None:
         self._peers: dict[str, Peer] = {}
 
     def peer(self, address: str) -> Peer:
-        """The connection to an address."""
+        """Returns the connection to an address."""
         found = self._peers.get(address)
         if found is None:
             found = self._peers[address] = Peer(Address.parse(address))
         return found
 
     def retain(self, addresses: Iterable[str]) -> None:
-        """Close the connections to all other addresses."""
-        kept = set(addresses)
-        for address in [a for a in self._peers if a not in kept]:
+        """Closes the connections to all other addresses."""
+        retained = set(addresses)
+        for address in [a for a in self._peers if a not in retained]:
             self._peers.pop(address).close()
--- a/ashlatch/fleet/prefix_caches.py
+++ b/ashlatch/fleet/prefix_caches.py
@@ -1,11 +1,11 @@
 """
-ashlatch.fleet.memories
-~~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.fleet.prefix_caches
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-What engines keep, asked of themselves. Gateways tell each other what they send,
-but nobody knows that any more after all VMs of ashlatch have lost power, while
-the engines have kept it: a new leader asks each engine once, so that prompts are not
-read anew in the seconds after the loss, when most requests wait.
+Reads the prefix caches of engines. Gateways send each other the prompts that they send
+to engines, but this information is lost when all VMs of ashlatch lose power, while the
+engines keep their caches. A new leader therefore asks each engine once, so that prompts
+are not prefilled again in the seconds after the loss, when most requests wait.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -35,43 +35,43 @@
 
 log = logging.getLogger("ashlatch.fleet")
 
-# An engine answers in milliseconds; one that takes longer has gone.
+# An engine answers within milliseconds; a slower one has failed.
 TIMEOUT_S = 0.5
-# Shorter parts are read again in less time than they take to be told.
+# A shorter prefix is prefilled again in less time than it takes to distribute it.
 PART_TOKENS_MIN = 500
-# All that is told goes to every gateway: at most so many parts, the longest of
-# each engine, in about 50 KB.
+# All prefixes that are read go to every gateway. This limit, which takes the longest
+# prefixes of each engine, keeps them within about 50 KB.
 PARTS_MAX = 2000
 
 
 @dataclass
 class MemoryUnreadable(AshlatchError):
-    """An engine did not tell what it keeps."""
+    """The prefix cache of an engine could not be read."""
 
     instance: str
     reason: str
 
 
 async def read_prefix_caches(engines: tuple[Endpoint, ...]) -> tuple[PromptRead, ...]:
-    """Ask all engines at once; those that do not answer are left out."""
-    asked = (_read_prefix_cache(engine) for engine in engines)
-    answers = await asyncio.gather(*asked, return_exceptions=True)
-    reads: list[PromptRead] = []
-    unread = 0
-    for engine, answer in zip(engines, answers, strict=True):
-        if isinstance(answer, MemoryUnreadable):
-            unread += 1
+    """Reads the caches of all engines at once; skips engines that do not answer."""
+    reads = (_read_prefix_cache(engine) for engine in engines)
+    replies = await asyncio.gather(*reads, return_exceptions=True)
+    prefills: list[PromptRead] = []
+    failed = 0
+    for engine, reply in zip(engines, replies, strict=True):
+        if isinstance(reply, MemoryUnreadable):
+            failed += 1
             emit(
                 log,
-                PrefixCacheReadFailed(answer.instance, answer.reason),
+                PrefixCacheReadFailed(reply.instance, reply.reason),
                 logging.WARNING,
             )
-        elif isinstance(answer, BaseException):
-            raise answer
+        elif isinstance(reply, BaseException):
+            raise reply
         else:
-            reads += _to_prefills(engine.instance, answer, PARTS_MAX // len(engines))
-    emit(log, PrefixCachesRead(len(engines) - unread, unread, len(reads)))
-    return tuple(reads)
+            prefills += _to_prefills(engine.instance, reply, PARTS_MAX // len(engines))
+    emit(log, PrefixCachesRead(len(engines) - failed, failed, len(prefills)))
+    return tuple(prefills)
 
 
 async def _read_prefix_cache(engine: Endpoint) -> tuple[KeptPart, ...]:
@@ -83,12 +83,12 @@
             headers = memory_headers(engine.address, engine.instance)
             connection.send("GET", MEMORY_TARGET, headers, b"")
             head = await connection.head()
-            parts = []
-            while (part := await connection.part()) is not None:
-                parts.append(part)
+            chunks = []
+            while (chunk := await connection.part()) is not None:
+                chunks.append(chunk)
         if head.status_code != 200:
             raise MemoryUnreadable(engine.instance, f"status {head.status_code}")
-        return decode_memory(b"".join(parts))
+        return decode_memory(b"".join(chunks))
     except TimeoutError as error:
         raise MemoryUnreadable(engine.instance, "timeout") from error
     except (ConnectFailed, UpstreamBroken) as error:
@@ -101,12 +101,14 @@
 
 
 def _to_prefills(
-    instance: str, kept: Iterable[KeptPart], parts_max: int
+    instance: str, cached: Iterable[KeptPart], parts_max: int
 ) -> list[PromptRead]:
-    """The longest parts that an engine keeps, by model."""
-    long = [part for part in kept if part.tokens >= PART_TOKENS_MIN]
+    """Returns the longest cached prefixes of an engine, by model."""
+    long = [part for part in cached if part.tokens >= PART_TOKENS_MIN]
     long.sort(key=lambda part: part.tokens, reverse=True)
     by_model: dict[str, list[tuple[str, int]]] = defaultdict(list)
     for part in long[:parts_max]:
         by_model[part.model].append((part.part_id, part.tokens))
-    return [PromptRead(instance, m, tuple(parts)) for m, parts in by_model.items()]
+    return [
+        PromptRead(instance, model, tuple(parts)) for model, parts in by_model.items()
+    ]
--- a/ashlatch/fleet/protocol.py
+++ b/ashlatch/fleet/protocol.py
@@ -45,18 +45,17 @@
 
 
 class SyncRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for what is newer than the sender knows; held until there is some.
-
-    `gateways` are the gateways that have lately synced with the sender, itself
-    included if it is one. `tallies` are counts since its last request,
-    `sessions` those that run before a trial. `reads` are prompts that engines
-    have read since then, `reads_known` is the position up to which the sender
-    knows what all others have told, `gateways_known` the digest of the gateways
-    that it knows of. `core` is the sender, if it is a core VM. `rates` are how
-    fast engines have read since its last request. `crashes` is what it has found of
-    requests that crash endpoints, `crashes_known` the number of the newest change of
-    these that it knows. `evacuations_known` is the number of the evacuations that it
-    knows.
+    """Requests updates; held until there are some.
+
+    `gateways` are the gateways that have recently synced with the sender, including the
+    sender if it is a gateway. `tallies` are counts since its last request, `sessions`
+    those that run before a trial. `prefills` are the prompts that engines have
+    prefilled since then, and `prefills_known` is the position up to which the sender
+    has the prefills of all others. `gateways_known` is the digest of the gateways known
+    to the sender. `core` is the sender if it is a core VM. `rates` are the prefill
+    rates of engines since its last request. `crashes` are its reports of requests that
+    crash endpoints, and `crashes_known` is the number of the newest such change that it
+    knows. `evacuations_known` is the number of the newest evacuations that it knows.
     """
 
     vm: str
@@ -78,20 +77,20 @@
 
 
 class SyncReply(msgspec.Struct, frozen=True, array_like=True):
-    """What is newer.
-
-    `current` is false when the member has lost touch with the leader, so that
-    others may know more. `gateways` are all gateways, unset
-    when the sender knows them. `members` are all core VMs.
-    `document` is empty when the sender knows the newest; it is compressed by
-    `zlib`, as the log holds it. `list_age_ms` is how long ago the platform's
-    list was read. `reads` are the prompts that engines have read, up to the
-    position `reads_known`; they are no news for which a question is answered. Nor
-    are the `rates`, how fast engines read by what the gateways have seen that ask
-    this core VM. `crashes` are the requests under which endpoints have crashed, as far
-    as they have changed, up to the change `crashes_known`. `evacuations` is unset when
-    the sender knows the newest. `endpoints_age_ms` is how long ago `endpoints` were
-    read, which the times count from for which they are cold.
+    """The updates for a `SyncRequest`.
+
+    `current` is false when the replying VM has lost contact with the leader, so that
+    other VMs may have newer data. `gateways` are all gateways, unset if the sender
+    knows them. `members` are all core VMs. `document` is empty if the sender knows the
+    newest one; it is compressed with `zlib`, as in the log. `list_age_ms` is how long
+    ago the platform's list was read. `prefills` are prompts that engines have
+    prefilled, up to the position `prefills_known`. `rates` are the engines' prefill
+    rates as observed by the gateways that sync with this core VM. Neither `prefills`
+    nor `rates` cause a held request to be answered. `crashes` are the changed records
+    of requests that crashed endpoints, up to the change `crashes_known`. `evacuations`
+    is unset if the sender knows the newest one. `endpoints_age_ms` is how long ago
+    `endpoints` was first read, from which the remaining cold times of its endpoints
+    count.
     """
 
     current: bool
@@ -112,26 +111,26 @@
 
 
 class JoinRequest(msgspec.Struct, frozen=True):
-    """A core VM asks to be a member of the group."""
+    """Asks for membership of a core VM in the group."""
 
     member: Member
 
 
 class JoinReply(msgspec.Struct, frozen=True):
-    """Whether it is one, and where the leader is, if that is known."""
+    """Says whether the core VM is a member, and where the leader is if known."""
 
     known: bool
     leader_address: str
 
 
 class CommandRequest(msgspec.Struct, frozen=True):
-    """An order that is to be committed by the leader."""
+    """Asks the leader to commit a command."""
 
     command: Command
 
 
 class CommandReply(msgspec.Struct, frozen=True):
-    """How the order ended; no outcome when it is not known to be committed."""
+    """The outcome of a command; none if it may not be committed."""
 
     outcome: Outcome | None
 
@@ -141,7 +140,7 @@
 
 
 class ReadReply(msgspec.Struct, frozen=True):
-    """The newest state; `current` is false when this is no leader."""
+    """The newest state; `current` is false if the replying VM is no leader."""
 
     current: bool
     document_version: int = 0
@@ -151,7 +150,7 @@
 
 
 def gateways_digest(gateways: tuple[GatewayVm, ...]) -> int:
-    """A number that differs when the gateways do; 0 for none."""
+    """Returns a digest of the gateways; 0 for none."""
     text = "\n".join(f"{g.address} {g.hall}" for g in gateways)
     return xxhash.xxh3_64_intdigest(text.encode()) if gateways else 0
 
--- a/ashlatch/fleet/seeds.py
+++ b/ashlatch/fleet/seeds.py
@@ -2,8 +2,8 @@
 ashlatch.fleet.seeds
 ~~~~~~~~~~~~~~~~~~~~
 
-The addresses that a process is told to begin with. The settings file may name
-others while the process runs, with a signal or without one.
+The addresses of the core VMs that a process contacts first. The settings file may name
+other addresses while the process runs; they are read with or without a signal.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Reloaded(LogEvent):
-    """The settings were read again; `changed` if they name other seeds."""
+    """The settings were read again; `changed` if the seeds differ."""
 
     event: ClassVar[str] = "reloaded"
     seeds: str
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True)
 class ReloadFailed(LogEvent):
-    """The settings file is wrong now; what was read before stays."""
+    """The settings file is invalid; the previous settings stay in force."""
 
     event: ClassVar[str] = "reload_failed"
     detail: str
 
 
 class Seeds:
-    """The seeds as they were read last; `refresh` reads them again."""
+    """The seeds of the last valid read; `refresh` reads the settings again."""
 
     def __init__(
         self, settings: VmSettings, read_settings: Callable[[], VmSettings]
@@ -50,12 +50,12 @@
         self._read_settings = read_settings
 
     def refresh(self) -> None:
-        """Read the settings file again; a wrong one changes nothing."""
+        """Reads the settings file again; an invalid file changes nothing."""
         try:
-            found = self._read_settings().seed_rpc_addresses
+            addresses = self._read_settings().seed_rpc_addresses
         except SettingsError as group:
             emit(log, ReloadFailed(str(group.exceptions[0])), logging.ERROR)
             return
-        changed = found != self.addresses
-        self.addresses = found
-        emit(log, Reloaded(",".join(found), changed))
+        changed = addresses != self.addresses
+        self.addresses = addresses
+        emit(log, Reloaded(",".join(addresses), changed))
