--- a/ashlatch/fleet/command_client.py
+++ b/ashlatch/fleet/command_client.py
@@ -89,7 +89,7 @@
         status = self.group().status
         leading_ms = monotonic_ms() - status.leading_since_ms
         if not has_enough_voters(status, self.losses_max, leading_ms):
-            raise NoQuorum(f"{len(status.members.voters)} voters are too few")
+            raise NoQuorum(f"the group has only {len(status.members.voters)} voters")
         try:
             async with asyncio.timeout(COMMAND_TIMEOUT_S):
                 outcome: Outcome = await asyncio.wrap_future(
--- a/ashlatch/fleet/evaluation.py
+++ b/ashlatch/fleet/evaluation.py
@@ -1,10 +1,10 @@
 """
-ashlatch.fleet.verdict
-~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.fleet.evaluation
+~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Judges a new version by its answers beside those of the version it replaces,
-and says how far its roll-out goes. Pure functions over counts; the leader of
-the core calls them several times a second.
+Evaluates a new version by comparing its answers with those of the version that it
+replaces, and decides how far its roll-out goes. Consists of pure functions over counts,
+which the core's leader calls several times a second.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -27,51 +27,53 @@
 
 __all__ = ["Decision", "Evidence", "decide"]
 
-# The number of requests to a service is known from so many on.
+# The number of answers from which the request rate of a service counts as known.
 RATE_ANSWERS_MIN = 10
-# Gateways hear of an order and tell which sessions run in about two exchanges
-# with the core, of half a second each.
+# Gateways receive a roll-out and report their running sessions within about two syncs
+# with the core of half a second each.
 SESSION_REPORT_MS = 1500.0
-# From which part of the time on a version that is well is in which stage.
+# The fraction of the time from which on a healthy version is in each stage.
 STAGE_STARTS = (
     (0.00, RolloutStage.TRIAL),
     (0.50, RolloutStage.LOAD_TEST),
     (SETTLE_START, RolloutStage.SETTLE),
     (SHIFT_START, RolloutStage.SHIFT),
 )
-# Sessions and streams on the old version end meanwhile; its endpoints stop
-# when the roll-out is declared complete. What is left of the time covers
-# seconds that nobody counted, while all core VMs were down.
+# Sessions and streams on the old version end before this fraction of the time; its
+# endpoints stop when the roll-out is declared complete. The rest of the time covers
+# seconds that were not counted because all core VMs were down.
 COMPLETION_START = 0.82
 # Fewer failures than this may be chance.
 FAILURES_MIN = 3
-# A version may fail this much more often than the other before it is judged.
+# The factor by which a version's failure rate may exceed the other version's.
 FAILURE_TOLERANCE = 1.5
-# What either version is expected to fail at least, before any answer.
+# The failures and answers that are assumed of either version before any answer.
 PRIOR_FAILURES = 0.5
 PRIOR_ANSWERS = 50.0
-# How many standard deviations beyond what is expected.
+# The tolerated number of standard deviations above the expected count.
 DEVIATIONS_MAX = 3.0
 # An answer is slow when it begins this many steps after the median of the other
-# version: 3.4 times as late.
+# version, which is 3.4 times as late.
 SLOW_STEPS = 3
-# A route is judged by itself when the other version has as many timed answers there.
+# A route is evaluated by itself if the other version has this many timed answers on it.
 TIMED_ANSWERS_MIN = 20
-# The others are judged together, when they have as many in all; this many tell which
-# answers of a route are late, as one counts from 3.4 times the median on.
+# The other routes are evaluated together if they have TIMED_ANSWERS_MIN in total. Each
+# needs this many of its own to define late answers, which begin at 3.4 times the
+# route's median.
 POOLED_TIMED_ANSWERS_MIN = 8
-# Changes that come late are looked for in the answers of the first of these times
-# alone. The other version's times are those of the first in which there are enough.
+# Late regressions are detected in the new version's answers of the first of these
+# windows only. The other version's times are taken from the first window that has
+# enough.
 WINDOWS_MS = (4000.0, 8000.0, 16_000.0)
 
 Counts = dict[TallyKey, Tally]
-# What operators allow who say nothing of it.
+# The plan for deployments whose operators set no exposure.
 DEFAULT_PLAN = plan_exposure(0.15, 30.0)
 
 
 @dataclass(frozen=True)
 class Decision:
-    """What a roll-out does next, and why."""
+    """The next stage and share of a roll-out, and the reason."""
 
     stage: RolloutStage
     share: float
@@ -80,7 +82,7 @@
 
 @dataclass
 class Evidence:
-    """The tallies of one roll-out since it began."""
+    """The tallies of one roll-out since its start."""
 
     _total: dict[TallyKey, Tally] = field(default_factory=dict)
     _reports: deque[tuple[float, tuple[Tally, ...]]] = field(default_factory=deque)
@@ -88,7 +90,7 @@
     _window_sums_at_ms: float = float("-inf")
 
     def add(self, tallies: tuple[Tally, ...], now_ms: float) -> None:
-        """Take what gateways have counted."""
+        """Adds the counts that gateways have reported."""
         if not tallies:
             return
         merge(self._total, tallies)
@@ -98,18 +100,18 @@
             self._reports.popleft()
 
     def total(self) -> Counts:
-        """All counts."""
+        """Returns all counts."""
         return self._total
 
     def latest(self, now_ms: float) -> Counts:
-        """The counts of the shortest time."""
+        """Returns the counts of the shortest window."""
         return self._sum_window(WINDOWS_MS[0], now_ms)
 
     def windows(self, now_ms: float) -> Iterator[Counts]:
-        """The latest counts, those of ever longer times, and all.
+        """Yields the counts of ever longer windows, and last all counts.
 
-        A longer time is added up only when it is asked for: most services have
-        answers enough in the shortest.
+        A longer window is summed only on demand because most services have enough
+        answers in the shortest one.
         """
         for window_ms in WINDOWS_MS:
             yield self._sum_window(window_ms, now_ms)
@@ -137,59 +139,61 @@
     plain: bool = False,
     plan: ExposurePlan = DEFAULT_PLAN,
 ) -> Decision:
-    """The stage and share that a roll-out should have now.
+    """Returns the stage and share that a roll-out should have now.
 
-    `listed` is whether endpoints of the new version are known to be ready, `plain`
-    whether the service has no model engines. The `plan` says how much a version gets
-    that may be bad.
+    `ready` says whether endpoints of the new version are known to be ready, `plain`
+    whether the service has no model engines. The `plan` limits the exposure to a
+    version that may be bad.
     """
     if not ready and rollout.share == 0:
         return Decision(rollout.stage, rollout.share, "no endpoint of the version")
-    everything = evidence.total()
-    bad = _find_fault(
-        rollout, everything, everything, lambda: iter((everything,)), plain
-    )
-    bad = bad or _find_fault(
+    total = evidence.total()
+    fault = _find_fault(rollout, total, total, lambda: iter((total,)), plain)
+    fault = fault or _find_fault(
         rollout,
         evidence.latest(now_ms),
-        everything,
+        total,
         lambda: evidence.windows(now_ms),
         plain,
     )
-    if bad:
-        return Decision(RolloutStage.ROLLED_BACK, 0.0, bad)
+    if fault:
+        return Decision(RolloutStage.ROLLED_BACK, 0.0, fault)
     if not ready:
-        return Decision(rollout.stage, rollout.share, "no endpoint is left")
-    part = elapsed_ms / rollout.duration_ms
-    if part >= COMPLETION_START and rollout.share >= 1.0:
-        return Decision(RolloutStage.COMPLETED, 1.0, "well for most of the time")
-    stage = next(stage for begin, stage in reversed(STAGE_STARTS) if part >= begin)
-    share = _stage_share(stage, part, plan)
+        return Decision(
+            rollout.stage, rollout.share, "no endpoint of the version is left"
+        )
+    progress = elapsed_ms / rollout.duration_ms
+    if progress >= COMPLETION_START and rollout.share >= 1.0:
+        return Decision(RolloutStage.COMPLETED, 1.0, "healthy for most of the time")
+    stage = next(stage for begin, stage in reversed(STAGE_STARTS) if progress >= begin)
+    share = _stage_share(stage, progress, plan)
     if stage is RolloutStage.LOAD_TEST:
-        over = rollout.stage is RolloutStage.SETTLE
-        if over or _has_tested_exposure(rollout, part, everything, plan):
-            return _advance(rollout, RolloutStage.SETTLE, share, "enough was answered")
+        test_ended = rollout.stage is RolloutStage.SETTLE
+        if test_ended or _has_tested_exposure(rollout, progress, total, plan):
+            return _advance(
+                rollout, RolloutStage.SETTLE, share, "enough answers for the load test"
+            )
     if stage is RolloutStage.TRIAL:
         if elapsed_ms < SESSION_REPORT_MS:
-            return Decision(stage, rollout.share, "sessions are being told")
-        share = _trial_share(rollout, part, everything, plan)
-    return _advance(rollout, stage, share, "well so far")
+            return Decision(stage, rollout.share, "sessions are being reported")
+        share = _trial_share(rollout, progress, total, plan)
+    return _advance(rollout, stage, share, "healthy so far")
 
 
 def _advance(
     rollout: Rollout, stage: RolloutStage, share: float, reason: str
 ) -> Decision:
-    """A step of a version that is well; its share never falls.
+    """Returns the next step of a healthy version; its share never falls.
 
-    A gateway that has not seen a session goes by the share alone: where it falls,
-    as from a trial of 0.25 to a load test of 0.1, the sessions in between go back
-    to the old version at each such gateway.
+    A gateway that has not seen a session decides by the share alone. If the share fell,
+    as from 0.25 in a trial to 0.1 in a load test, each such gateway would move the
+    sessions in between back to the old version.
     """
     return Decision(stage, max(share, rollout.share), reason)
 
 
 def _stage_share(stage: RolloutStage, progress: float, plan: ExposurePlan) -> float:
-    """The share of a version that is well, but for a trial's of few requests."""
+    """Returns a healthy version's share, except for trials with few requests."""
     if stage is not RolloutStage.SHIFT:
         return plan.trial_share
     return 1.0 if progress >= FULL_SHIFT_START else plan.shift_share
@@ -198,14 +202,14 @@
 def _trial_share(
     rollout: Rollout, progress: float, counts: Counts, plan: ExposurePlan
 ) -> float:
-    """The share of the trial, by the requests since the order.
+    """Returns the trial's share, derived from the requests since the start.
 
-    It is set once: each change would move sessions that run.
+    It is set only once because each change would move running sessions.
     """
     if rollout.share > 0:
         return rollout.share
-    own = [tally for key, tally in counts.items() if key.service == rollout.service]
-    answers = sum(_answer_count(tally) for tally in own)
+    tallies = [tally for key, tally in counts.items() if key.service == rollout.service]
+    answers = sum(_answer_count(tally) for tally in tallies)
     if answers < RATE_ANSWERS_MIN:
         return plan.trial_share
     return plan.trial_share_of(answers / progress)
@@ -214,7 +218,7 @@
 def _has_tested_exposure(
     rollout: Rollout, progress: float, counts: Counts, plan: ExposurePlan
 ) -> bool:
-    """Whether the new version has answered what a bad one may, but for a rest."""
+    """Checks whether the new version has got the exposure of the load test."""
     new = all_answers = 0
     for key, tally in counts.items():
         if key.service != rollout.service:
@@ -231,49 +235,56 @@
     old_windows: Callable[[], Iterator[Counts]],
     plain: bool,
 ) -> str:
-    """What is wrong with the new version, or nothing.
+    """Returns what is wrong with the new version; empty if nothing is.
 
-    Its times are held to the other version's of the same time, as far back as
-    `history` has to go, its failures to those and to the ones in `old`.
+    Its times are compared with the other version's from the same period, going back
+    through `old_windows` as far as needed. Its failures are compared with those and
+    with `old`.
     """
     routes = {key.route for key in new if key.service == rollout.service}
     failed = answers = 0
     expected = 0.0
-    together = _LateAnswers()
+    pooled = _LateAnswers()
     for route in sorted(routes):
-        mine = _sum_route(rollout, new, route, new_version=True)
-        other = _sum_route(rollout, old, route, new_version=False)
-        nearest = _nearest_window(rollout, old_windows(), route)
-        to_expect = _expected_failures(mine, other, nearest)
-        if _exceeds_chance(mine.failed, to_expect):
-            return f"route {route}: {mine.failed} of {_answer_count(mine)} failed"
-        lateness = _count_late_answers(mine, nearest)
-        if lateness.other_timed >= TIMED_ANSWERS_MIN and lateness.exceeds_chance:
-            return f"route {route}: {lateness}"
-        counts_alone = lateness.other_timed >= TIMED_ANSWERS_MIN and not plain
-        if lateness.other_timed >= POOLED_TIMED_ANSWERS_MIN and not counts_alone:
-            together = together.plus(lateness)
-        failed += mine.failed
-        answers += _answer_count(mine)
-        expected += to_expect
-    # Where each of many routes has few requests, none shows by itself that a version
-    # is slow. Busy routes of engines count alone: engines that have kept no prompt yet
-    # make a good version late, and the more answers, the sooner that shows.
-    if together.other_timed >= TIMED_ANSWERS_MIN and together.exceeds_chance:
-        return f"{'all routes' if plain else 'routes with few requests'}: {together}"
-    # A version that fails under load does so on all routes, and a load test is
-    # too short for enough answers on each.
+        new_tally = _sum_route(rollout, new, route, new_version=True)
+        old_tally = _sum_route(rollout, old, route, new_version=False)
+        old_nearest = _nearest_window(rollout, old_windows(), route)
+        route_expected = _expected_failures(new_tally, old_tally, old_nearest)
+        if _exceeds_chance(new_tally.failed, route_expected):
+            return (
+                f"route {route}: {new_tally.failed} of "
+                f"{_answer_count(new_tally)} failed"
+            )
+        late_answers = _count_late_answers(new_tally, old_nearest)
+        if (
+            late_answers.other_timed >= TIMED_ANSWERS_MIN
+            and late_answers.exceeds_chance
+        ):
+            return f"route {route}: {late_answers}"
+        evaluated_alone = late_answers.other_timed >= TIMED_ANSWERS_MIN and not plain
+        if late_answers.other_timed >= POOLED_TIMED_ANSWERS_MIN and not evaluated_alone:
+            pooled = pooled.plus(late_answers)
+        failed += new_tally.failed
+        answers += _answer_count(new_tally)
+        expected += route_expected
+    # If each of many routes has few requests, no single route can show that a version
+    # is slow. Busy routes of engines are evaluated separately: a good version is late
+    # while its engines have no cached prompts, and more answers show that sooner.
+    if pooled.other_timed >= TIMED_ANSWERS_MIN and pooled.exceeds_chance:
+        return f"{'all routes' if plain else 'routes with few requests'}: {pooled}"
+    # A version that fails under load does so on all routes, and the load test is too
+    # short for enough answers on each.
     if _exceeds_chance(failed, expected):
         return f"all routes: {failed} of {answers} failed"
     return ""
 
 
 def _nearest_window(rollout: Rollout, windows: Iterator[Counts], route: str) -> Tally:
-    """The other version's counts of the nearest time with enough timed answers.
+    """Returns the other version's latest counts with enough timed answers.
 
-    A busy hour makes both versions late: held to the calm before it, a good
-    version was taken back with all of its 8 latest answers late, like 40 of 40 of
-    the other's.
+    A busy hour delays both versions: compared with the calm period before, a good
+    version was rolled back because all of its 8 latest answers were late, as were 40 of
+    40 of the other version.
     """
     found = Tally(TallyKey(rollout.service, "", route))
     for counts in windows:
@@ -300,30 +311,35 @@
 
 
 def _expected_count(count: int, other_bad: int, other_count: int) -> float:
-    """How often something may happen by what the other version shows."""
+    """Returns the count to expect by the other version's rate, with tolerance."""
     rate = (other_bad + PRIOR_FAILURES) / (other_count + PRIOR_ANSWERS)
     return FAILURE_TOLERANCE * rate * count
 
 
 def _expected_failures(new: Tally, old: Tally, old_nearest: Tally) -> float:
-    """By all answers of the other version, or by the nearest if more of them fail."""
+    """Returns the failures to expect by the other version's answers.
+
+    Uses all of its answers, or those of the nearest window if more of them fail.
+    """
     answers = _answer_count(new)
     expected = _expected_count(answers, old.failed, _answer_count(old))
     if old_nearest.failed < FAILURES_MIN:
         return expected
-    near = _expected_count(answers, old_nearest.failed, _answer_count(old_nearest))
-    return max(expected, near)
+    nearest_expected = _expected_count(
+        answers, old_nearest.failed, _answer_count(old_nearest)
+    )
+    return max(expected, nearest_expected)
 
 
 def _exceeds_chance(count: int, expected: float) -> bool:
-    """Whether something happens more often than chance explains."""
+    """Checks whether a count is higher than chance explains."""
     bound = expected + DEVIATIONS_MAX * math.sqrt(expected)
     return count >= FAILURES_MIN and count > bound
 
 
 @dataclass(frozen=True)
 class _LateAnswers:
-    """How many answers were late of how many timed, of both versions."""
+    """The late and the timed answers of both versions."""
 
     late: int = 0
     timed: int = 0
@@ -334,7 +350,7 @@
         return f"{self.late} of {self.timed} were late"
 
     def plus(self, other: "_LateAnswers") -> "_LateAnswers":
-        """Those of two routes together."""
+        """Returns the sums over two routes."""
         return _LateAnswers(
             self.late + other.late,
             self.timed + other.timed,
@@ -350,7 +366,7 @@
 
 
 def _count_late_answers(new: Tally, old: Tally) -> _LateAnswers:
-    """The late answers of a route, by the other version's median there."""
+    """Counts the late answers of a route by the other version's median there."""
     other_timed = sum(old.times.values())
     bound = _median(old.times) + SLOW_STEPS
     return _LateAnswers(
--- a/ashlatch/fleet/soft_state.py
+++ b/ashlatch/fleet/soft_state.py
@@ -1,9 +1,10 @@
 """
-ashlatch.fleet.spread
-~~~~~~~~~~~~~~~~~~~~~
+ashlatch.fleet.soft_state
+~~~~~~~~~~~~~~~~~~~~~~~~~
 
-What a core VM passes on besides the log: the list of endpoints downwards, who
-has asked and what gateways counted upwards. All of it is soft.
+The soft state of a core VM, which is not in the replicated log. The list of endpoints
+goes from the leader to the gateways; the live gateways and the counts of gateways go to
+the leader.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -24,22 +25,25 @@
 
 __all__ = ["SoftState", "has_updates"]
 
-# A core VM that has not heard the leader for this long says so to gateways.
+# A core VM whose last reply from the leader is older reports this to gateways.
 LEADER_TIMEOUT_MS = 1500.0
-# Gateways that have not asked for this long are gone.
+# Gateways whose last request is older are regarded as gone.
 GATEWAY_TIMEOUT_MS = 4000.0
-# Sessions are told before a trial only; what is older was before another one.
+# Sessions are reported only before a trial; older reports belong to an earlier trial.
 SESSION_REPORT_MAX_AGE_MS = 10_000.0
-# Until a core VM has run for this long, some gateways have not asked it yet, and
-# what it knows of them is no reason to forget others: each asks every half second,
-# and so do the other core VMs.
+# Before a core VM has run for this long, some gateways have not synced with it yet, and
+# its own list of gateways must not make others forget any: each gateway syncs every
+# half second, and so do the other core VMs.
 GATEWAYS_SETTLE_MS = 1500.0
-# Reads that wait for a leader; what is older is of no use by then.
+# The number of prefills that wait for a leader; older ones are useless by then.
 PENDING_PREFILLS_MAX = 1024
 
 
 class SoftState:
-    """Used on the loop only. `own` is the VM that this is."""
+    """The soft state of one core VM, used on the event loop only.
+
+    `local` is this VM.
+    """
 
     def __init__(self, local: CoreVm) -> None:
         self._halls = {local.address: local.hall}
@@ -47,8 +51,8 @@
         self._endpoints_changed_ms = monotonic_ms()
         self.tallies = Tallies()
         self.prefills = PrefillLog()
-        # Gateways of one hall together see an engine read many times a second, one
-        # of 39 by itself too seldom to know a rate before it needs it.
+        # Gateways of one hall together observe many prefills of an engine each second.
+        # One of 39 gateways alone observes too few to know a rate before it needs it.
         self._rates = ReadingRates()
         self._pending_prefills: list[PromptRead] = []
         self._started_ms = monotonic_ms()
@@ -63,11 +67,11 @@
         # By service and version.
         self._begun_in_trial: dict[tuple[str, str], dict[int, float]] = {}
         self.crashes = UnloggedCrashes()
-        # Set when something was told that the leader should hear at once.
+        # Set when something was reported that the leader must receive at once.
         self.urgent = asyncio.Event()
 
     def apply_request(self, request: SyncRequest) -> None:
-        """Somebody asks, and tells what it knows."""
+        """Applies what a gateway or another core VM reports in a sync request."""
         now_ms = monotonic_ms()
         for gateway in request.gateways:
             self._gateways[gateway] = now_ms
@@ -82,7 +86,7 @@
             self.urgent.set()
 
     def core_vms(self, addresses: Iterable[str]) -> tuple[CoreVm, ...]:
-        """Core VMs by their addresses, with their halls as far as they are known."""
+        """Returns core VMs by address, with their halls as far as known."""
         return tuple(CoreVm(a, self._halls.get(a, "")) for a in addresses)
 
     def _apply_sessions(self, sessions: SessionMarks, now_ms: float) -> None:
@@ -105,30 +109,38 @@
         moved.update(dict.fromkeys(sessions.moved, now_ms))
 
     def add_prefills(self, prefills: tuple[PromptRead, ...]) -> None:
-        """Take reads that are to reach the leader; the oldest give way."""
+        """Adds prefills for the leader; drops the oldest beyond the limit."""
         self._pending_prefills.extend(prefills)
         del self._pending_prefills[:-PENDING_PREFILLS_MAX]
 
     def take_prefills(self) -> tuple[PromptRead, ...]:
-        """The reads that the leader has not got yet."""
-        told, self._pending_prefills = self._pending_prefills, []
-        return tuple(told)
+        """Returns the prefills that were not sent to the leader yet."""
+        pending, self._pending_prefills = self._pending_prefills, []
+        return tuple(pending)
 
     def recent_sessions(self) -> tuple[SessionMarks, ...]:
-        """The sessions that were told lately, by service."""
+        """Returns the recently reported sessions by service."""
         oldest_ms = monotonic_ms() - SESSION_REPORT_MAX_AGE_MS
         found = []
         for service in self._running_sessions:
-            for told in (self._running_sessions, self._moved_sessions):
-                marks = told[service].items()
-                told[service] = {mark: at for mark, at in marks if at >= oldest_ms}
+            for reports in (self._running_sessions, self._moved_sessions):
+                hashes = reports[service].items()
+                reports[service] = {
+                    session_hash: at_ms
+                    for session_hash, at_ms in hashes
+                    if at_ms >= oldest_ms
+                }
             running, moved = (
                 self._running_sessions[service],
                 self._moved_sessions[service],
             )
             found.append(SessionMarks(service, tuple(running), tuple(moved)))
         for (service, version), begun in list(self._begun_in_trial.items()):
-            recent = tuple(mark for mark, at in begun.items() if at >= oldest_ms)
+            recent = tuple(
+                session_hash
+                for session_hash, at_ms in begun.items()
+                if at_ms >= oldest_ms
+            )
             if recent:
                 found.append(SessionMarks(service, (), recent, version))
             else:
@@ -136,10 +148,12 @@
         return tuple(found)
 
     def live_gateways(self) -> tuple[GatewayVm, ...]:
-        """The gateways that have asked lately, here or below."""
+        """Returns the gateways that synced recently, directly or through other VMs."""
         now_ms = monotonic_ms()
         gone = [
-            g for g, at in self._gateways.items() if now_ms - at > GATEWAY_TIMEOUT_MS
+            g
+            for g, at_ms in self._gateways.items()
+            if now_ms - at_ms > GATEWAY_TIMEOUT_MS
         ]
         for gateway in gone:
             del self._gateways[gateway]
@@ -147,16 +161,16 @@
 
     @property
     def endpoints_age_ms(self) -> float:
-        """How long ago the endpoints were first read as they are."""
+        """How long ago the endpoints were first read in their present form."""
         return monotonic_ms() - self._endpoints_changed_ms
 
     @property
     def leader_reachable(self) -> bool:
-        """Whether the leader has answered lately."""
+        """Whether the leader has replied recently."""
         return monotonic_ms() - self._leader_reply_ms < LEADER_TIMEOUT_MS
 
     def apply_reply(self, reply: SyncReply) -> None:
-        """Take the leader's answer."""
+        """Applies a sync reply of the leader."""
         if not reply.current:
             return
         self._leader_reply_ms = monotonic_ms()
@@ -173,10 +187,10 @@
     def apply_leader_state(
         self, term: int, listed: EndpointList, read_ms: float, changed_ms: float
     ) -> None:
-        """Take what this VM knows as the leader of a term.
+        """Applies the state of this VM as the leader of a term.
 
         `read_ms` is when the platform's list was last read, `changed_ms` when it was
-        first read as it is now.
+        first read in its present form.
         """
         self.prefills.extend(term, self.take_prefills())
         if term != self._leader_term:
@@ -190,12 +204,12 @@
             self.notify_changed()
 
     def _adopt_gateways(self) -> None:
-        """Begin a term with the gateways that the leader before told of.
+        """Starts a term with the gateways that the previous leader reported.
 
-        They ask this VM, or another that tells it, within half a second. Without
-        this a new leader told all that there were none: a session that was moved
-        in that time was told to nobody, and each gateway took the whole budget of
-        repeats for its own.
+        They sync with this VM, or with another one that syncs with it, within half a
+        second. Without this, a new leader reported to all that there were no gateways:
+        a session moved in that time was announced to no gateway, and each gateway used
+        the whole retry budget for itself.
         """
         now_ms = monotonic_ms()
         for gateway in self.gateways:
@@ -208,8 +222,8 @@
         members: tuple[CoreVm, ...],
         state: FleetState,
     ) -> SyncReply:
-        """What is newer than who asks knows."""
-        newer = state.version > request.document_version
+        """Returns the updates that the sender of a request does not know."""
+        document_is_newer = state.version > request.document_version
         rollouts = tuple(
             r for r in state.rollouts.values() if r.number > request.rollout_number
         )
@@ -220,7 +234,7 @@
             members,
             self._gateways_if_changed(request),
             state.version,
-            state.document if newer else b"",
+            state.document if document_is_newer else b"",
             endpoints if endpoints.order > request.list_order else None,
             rollouts,
             monotonic_ms() - self._list_read_ms,
@@ -238,27 +252,27 @@
     ) -> tuple[GatewayVm, ...] | None:
         if gateways_digest(self.gateways) == request.gateways_known:
             return None
-        young = monotonic_ms() - self._started_ms < GATEWAYS_SETTLE_MS
-        return None if young and request.gateways_known else self.gateways
+        recently_started = monotonic_ms() - self._started_ms < GATEWAYS_SETTLE_MS
+        return None if recently_started and request.gateways_known else self.gateways
 
     def notify_changed(self) -> None:
-        """There may be news: answer who waits."""
+        """Wakes held requests to check for updates."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def wait_change(self, wait_ms: float) -> None:
-        """Wait for news, or for some time."""
+        """Waits for an update, for a limited time."""
         try:
             async with asyncio.timeout(wait_ms / 1000.0):
                 await self._changed.wait()
         except TimeoutError:
-            # No news is an answer too.
+            # Without an update the request is answered at the end of its wait.
             pass
 
 
 def has_updates(reply: SyncReply) -> bool:
-    """Whether an answer brings anything newer."""
+    """Checks whether a reply contains an update that ends a held request."""
     listed = reply.endpoints is not None
     evacuated = reply.evacuations is not None
-    orders = reply.document or reply.rollouts or evacuated
-    return bool(orders or listed or reply.crashes)
+    commanded = reply.document or reply.rollouts or evacuated
+    return bool(commanded or listed or reply.crashes)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -325,7 +325,7 @@
     Mutant(
         "young-leader-makes-all-forget",
         "ashlatch/fleet/soft_state.py",
-        "        return None if young and request.gateways_known else self.gateways",
+        "        return None if recently_started and request.gateways_known else self.gateways",
         "        return self.gateways",
         FLEET,
     ),
