--- a/ashlatch/adapter/bounds.py
+++ b/ashlatch/adapter/bounds.py
@@ -2,7 +2,7 @@
 ashlatch.adapter.bounds
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-What bounds one attempt, whatever it calls.
+The limits of one attempt, regardless of what it calls.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True)
 class AttemptBounds:
-    """Time limits, and two questions that the transport asks.
+    """Timeouts, and two callbacks that the transport asks.
 
-    `may_send` is asked when the connection stands, right before the first
-    byte; `cancelled` all the time from then on.
+    `may_send` is called once the connection is established, right before the first
+    byte; `cancelled` is polled continuously from then on.
     """
 
     timeout_ms: float
--- a/ashlatch/adapter/engine.py
+++ b/ashlatch/adapter/engine.py
@@ -2,9 +2,9 @@
 ashlatch.adapter.engine
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-Calls model engines by the widely used chat-completions JSON. An engine gives
-the attempt's id back in `X-Request-Id`; an answer without it, or with another
-one, is somebody else's and is not passed on (R5).
+Calls model engines with the widely used chat-completions JSON. An engine returns the
+attempt's id in `X-Request-Id`; an answer without it or with a different one belongs to
+another request and is not passed on (R5).
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -37,13 +37,13 @@
 
 @dataclass(frozen=True)
 class Prices:
-    """Millionths of a US dollar for a thousand tokens."""
+    """Prices in millionths of a US dollar for a thousand tokens."""
 
     input_microusd_per_ktoken: int
     output_microusd_per_ktoken: int
 
     def usage(self, input_tokens: int, output_tokens: int) -> Usage:
-        """The usage of an answer with what it costs."""
+        """Returns the usage of an answer including its cost."""
         cost_microusd = (
             input_tokens * self.input_microusd_per_ktoken
             + output_tokens * self.output_microusd_per_ktoken
@@ -52,11 +52,11 @@
 
 
 class EngineCall:
-    """One attempt at an engine; `run` it once, on any thread.
+    """One attempt at an engine; `run` is called once, on any thread.
 
-    `on_chunk` takes each event of a stream but the last, `[DONE]`, which is
-    left to the caller: it may follow only when the answer is recorded. `on_head` takes
-    the head of an answer, and whether the engine has run the request.
+    `on_chunk` receives each event of a stream except the last one, `[DONE]`, which the
+    caller must send itself, and only after the answer is recorded. `on_head` receives
+    the head of an answer and whether the engine has run the request.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         self._streamed = False
 
     def run(self) -> AttemptResult:
-        """Make the call and say how it ended."""
+        """Makes the call and returns its result."""
         try:
             reply = fetch(self._call())
         except TransportError as error:
@@ -121,11 +121,11 @@
         )
 
     def _handle_head(self, reply: Reply) -> None:
-        own = reply.headers.get("x-request-id") == self._attempt.attempt_id
-        self._id_mismatch = not own
+        id_matches = reply.headers.get("x-request-id") == self._attempt.attempt_id
+        self._id_mismatch = not id_matches
         content_type = reply.headers.get("content-type", "")
         self._streamed = reply.status == 200 and content_type.startswith(STREAM_TYPE)
-        self._on_head(reply, own and reply.status not in NOT_EXECUTED_STATUSES)
+        self._on_head(reply, id_matches and reply.status not in NOT_EXECUTED_STATUSES)
 
     def _handle_data(self, data: bytes) -> None:
         if not self._first_token_ms:
@@ -161,7 +161,7 @@
         if reply.status != 200:
             return _error_result(reply, plain)
         if self._id_mismatch:
-            reason = "the answer is of another request"
+            reason = "the answer belongs to another request"
             return Broken(reason, self._chunk_count(), replied=True)
         if self._streamed:
             return self._stream_result(reply)
@@ -170,7 +170,7 @@
             usage = document["usage"]
             reasons = {choice["finish_reason"] for choice in document["choices"]}
         except (ValueError, KeyError, TypeError):
-            return Broken("the answer is not whole", replied=True)
+            return Broken("the answer is incomplete", replied=True)
         return self._answered(reply, plain, usage, self._is_poor(reasons, usage))
 
     def _stream_result(self, reply: Reply) -> AttemptResult:
@@ -191,15 +191,18 @@
         return Answered(answer, counted, took_ms, self._first_token_ms, poor)
 
     def _is_poor(self, reasons: set[str], usage: dict[str, Any]) -> bool:
-        """Refused by the model, or cut short before the caller's own bound."""
+        """Checks for a refusal by the model or a cut below the caller's token limit."""
         if CONTENT_FILTER_REASON in reasons:
             return True
-        bound = self._attempt.request.output_tokens_max
-        return LENGTH_REASON in reasons and int(usage["completion_tokens"]) < bound
+        limit = self._attempt.request.output_tokens_max
+        return LENGTH_REASON in reasons and int(usage["completion_tokens"]) < limit
 
 
 def _error_result(reply: Reply, body: bytes) -> AttemptResult:
-    """An engine that says `not_run` has run nothing; else it is not known."""
+    """Returns the result of an answer with an error status.
+
+    The engine has not run the request if it says `not_run`; otherwise that is unknown.
+    """
     try:
         error = json.loads(body).get("error", {})
     except (ValueError, AttributeError):
--- a/ashlatch/adapter/liveness.py
+++ b/ashlatch/adapter/liveness.py
@@ -2,7 +2,7 @@
 ashlatch.adapter.liveness
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Tells an endpoint whose process has ended from a connection that was cut.
+Distinguishes an endpoint whose process has ended from one whose connection was cut.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -14,25 +14,26 @@
 
 __all__ = ["refuses_connections"]
 
-# A refusal comes within a round trip; an attempt that may go elsewhere waits no longer.
+# A refusal arrives within one round trip; longer waits would delay a retry elsewhere.
 PROBE_TIMEOUT_S = 0.1
-# A process that ends closes its connections one after the other, the listening socket
-# perhaps last: who still gets a connection asks again after this.
+# An ending process closes its connections one by one, perhaps the listening socket
+# last, so an accepted connection is checked again after this delay.
 RECHECK_DELAY_S = 0.02
 DEFAULT_PORT = 80
 
 
 def refuses_connections(url: str) -> bool:
-    """Whether nobody listens at an endpoint's address.
+    """Checks whether no process listens at an endpoint's address.
 
-    False as well when that is not known: its VM is silent, or there is no way to it.
+    Also returns False if that is unknown because its VM does not respond or is
+    unreachable.
     """
-    address = urlsplit(url)
-    at = (address.hostname or "", address.port or DEFAULT_PORT)
-    if _connection_refused(at):
+    parts = urlsplit(url)
+    address = (parts.hostname or "", parts.port or DEFAULT_PORT)
+    if _connection_refused(address):
         return True
     time.sleep(RECHECK_DELAY_S)
-    return _connection_refused(at)
+    return _connection_refused(address)
 
 
 def _connection_refused(address: tuple[str, int]) -> bool:
--- a/ashlatch/adapter/notices.py
+++ b/ashlatch/adapter/notices.py
@@ -2,10 +2,9 @@
 ashlatch.adapter.notices
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-What an endpoint says of itself in its replies: in `Ashlatch-Requests-Per-S` how many
-requests a second it takes from all routers together, in `Retry-After` of a refusal for
-how long it wants none of this router, and by `Ashlatch-Leaving: 1` that it is about to
-end.
+Reads what an endpoint announces in its reply headers: `Ashlatch-Requests-Per-S` is its
+rate limit for all routers together, `Retry-After` of a refusal is how long it wants no
+requests from this router, and `Ashlatch-Leaving: 1` says that it is about to stop.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -27,10 +26,10 @@
 
 @dataclass(frozen=True)
 class EndpointNotice:
-    """What one reply says of its endpoint.
+    """The announcements of an endpoint in one reply.
 
-    `limit_per_s` is infinite if it names no rate limit, none if what it names is no
-    rate: nothing follows from that.
+    `limit_per_s` is infinite if the reply names no rate limit, and None if its value is
+    invalid, which has no effect.
     """
 
     limit_per_s: float | None = NO_LIMIT
@@ -39,12 +38,12 @@
 
     @property
     def empty(self) -> bool:
-        """Whether the endpoint takes all requests, as far as it says."""
+        """Whether the reply restricts nothing."""
         return self == EndpointNotice()
 
 
 def decode_notice(reply: Reply) -> EndpointNotice:
-    """Read the headers of a reply."""
+    """Returns the announcements in the headers of a reply."""
     backoff_ms = 0.0
     if reply.status in BACKOFF_STATUSES and _RETRY_AFTER in reply.headers:
         backoff_ms = parse_retry_after_ms([reply.headers[_RETRY_AFTER]])
--- a/ashlatch/adapter/placement.py
+++ b/ashlatch/adapter/placement.py
@@ -2,8 +2,8 @@
 ashlatch.adapter.placement
 ~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Sends fenced orders to engines, and asks the weight store, which limits its
-rate, before a version is loaded.
+Sends fenced commands to engines, and asks the rate-limited weight store for permission
+before a version is loaded.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -21,7 +21,7 @@
 
 
 def send_order(order: Order, timeout_ms: float) -> bool:
-    """Send an order; true when the engine has taken it."""
+    """Sends a fenced command; returns whether the engine has accepted it."""
     body = {
         "order_id": order.order_id,
         "epoch": order.epoch,
@@ -42,7 +42,7 @@
 
 
 def may_fetch_weights(store_url: str, version: str, timeout_ms: float) -> bool:
-    """Whether the weight store lets the version be fetched now."""
+    """Checks whether the weight store permits fetching the version now."""
     if not store_url:
         return True
     call = Call(f"{store_url}/v1/tickets/{version}", "POST", timeout_ms=timeout_ms)
--- a/ashlatch/adapter/platform.py
+++ b/ashlatch/adapter/platform.py
@@ -2,8 +2,8 @@
 ashlatch.adapter.platform
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Reads the platform: the list of VMs, which lags, and the pools' own reports of
-their load, which lag too and say by how much.
+Reads the platform's list of VMs, which lags, and the load reports of pools, which lag
+too and contain their age.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -22,7 +22,7 @@
 
 @dataclass
 class PlatformUnreadable(AshlatchError):
-    """The platform did not answer, or not as agreed."""
+    """The platform did not answer, or not in the agreed format."""
 
     url: str
     reason: str
@@ -58,14 +58,14 @@
 
 @dataclass(frozen=True)
 class PoolReport:
-    """The loads of a pool's endpoints and those that say they are leaving."""
+    """The loads of a pool's endpoints, and the endpoints that are leaving."""
 
     reports: tuple[LoadReport, ...]
     leaving: frozenset[str]
 
 
 def read_vms(platform_url: str, timeout_ms: float) -> tuple[ListedVm, ...]:
-    """The platform's list of VMs."""
+    """Returns the platform's list of VMs."""
     url = f"{platform_url}/v1/vms"
     try:
         return _VmList.model_validate_json(_get(url, timeout_ms)).vms
@@ -76,7 +76,7 @@
 def read_pool(
     report_url: str, now_ms: float, timeout_ms: float, vms: tuple[str, ...] = ()
 ) -> PoolReport:
-    """A pool's report; `now_ms` is the router's clock when it asks.
+    """Returns a pool's report; `now_ms` is the router's clock at the request.
 
     With `vms`, the pool is asked to report on these only.
     """
--- a/ashlatch/adapter/rating.py
+++ b/ashlatch/adapter/rating.py
@@ -2,8 +2,8 @@
 ashlatch.adapter.rating
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-Hands sampled answers to the service that rates them, and reads the ratings,
-which come late and in any order.
+Submits sampled answers to the rating service and reads the ratings, which arrive late
+and in any order.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -24,7 +24,7 @@
 
 @dataclass
 class RatingUnreadable(AshlatchError):
-    """The rating service did not answer, or not as agreed."""
+    """The rating service did not answer, or not in the agreed format."""
 
     url: str
     reason: str
@@ -45,14 +45,14 @@
 
 
 class RatingService:
-    """The rating service at a URL; remembers how far it has read."""
+    """The rating service at a URL; tracks the last rating read."""
 
     def __init__(self, url: str) -> None:
         self._url = url
         self._after = -1
 
     def submit(self, request: str, route: str, version: str, answer: bytes) -> None:
-        """Ask for a rating. A failure loses the rating and nothing else."""
+        """Requests a rating of an answer. A failure loses only this rating."""
         body = {
             "request": request,
             "route": route,
@@ -72,7 +72,7 @@
             raise RatingUnreadable(self._url, error.reason) from error
 
     def read(self) -> tuple[RatingRecord, ...]:
-        """The ratings since the last call; the first call skips old ones."""
+        """Returns the ratings since the last call; the first call skips old ones."""
         url = f"{self._url}/v1/ratings?after={self._after}"
         try:
             reply = fetch(Call(url, timeout_ms=TIMEOUT_MS))
--- a/ashlatch/adapter/service.py
+++ b/ashlatch/adapter/service.py
@@ -2,9 +2,9 @@
 ashlatch.adapter.service
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-Calls plain services. Every reply below 500 is the service's own answer and is
-passed on; a service that refuses before it runs says so with 503 and a
-problem document in which `not_run` is true.
+Calls plain services. Every reply below 500 is the service's own answer and is passed
+on. A service that refuses a request before running it replies with 503 and a problem
+document in which `not_run` is true.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -33,9 +33,9 @@
     bounds: AttemptBounds,
     on_head: Callable[[Reply, bool], None] = lambda reply, run: None,
 ) -> AttemptResult:
-    """Make one attempt at an endpoint of a service.
+    """Makes one attempt at an endpoint of a service.
 
-    `on_head` takes the head of its reply, and whether it has run the request.
+    `on_head` receives the head of its reply and whether it has run the request.
     """
     request = attempt.request
     call = Call(
@@ -54,14 +54,14 @@
         before_send=bounds.may_send,
         repeatable=request.repeatable,
     )
-    began_s = monotonic_s()
+    started_s = monotonic_s()
     try:
         reply = fetch(call)
     except TransportError as error:
         return Broken(error.reason) if error.sent else NotSent(error.reason)
-    own = reply.headers.get("x-request-id") == attempt.attempt_id
-    on_head(reply, own and reply.status != REFUSED_STATUS)
-    took_ms = (monotonic_s() - began_s) * 1000.0
+    id_matches = reply.headers.get("x-request-id") == attempt.attempt_id
+    on_head(reply, id_matches and reply.status != REFUSED_STATUS)
+    took_ms = (monotonic_s() - started_s) * 1000.0
     return _result(attempt, reply, price_microusd, took_ms)
 
 
@@ -71,7 +71,7 @@
     if reply.status >= 500:
         return _error_result(reply)
     if reply.headers.get("x-request-id") != attempt.attempt_id:
-        return Broken("the answer is of another request")
+        return Broken("the answer belongs to another request")
     content_type = reply.headers.get("content-type", "application/octet-stream")
     answer = StoredAnswer(reply.status, content_type, reply.body)
     return Answered(answer, Usage(0, 0, price_microusd), took_ms, took_ms)
--- a/ashlatch/catalog.py
+++ b/ashlatch/catalog.py
@@ -2,10 +2,10 @@
 ashlatch.catalog
 ~~~~~~~~~~~~~~~~
 
-What a gateway serves: routes, services, organisations and limits of one
-version of the configuration, and the endpoints that exist at present. These
-types are shared by the gateway, which routes by them, and the fleet, which
-keeps and spreads them.
+Types of the configuration that gateways serve (routes, services, organisations and
+limits of one version), of the endpoints that exist at present and of roll-outs. They
+are shared by the gateway, which routes by them, and the core, which stores and
+distributes them.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -37,11 +37,11 @@
 
 
 class RepeatPolicy(enum.Enum):
-    """What may be done with a request whose fate is unknown.
+    """What may be done with a request whose outcome is unknown.
 
-    `FREELY`: it may run any number of times. `NEVER`: once at most.
-    `RESUME`: a stream that may go on at another endpoint behind the last
-    event that was passed on.
+    `FREELY`: it may run any number of times. `NEVER`: it may run once at most.
+    `RESUME`: a stream that may continue at another endpoint after the last event that
+    was passed on.
     """
 
     FREELY = "freely"
@@ -50,21 +50,21 @@
 
 
 class ServiceShare(msgspec.Struct, frozen=True):
-    """A service and its weight among those that a route is split over."""
+    """A service and its weight among the services that a route is split over."""
 
     service: str
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Where requests of one host and path prefix go.
-
-    `attempts_max` is to how many endpoints one request may be sent;
-    `held_max_ms` how long it may be held; `target_ms` the time to the answer
-    (of a stream: its first event) that is aimed at. `models` are the models
-    that the gateway may name, the smallest first; empty when the caller does.
-    `priority` is 0 for the most urgent. Where `regions` are named, its requests go to
-    endpoints in these alone.
+    """The destination of requests with a host and path prefix, and how to handle them.
+
+    `attempts_max` is the number of endpoints that one request may be sent to,
+    `held_max_ms` how long it may be queued, and `target_ms` the targeted time to the
+    answer (of a stream: to its first event). `models` are the models that the gateway
+    may choose from, the smallest first; empty if the caller names the model. `priority`
+    is 0 for the most urgent. If `regions` is not empty, requests go only to endpoints
+    in these regions.
     """
 
     name: str
@@ -85,14 +85,14 @@
 
 
 class ModelPrice(msgspec.Struct, frozen=True):
-    """What 1,000 generated tokens of a model cost; read ones cost a quarter."""
+    """The price of 1,000 generated tokens of a model; prompt tokens cost a quarter."""
 
     model: str
     cost: float
 
 
 class EngineSpec(msgspec.Struct, frozen=True):
-    """The model engines of a service: requests at once, and their models."""
+    """The model engines of a service: concurrent requests, cache size and models."""
 
     slots: int
     memory_tokens: int
@@ -103,8 +103,9 @@
 class Service(msgspec.Struct, frozen=True):
     """Endpoints of one kind. `engine` is unset for a plain service.
 
-    An endpoint is cold for `cold_ms` after its start, and bears `cold_requests_per_s`
-    from all gateways meanwhile; 0 if it bears as many as ever.
+    An endpoint is cold for `cold_ms` after its start and meanwhile handles
+    `cold_requests_per_s` from all gateways together; 0 if a cold endpoint handles as
+    many requests as a warm one.
     """
 
     name: str
@@ -115,9 +116,9 @@
 
 
 class Organisation(msgspec.Struct, frozen=True):
-    """Who holds which API keys; `priority`, if set, goes before the route's.
+    """An owner of API keys; `priority`, if set, overrides the route's.
 
-    `regions` bind its requests like a route's; where both name some, both bind.
+    `regions` restrict its requests as a route's do; if both name regions, both apply.
     """
 
     name: str
@@ -127,7 +128,7 @@
 
 
 class CatalogLimits(msgspec.Struct, frozen=True):
-    """Bounds on what a caller may send, and how slowly."""
+    """Limits on the size of a caller's request and on how slowly it may arrive."""
 
     head_max_bytes: int = 16_384
     body_max_bytes: int = 4_194_304
@@ -148,10 +149,10 @@
 class Endpoint(msgspec.Struct, frozen=True):
     """One running endpoint VM.
 
-    `instance` is its id, which a process that starts again may keep:
-    `started_unix_ms` tells its lives apart, 0 if that is not told. A new life holds
-    and knows nothing of the one before. `leaving` endpoints take no new work. An
-    endpoint is cold for `cold_left_ms` more, counted from when the list was read.
+    `instance` is its id, which may stay the same when the process restarts:
+    `started_unix_ms` tells its incarnations apart, 0 if unknown. A new incarnation has
+    nothing of the state of the previous one. `leaving` endpoints take no new work. An
+    endpoint stays cold for `cold_left_ms`, counted from when the list was read.
     """
 
     instance: str
@@ -165,9 +166,12 @@
     cold_left_ms: float = 0.0
 
     def is_later_incarnation_of(self, other: "Endpoint") -> bool:
-        """Whether this is a later life of an endpoint, as far as that is told."""
-        told = self.started_unix_ms > 0 and other.started_unix_ms > 0
-        return told and self.started_unix_ms > other.started_unix_ms
+        """Checks whether this is a later incarnation of an endpoint.
+
+        False if either start time is unknown.
+        """
+        comparable = self.started_unix_ms > 0 and other.started_unix_ms > 0
+        return comparable and self.started_unix_ms > other.started_unix_ms
 
 
 class EndpointList(msgspec.Struct, frozen=True):
@@ -182,15 +186,15 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        """What tells which of two lists is newer."""
+        """The key by which two lists are compared; the newer one has the higher."""
         return self.epoch, self.number
 
 
 class Evacuations(msgspec.Struct, frozen=True, array_like=True):
-    """The halls whose endpoints get no requests, by operators' orders.
+    """The halls whose endpoints get no requests by operators' commands.
 
-    `number` counts the changes: of two records the one with the higher is newer.
-    `returned` is the change by which a hall was given back last.
+    `number` counts the changes: the record with the higher number is newer. `returned`
+    maps a hall to the change that last ended its evacuation.
     """
 
     number: int = 0
@@ -199,27 +203,26 @@
 
 
 class GatewayVm(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """An entry VM: where its gateway takes datagrams, and its hall."""
+    """An entry VM: the address where its gateway receives datagrams, and its hall."""
 
     address: str
     hall: str
 
 
 class CoreVm(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """A core VM: where it takes calls, and its hall, empty while that is unknown."""
+    """A core VM: the address where it receives calls, and its hall if known."""
 
     address: str
     hall: str = ""
 
 
 class RolloutStage(enum.Enum):
-    """How far a roll-out is.
+    """The stage of a roll-out.
 
-    `TRIAL`: a share of the sessions goes to the new version, which has not
-    proved itself yet. `LOAD_TEST`: one endpoint of it gets as much as makes it
-    busy, since some faults show only then. `SETTLE`: what that brought is
-    waited for. `SHIFT`: the version is well, and takes over. `COMPLETED` and
-    `ROLLED_BACK` are final.
+    `TRIAL`: a share of the sessions goes to the new version, which is unproven.
+    `LOAD_TEST`: one of its endpoints gets enough requests to be busy, as some faults
+    show only under load. `SETTLE`: the results of the load test are awaited. `SHIFT`:
+    the version is healthy and takes over. `COMPLETED` and `ROLLED_BACK` are final.
     """
 
     TRIAL = "trial"
@@ -233,12 +236,12 @@
 class Rollout(msgspec.Struct, frozen=True):
     """The newest roll-out of a service. `share` is of its sessions, 0 to 1.
 
-    `number` counts the changes of all roll-outs; of two records of a
-    roll-out, the one with the higher number is newer. `elapsed_ms` is how long
-    it had run when the record was made. `held` are the marks of sessions that
-    ran when the trial began, at any gateway; they stay for all of the trial.
-    `moved` are the marks of sessions beyond the share that the load test has
-    moved; they stay on the new version.
+    `number` counts the changes of all roll-outs: of two records of a roll-out, the one
+    with the higher number is newer. `elapsed_ms` is how long it had run when the record
+    was made. `held` are the hashes of the sessions that ran at any gateway when the
+    trial began; they stay on their version for the whole trial. `moved` are the
+    hashes of sessions beyond the share that the load test has moved; they stay on the
+    new version.
     """
 
     service: str
@@ -253,11 +256,11 @@
 
 
 class SessionMarks(msgspec.Struct, frozen=True):
-    """Sessions of a service that all gateways have to know of.
+    """Sessions of a service that all gateways must know.
 
-    `marks` are of those that run and that a trial might move, `moved` of those
-    that its load test has moved; with a `trial_version`, of those that have begun in
-    the trial of that version at gateways without datagrams.
+    `marks` are the hashes of running sessions that a trial might move, `moved` the
+    hashes of those that its load test has moved. With a `trial_version`, `moved` are
+    the sessions that began in the trial of that version at gateways without datagrams.
     """
 
     service: str
--- a/ashlatch/fleet/daemon.py
+++ b/ashlatch/fleet/daemon.py
@@ -359,8 +359,8 @@
         with self.group.lock:
             evacuated = self.machine.state.evacuations.halls
         listed = self._list_poller.newest.endpoints
-        asked = (e for e in listed if e.hall not in evacuated)
-        return tuple(e for e in asked if e.service in services)
+        available = (e for e in listed if e.hall not in evacuated)
+        return tuple(e for e in available if e.service in services)
 
     def _plain_services(self) -> frozenset[str]:
         return frozenset(s.name for s in self._services() if s.engine is None)
--- a/ashlatch/fleet/leader.py
+++ b/ashlatch/fleet/leader.py
@@ -151,8 +151,8 @@
         for rollout in rollouts:
             self._newest[rollout.service] = rollout
             clock = self._clocks.get(rollout.service)
-            begun = clock is None or clock.version != rollout.version
-            if clock is None or begun or rollout.elapsed_ms > clock.elapsed_at(now_ms):
+            is_new = clock is None or clock.version != rollout.version
+            if clock is None or is_new or rollout.elapsed_ms > clock.elapsed_at(now_ms):
                 clock = _RolloutClock(rollout.version, rollout.elapsed_ms, now_ms)
                 self._clocks[rollout.service] = clock
 
@@ -162,9 +162,9 @@
         for tally in tallies:
             counted = self._drop_times_after_trial(tally)
             by_service.setdefault(tally.key.service, []).append(counted)
-        for service, own in by_service.items():
+        for service, service_tallies in by_service.items():
             if service in self._evidence:
-                self._evidence[service].add(tuple(own), now_ms)
+                self._evidence[service].add(tuple(service_tallies), now_ms)
 
     def set_sessions(self, sessions: tuple[SessionMarks, ...]) -> None:
         """Sets the sessions running before a trial and those moved by a load test."""
--- a/ashlatch/fleet/prefix_caches.py
+++ b/ashlatch/fleet/prefix_caches.py
@@ -104,10 +104,10 @@
     instance: str, cached: Iterable[KeptPart], parts_max: int
 ) -> list[PromptRead]:
     """Returns the longest cached prefixes of an engine, by model."""
-    long = [part for part in cached if part.tokens >= PART_TOKENS_MIN]
-    long.sort(key=lambda part: part.tokens, reverse=True)
+    long_parts = [part for part in cached if part.tokens >= PART_TOKENS_MIN]
+    long_parts.sort(key=lambda part: part.tokens, reverse=True)
     by_model: dict[str, list[tuple[str, int]]] = defaultdict(list)
-    for part in long[:parts_max]:
+    for part in long_parts[:parts_max]:
         by_model[part.model].append((part.part_id, part.tokens))
     return [
         PromptRead(instance, model, tuple(parts)) for model, parts in by_model.items()
--- a/ashlatch/fleet/soft_state.py
+++ b/ashlatch/fleet/soft_state.py
@@ -252,8 +252,8 @@
     ) -> tuple[GatewayVm, ...] | None:
         if gateways_digest(self.gateways) == request.gateways_known:
             return None
-        recently_started = monotonic_ms() - self._started_ms < GATEWAYS_SETTLE_MS
-        return None if recently_started and request.gateways_known else self.gateways
+        starting = monotonic_ms() - self._started_ms < GATEWAYS_SETTLE_MS
+        return None if starting and request.gateways_known else self.gateways
 
     def notify_changed(self) -> None:
         """Wakes held requests to check for updates."""
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -325,7 +325,7 @@
     Mutant(
         "young-leader-makes-all-forget",
         "ashlatch/fleet/soft_state.py",
-        "        return None if recently_started and request.gateways_known else self.gateways",
+        "        return None if starting and request.gateways_known else self.gateways",
         "        return self.gateways",
         FLEET,
     ),
@@ -466,7 +466,7 @@
     Mutant(
         "start-forgotten",
         "ashlatch/catalog.py",
-        "        return told and self.started_unix_ms > other.started_unix_ms\n",
+        "        return comparable and self.started_unix_ms > other.started_unix_ms\n",
         "        return False\n",
         LIVES,
     ),
