--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -26,17 +26,19 @@
 
 
 def usage(fleet: Fleet, host: str) -> Usage:
-    messages = fleet.counted(host, "calls_sent") + fleet.counted(host, "calls_received")
-    sent_bytes = fleet.counted(host, "calls_sent_bytes")
-    received_bytes = fleet.counted(host, "calls_received_bytes")
+    messages = fleet.read_counter(host, "calls_sent") + fleet.read_counter(
+        host, "calls_received"
+    )
+    sent_bytes = fleet.read_counter(host, "calls_sent_bytes")
+    received_bytes = fleet.read_counter(host, "calls_received_bytes")
     processor_s = fleet.processes[host].processor_s()
     return Usage(processor_s, messages, sent_bytes, received_bytes)
 
 
 def started(count: int) -> Fleet:
     fleet = Fleet()
-    fleet.found()
-    fleet.acknowledged(3)
+    fleet.bootstrap()
+    fleet.replace_until_accepted(3)
     for number in range(count):
         fleet.start_gateway(f"{fleet.net}.{101 + number}")
     return fleet
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -14,7 +14,7 @@
 from tests import stub_server
 from tests.fleet import FRONT_PORT, READY_PORT, Fleet, wait_for
 from tests.gateway import GatewayHarness, ask
-from tests.stub_server import StandIn
+from tests.stub_server import StubServer
 
 REQUESTS = 1500
 AT_ONCE = 4
@@ -63,11 +63,11 @@
 def processes() -> None:
     title("A gateway's processor time a request, by events of the answer")
     for events in (0, *EVENTS):
-        script = stub_server.stream(events) if events else stub_server.answer()
+        script = stub_server.stream(events) if events else stub_server.answer_with()
         fleet = Fleet(scripts=[script])
         try:
-            fleet.found()
-            fleet.acknowledged(3)
+            fleet.bootstrap()
+            fleet.replace_until_accepted(3)
             host = f"{fleet.net}.101"
             fleet.start_gateway(host)
             wait_for(lambda f=fleet, h=host: is_ready(f, h), "ready")  # type: ignore[misc]
@@ -90,7 +90,7 @@
 def parts() -> None:
     title("The same by part, in one process under a profiler: share of the time")
     for events in (0, EVENTS[-1]):
-        script = stub_server.stream(events) if events else stub_server.answer()
+        script = stub_server.stream(events) if events else stub_server.answer_with()
         path = "/stream/1" if events else "/get/1"
         test = GatewayHarness("run_gateway")
         profile = cProfile.Profile()
@@ -98,7 +98,7 @@
         def work(test: GatewayHarness = test, path: str = path) -> Awaitable[None]:
             return calls(("127.0.0.1", test.port), path, REQUESTS // 5)
 
-        profile.runcall(test.run_gateway, [StandIn([script])], work)
+        profile.runcall(test.run_gateway, [StubServer([script])], work)
         shares = by_part(pstats.Stats(profile))
         row(f"{events} events", **{name: f"{share:.2f}" for name, share in shares})
 
--- a/tests/crash_play.py
+++ b/tests/crash_play.py
@@ -27,7 +27,7 @@
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 from ashlatch.policy.quarantine import CrashRecord
-from tests.stub_server import document, encoded, engine_service
+from tests.stub_server import document, encode_document, engine_service
 
 MODEL = "large"
 SLOTS = 128
@@ -106,7 +106,7 @@
         self.outcome = CrashOutcome()
         self._at_engine: dict[str, list[_Request]] = {}
         table = RouteTable(
-            decode_catalog(encoded(document(services=[engine_service("app")])))
+            decode_catalog(encode_document(document(services=[engine_service("app")])))
         )
         self.gateways = [self._gateway(table, n, seed) for n in range(gateways)]
         for _ in range(engines):
--- a/tests/crashing.py
+++ b/tests/crashing.py
@@ -10,12 +10,12 @@
 
 from tests.stub_server import (
     LAST_CHUNK,
-    Received,
+    ReceivedRequest,
     Script,
-    StandIn,
+    StubServer,
     chunk,
     event,
-    head,
+    response_head,
 )
 
 # What the request that ends engines asks for.
@@ -53,12 +53,12 @@
     changed: Callable[[], None] = lambda: None
     port: int = 0
     instance: str = ""
-    running: StandIn | None = None
+    running: StubServer | None = None
 
     async def start(self) -> None:
         """Begin a life of its own under a new id."""
         self.instance = f"i-{next(self.ids)}"
-        self.running = StandIn([self._script()])
+        self.running = StubServer([self._script()])
         await self.running.start(self.host, self.port)
         self.port = self.running.port
         self.changed()
@@ -68,11 +68,13 @@
         return f"{self.host}:{self.port}"
 
     def _script(self) -> Script:
-        async def script(request: Received, writer: asyncio.StreamWriter) -> None:
+        async def script(
+            request: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             if request.body == CRASHING_BODY:
                 self.log.came_s.append(time.monotonic())
             chunked = b"Transfer-Encoding: chunked\r\n\r\n"
-            writer.write(head(request) + chunked)
+            writer.write(response_head(request) + chunked)
             await writer.drain()
             if request.body == CRASHING_BODY:
                 first = int(request.headers.get("last-event-id", "0")) + 1
--- a/tests/demo.py
+++ b/tests/demo.py
@@ -45,7 +45,7 @@
 
 def configure(system: System) -> None:
     for deployment in (QUEENSLAND, KENYA):
-        path = Path(system.folder) / f"{deployment.example}.json"
+        path = Path(system.folder) / f"{deployment.example_name}.json"
         path.write_text(json.dumps(resources(system, deployment)))
         output = system.ctl("apply", "-f", str(path), "--wait").stdout
         say(f"ashlatchctl apply -f {path.name}: {output.splitlines()[-1]}")
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -15,7 +15,7 @@
 class Deployment:
     """One user's pools: how many VMs of each, in which halls."""
 
-    example: str
+    example_name: str
     pool: str
     service: str
     engines: int
@@ -70,7 +70,7 @@
 def resources(system: System, deployment: Deployment) -> list[dict[str, Any]]:
     """The example's resources, with the platform's real address."""
     assert system.platform is not None
-    text = (EXAMPLES / f"{deployment.example}.json").read_text()
+    text = (EXAMPLES / f"{deployment.example_name}.json").read_text()
     text = text.replace(EXAMPLE_PLATFORM, system.platform.urls["platform"])
     found: list[dict[str, Any]] = json.loads(text)
     return found
--- a/tests/engines.py
+++ b/tests/engines.py
@@ -32,7 +32,7 @@
 from ashlatch.gateway.versions import AllowedEndpoints, VersionChooser, VersionReason
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
-from tests.stub_server import document, encoded, engine_service
+from tests.stub_server import document, encode_document, engine_service
 
 # How long it takes to learn that nobody listens.
 CONNECT_MS = 2.0
@@ -128,7 +128,7 @@
             for n in range(gateways_each)
         )
         table = RouteTable(
-            decode_catalog(encoded(document(services=[engine_service("app")])))
+            decode_catalog(encode_document(document(services=[engine_service("app")])))
         )
         listed = EndpointList(1, 1, endpoints)
         self.gateways = [self._gateway(vm, vms, table, listed, seed) for vm in vms]
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from tests import stub_server
-from tests.stub_server import Received, Script, StandIn
+from tests.stub_server import ReceivedRequest, Script, StubServer
 from tests.system import Process
 
 OPERATOR_PORT = 7001
@@ -31,12 +31,14 @@
 WAIT_S = 20.0
 
 
-def wait_for(true: Callable[[], bool], what: str, wait_s: float = WAIT_S) -> float:
+def wait_for(
+    condition: Callable[[], bool], description: str, wait_s: float = WAIT_S
+) -> float:
     """Wait until something holds; the seconds that it took."""
     begun_s = time.monotonic()
-    while not true():
+    while not condition():
         if time.monotonic() - begun_s > wait_s:
-            raise AssertionError(f"not within {wait_s} s: {what}")
+            raise AssertionError(f"not within {wait_s} s: {description}")
         time.sleep(0.05)
     return time.monotonic() - begun_s
 
@@ -46,14 +48,14 @@
 
     def __init__(self, host: str, scripts: list[Script]) -> None:
         self.host = host
-        self.worker = StandIn(scripts)
-        self.list = StandIn([self._list])
+        self.endpoint = StubServer(scripts)
+        self.list = StubServer([self._list])
         self.instances: list[dict[str, Any]] = []
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._loop.run_forever, daemon=True)
         self._thread.start()
         for started in (
-            self.worker.start(host),
+            self.endpoint.start(host),
             self.list.start(host, LIST_PORT),
         ):
             asyncio.run_coroutine_threadsafe(started, self._loop).result(5.0)
@@ -70,7 +72,7 @@
             {
                 "id": instance,
                 "service": "app",
-                "address": f"{self.host}:{port or self.worker.port}",
+                "address": f"{self.host}:{port or self.endpoint.port}",
                 "zone": "hall-1",
                 "version": version,
                 "slots": 8,
@@ -78,9 +80,11 @@
             }
         )
 
-    async def _list(self, request: Received, writer: asyncio.StreamWriter) -> None:
+    async def _list(
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         body = json.dumps({"instances": self.instances, "nextToken": None}).encode()
-        writer.write(stub_server.whole(request, body))
+        writer.write(stub_server.full_response(request, body))
 
     def stop(self) -> None:
         """End the connections first: a loop that has gone cannot close them."""
@@ -106,7 +110,9 @@
         drawn = random.SystemRandom()
         self.net = f"127.{drawn.randrange(1, 255)}.{drawn.randrange(1, 255)}"
         self.folder = Path(tempfile.mkdtemp(prefix="ashlatch-fleet-"))
-        self.platform = Platform(f"{self.net}.200", scripts or [stub_server.answer()])
+        self.platform = Platform(
+            f"{self.net}.200", scripts or [stub_server.answer_with()]
+        )
         self.hosts = [f"{self.net}.{n + 1}" for n in range(cores)]
         self.seeds = self.hosts[:3]
         self.halls: dict[str, str] = {}
@@ -156,11 +162,11 @@
         command = [sys.executable, "-m", module, "--settings", str(path)]
         self.processes[host] = Process(host, command, self.folder)
 
-    def found(self) -> None:
+    def bootstrap(self) -> None:
         for host in self.hosts:
             self.start_core(host, first_start=True)
 
-    def wipe(self, host: str) -> None:
+    def kill_and_wipe(self, host: str) -> None:
         self.processes[host].kill()
         shutil.rmtree(self.folder / f"data-{host}")
 
@@ -183,10 +189,12 @@
             connection.close()
 
     def replace(self, host: str, version: int, **more: Any) -> int:
-        body = stub_server.encoded(stub_server.document(version, **more))
+        body = stub_server.encode_document(stub_server.document(version, **more))
         return self.call(host, "POST", "/-/Config.Replace", body)[0]
 
-    def acknowledged(self, version: int, hosts: list[str] | None = None) -> float:
+    def replace_until_accepted(
+        self, version: int, hosts: list[str] | None = None
+    ) -> float:
         """Send a version, to one VM after another, until it is taken."""
         asked = hosts or self.hosts
 
@@ -200,7 +208,7 @@
         status, body = self.call(host, "GET", "/-/Config.Read")
         return int(json.loads(body)["version"]) if status == 200 else 0
 
-    def counted(self, host: str, name: str) -> int:
+    def read_counter(self, host: str, name: str) -> int:
         """What a counter of a VM's metrics stands at."""
         _, text = self.call(host, "GET", "/metrics", port=METRICS_PORT)
         found = re.search(rf"^ashlatch_{name}_total (\d+)$", text.decode(), re.M)
@@ -235,7 +243,7 @@
 
         wait_for(taken, f"roll-out of {version} acknowledged")
 
-    def ask_in_session(self, host: str, session: str) -> tuple[int, str]:
+    def send_in_session(self, host: str, session: str) -> tuple[int, str]:
         """A caller's request that belongs to a session; status and body."""
         connection = http.client.HTTPConnection(host, FRONT_PORT, timeout=3.0)
         try:
@@ -261,13 +269,13 @@
         finally:
             connection.close()
 
-    def ask(
-        self, host: str, path: str = "/get/1", at: socket.socket | None = None
+    def send_request(
+        self, host: str, path: str = "/get/1", connected: socket.socket | None = None
     ) -> int:
         """A caller's request at a gateway, on a connection that stands if given."""
         connection = http.client.HTTPConnection(host, FRONT_PORT, timeout=3.0)
-        if at is not None:
-            connection.sock = at
+        if connected is not None:
+            connection.sock = connected
         try:
             connection.request("GET", path, headers=_caller_headers())
             return connection.getresponse().status
--- a/tests/gateway.py
+++ b/tests/gateway.py
@@ -21,7 +21,7 @@
 from ashlatch.platform.headers import decode_ask
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 from tests import stub_server
-from tests.stub_server import Received, StandIn
+from tests.stub_server import ReceivedRequest, StubServer
 
 PATIENCE = "X-Deadline-Ms: 1500\r\n"
 KEY = "Authorization: Bearer key-1\r\n"
@@ -43,14 +43,14 @@
 ASK_STREAMS = tuple(ASK_STREAM.replace("bb:", f"b{n}:") for n in range(8))
 
 
-async def hang(request: Received, writer: asyncio.StreamWriter) -> None:
+async def hang(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(5)
 
 
 class GatewayHarness(testtools.TestCase):
     def run_gateway(
         self,
-        workers: list[StandIn],
+        workers: list[StubServer],
         work: Callable[[], Awaitable[None]],
         extra: float = 50.0,
     ) -> None:
@@ -73,7 +73,7 @@
         with asyncio.Runner(loop_factory=ClockLoop) as runner:
             runner.run(run())
 
-    def knowledge(self, workers: list[StandIn], extra: float) -> Knowledge:
+    def knowledge(self, workers: list[StubServer], extra: float) -> Knowledge:
         known = Knowledge(
             "hall-1",
             "vm-1",
@@ -83,7 +83,7 @@
             generator=random.Random(1),
         )
         known.table = RouteTable(
-            decode_catalog(stub_server.encoded(stub_server.document()))
+            decode_catalog(stub_server.encode_document(stub_server.document()))
         )
         endpoints = tuple(
             Endpoint(f"i-{n}", "app", w.address, "hall-1", "v1", 8, False)
--- a/tests/limit_play.py
+++ b/tests/limit_play.py
@@ -36,7 +36,7 @@
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 from ashlatch.policy.rate_limit import NO_LIMIT
-from tests.stub_server import document, encoded
+from tests.stub_server import document, encode_document
 
 HALLS = ("a", "b", "c")
 SLOTS = 64
@@ -93,7 +93,7 @@
         self.named: list[list[tuple[float, int]]] = [[] for _ in range(endpoints)]
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
-        self._table = RouteTable(decode_catalog(encoded(document())))
+        self._table = RouteTable(decode_catalog(encode_document(document())))
         self.endpoints = [Limited() for _ in range(endpoints)]
         self._listed = tuple(
             Endpoint(f"i-{n}", "app", f"i-{n}:1", HALLS[n % 3], "v1", SLOTS, False)
--- a/tests/limited.py
+++ b/tests/limited.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from ashlatch.policy.rate_limit import NO_LIMIT
-from tests.stub_server import Received, StandIn, whole
+from tests.stub_server import ReceivedRequest, StubServer, full_response
 
 # The users' bound: within any of these spans an endpoint gets no more than one and a
 # half times what its limit allows, and some requests.
@@ -40,17 +40,19 @@
     answer_s: float = 0.0
     status: int = 200
     came_s: list[float] = field(default_factory=list)
-    worker: StandIn = field(init=False)
+    worker: StubServer = field(init=False)
 
     def __post_init__(self) -> None:
-        self.worker = StandIn([self._answer])
+        self.worker = StubServer([self._answer])
 
-    async def _answer(self, request: Received, writer: asyncio.StreamWriter) -> None:
+    async def _answer(
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         self.came_s.append(time.monotonic())
         await asyncio.sleep(self.answer_s)
         named = self.limit_per_s != NO_LIMIT
         headers = (f"Server-Limit: {self.limit_per_s}",) if named else ()
-        writer.write(whole(request, b"body", self.status, *headers))
+        writer.write(full_response(request, b"body", self.status, *headers))
 
     def came_since(self, at_s: float) -> list[float]:
         """When requests came after a time."""
--- a/tests/shedding.py
+++ b/tests/shedding.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from tests.stub_server import Received, StandIn, whole
+from tests.stub_server import ReceivedRequest, StubServer, full_response
 
 # The users' bound: no more requests than these from one gateway, from so long after its
 # answer on and until the backoff is over.
@@ -13,7 +13,7 @@
 WITHIN_BACKOFF_MAX = 2
 
 
-def _one_gateway(request: Received) -> str:
+def _one_gateway(request: ReceivedRequest) -> str:
     return ""
 
 
@@ -31,27 +31,29 @@
     headers: tuple[str, ...] = ("X-Not-Executed: 1", "X-Server-Load: 0,0,8")
     answer_headers: tuple[str, ...] = ()
     answer_s: float = 0.0
-    gateway_of: Callable[[Received], str] = _one_gateway
+    gateway_of: Callable[[ReceivedRequest], str] = _one_gateway
     came: list[tuple[float, str]] = field(default_factory=list)
     # When each backoff was asked for, of which gateway, and for how many seconds.
     asked: list[tuple[float, str, float]] = field(default_factory=list)
-    worker: StandIn = field(init=False)
+    worker: StubServer = field(init=False)
 
     def __post_init__(self) -> None:
-        self.worker = StandIn([self._answer])
+        self.worker = StubServer([self._answer])
 
-    async def _answer(self, request: Received, writer: asyncio.StreamWriter) -> None:
+    async def _answer(
+        self, request: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         gateway = self.gateway_of(request)
         self.came.append((time.monotonic(), gateway))
         await asyncio.sleep(self.answer_s)
         if not self.sheds:
-            writer.write(whole(request, b"body", 200, *self.answer_headers))
+            writer.write(full_response(request, b"body", 200, *self.answer_headers))
             return
         headers = self.headers
         if self.retry_after:
             headers = (*headers, f"Retry-After: {self.retry_after}")
             self.asked.append((time.monotonic(), gateway, float(self.retry_after)))
-        writer.write(whole(request, b"", self.status, *headers))
+        writer.write(full_response(request, b"", self.status, *headers))
 
     def most_within_backoff(self) -> int:
         """The most requests that came from a gateway within a backoff."""
--- a/tests/stub_server.py
+++ b/tests/stub_server.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-Script = Callable[["Received", asyncio.StreamWriter], Awaitable[None]]
+Script = Callable[["ReceivedRequest", asyncio.StreamWriter], Awaitable[None]]
 
 
 @dataclass
-class Received:
+class ReceivedRequest:
     """A request as it reached a stand-in."""
 
     method: str
@@ -25,7 +25,7 @@
         return self.headers.get("x-attempt-id", "")
 
 
-def head(request: Received, status: int = 200, *more: str) -> bytes:
+def response_head(request: ReceivedRequest, status: int = 200, *more: str) -> bytes:
     lines = [
         f"HTTP/1.1 {status} Status",
         f"X-Attempt-Id: {request.request_id}",
@@ -35,10 +35,12 @@
     return ("\r\n".join(lines) + "\r\n").encode()
 
 
-def whole(request: Received, body: bytes, status: int = 200, *more: str) -> bytes:
+def full_response(
+    request: ReceivedRequest, body: bytes, status: int = 200, *more: str
+) -> bytes:
     """A whole answer with its length."""
     length = f"Content-Length: {len(body)}\r\n\r\n".encode()
-    return head(request, status, *more) + length + body
+    return response_head(request, status, *more) + length + body
 
 
 def chunk(data: bytes) -> bytes:
@@ -52,9 +54,9 @@
     return f"id: {number}\ndata: piece {number}\n\n".encode()
 
 
-def answer(body: bytes = b"body", status: int = 200, *more: str) -> Script:
-    async def script(request: Received, writer: asyncio.StreamWriter) -> None:
-        writer.write(whole(request, body, status, *more))
+def answer_with(body: bytes = b"body", status: int = 200, *more: str) -> Script:
+    async def script(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+        writer.write(full_response(request, body, status, *more))
 
     return script
 
@@ -62,10 +64,10 @@
 def stream(count: int, *more: str) -> Script:
     """Events behind the last one that the caller has, up to `count`."""
 
-    async def script(request: Received, writer: asyncio.StreamWriter) -> None:
+    async def script(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         first = int(request.headers.get("last-event-id", "0")) + 1
         chunked = b"Transfer-Encoding: chunked\r\n\r\n"
-        writer.write(head(request, 200, *more) + chunked)
+        writer.write(response_head(request, 200, *more) + chunked)
         for number in range(first, count + 1):
             writer.write(chunk(event(number)))
         writer.write(LAST_CHUNK)
@@ -74,13 +76,13 @@
 
 
 @dataclass
-class StandIn:
+class StubServer:
     """An endpoint on loopback that plays its scripts in turn, the last for ever."""
 
     scripts: list[Script]
-    seen: list[Received] = field(default_factory=list)
+    requests: list[ReceivedRequest] = field(default_factory=list)
     connections: int = 0
-    open: int = 0
+    open_connections: int = 0
     port: int = 0
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
@@ -105,11 +107,11 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.connections += 1
-        self.open += 1
+        self.open_connections += 1
         self._writers.add(writer)
         try:
             while (request := await read_request(reader)) is not None:
-                self.seen.append(request)
+                self.requests.append(request)
                 script = self.scripts[0]
                 if len(self.scripts) > 1:
                     self.scripts.pop(0)
@@ -118,12 +120,12 @@
         except ConnectionError:
             pass
         finally:
-            self.open -= 1
+            self.open_connections -= 1
             self._writers.discard(writer)
             writer.close()
 
 
-async def read_request(reader: asyncio.StreamReader) -> Received | None:
+async def read_request(reader: asyncio.StreamReader) -> ReceivedRequest | None:
     try:
         raw = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError:
@@ -133,7 +135,7 @@
     pairs = [line.split(":", 1) for line in rest if line]
     headers = {name.lower(): value.strip() for name, value in pairs}
     body = await reader.readexactly(int(headers.get("content-length", "0")))
-    return Received(method, target, headers, body)
+    return ReceivedRequest(method, target, headers, body)
 
 
 def route(name: str, prefix: str, **more: Any) -> dict[str, Any]:
@@ -192,5 +194,5 @@
     return {"name": name, "healthPath": "/healthz", "maxConns": 50, "engine": engine}
 
 
-def encoded(made: dict[str, Any]) -> bytes:
-    return json.dumps(made).encode()
+def encode_document(document: dict[str, Any]) -> bytes:
+    return json.dumps(document).encode()
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -24,7 +24,15 @@
 from tests.fleet import READY_PORT, Fleet, wait_for
 from tests.gateway import ASK_STREAM, GatewayHarness, ask
 from tests.shedding import WITHIN_BACKOFF_MAX, SheddingEndpoint
-from tests.stub_server import Received, StandIn, answer, chunk, event, head, stream
+from tests.stub_server import (
+    ReceivedRequest,
+    StubServer,
+    answer_with,
+    chunk,
+    event,
+    response_head,
+    stream,
+)
 
 
 class OneGatewayTest(GatewayHarness):
@@ -74,7 +82,7 @@
 
     def play(
         self,
-        workers: list[StandIn],
+        workers: list[StubServer],
         data: list[bytes],
         prepare: Callable[[], None] = lambda: None,
     ) -> list[tuple[int, bytes]]:
@@ -90,7 +98,7 @@
         return answers
 
     def test_a_repeat_after_an_error_is_not_sent_within_a_backoff(self) -> None:
-        failing = StandIn([answer(status=500)])
+        failing = StubServer([answer_with(status=500)])
         shedding = SheddingEndpoint("3")
         self.play(
             [failing, shedding.worker], [ask(f"/get/{number}") for number in range(30)]
@@ -99,31 +107,35 @@
 
     def test_a_larger_model_is_not_asked_within_a_backoff(self) -> None:
         """The endpoint asks for a backoff while it runs a request for a small model."""
-        small = StandIn([stream(2, "X-Confidence: 10")])
+        small = StubServer([stream(2, "X-Confidence: 10")])
 
         def prepare() -> None:
             self.state("i-0").backoff.request(2000.0, self.now_ms())
             self.state("i-0").backoff.until_ms -= 2000.0
 
-        async def shed_soon(request: Received, writer: asyncio.StreamWriter) -> None:
+        async def shed_soon(
+            request: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             self.state("i-0").backoff.request(2000.0, self.now_ms())
             await stream(2, "X-Confidence: 10")(request, writer)
 
         small.scripts = [shed_soon]
         answers = self.play([small], [ask("/stream/1", ASK_STREAM, "POST")], prepare)
         self.assertEqual([200], [status for status, _ in answers])
-        self.assertEqual(1, len(small.seen))
+        self.assertEqual(1, len(small.requests))
 
     def test_a_stream_is_not_resumed_within_a_backoff(self) -> None:
-        async def cut(request: Received, writer: asyncio.StreamWriter) -> None:
+        async def cut(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             self.state("i-1").backoff.request(2000.0, self.now_ms())
-            writer.write(head(request, 200) + b"Transfer-Encoding: chunked\r\n\r\n")
+            writer.write(
+                response_head(request, 200) + b"Transfer-Encoding: chunked\r\n\r\n"
+            )
             writer.write(chunk(event(1)))
             await writer.drain()
             writer.transport.abort()
 
-        first, second = StandIn([cut]), StandIn([stream(2)])
-        third = StandIn([stream(2)])
+        first, second = StubServer([cut]), StubServer([stream(2)])
+        third = StubServer([stream(2)])
 
         def prepare() -> None:
             self.state("i-1").breaker.gone(self.now_ms())
@@ -133,7 +145,7 @@
             [first, second, third], [ask("/stream/1", ASK_STREAM, "POST")], prepare
         )
         self.assertEqual([200], [status for status, _ in answers])
-        self.assertEqual((0, 1), (len(second.seen), len(third.seen)))
+        self.assertEqual((0, 1), (len(second.requests), len(third.requests)))
 
     def test_a_request_that_waits_for_a_connection_is_not_sent_within_a_backoff(
         self,
@@ -271,7 +283,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.known = GatewayHarness("run_gateway").knowledge([StandIn([])], 50.0)
+        self.known = GatewayHarness("run_gateway").knowledge([StubServer([])], 50.0)
         self.news: list[PeerNews] = []
         self.known.tell = self.news.append
         listed = msgspec.structs.replace(self.state().endpoint, started_unix_ms=5)
@@ -338,8 +350,8 @@
         for number, endpoint in enumerate(self.endpoints):
             platform.run(endpoint.worker.start(platform.host))
             platform.add(f"i-{number}", "v1", port=endpoint.worker.port)
-        self.fleet.found()
-        self.fleet.acknowledged(3)
+        self.fleet.bootstrap()
+        self.fleet.replace_until_accepted(3)
         self.gateways = [f"{self.fleet.net}.{n}" for n in (101, 102, 103)]
         for host in self.gateways:
             self.fleet.start_gateway(host)
@@ -351,7 +363,7 @@
             retry_after, sheds, answer_s=0.005, gateway_of=self.gateway_of
         )
 
-    def gateway_of(self, request: Received) -> str:
+    def gateway_of(self, request: ReceivedRequest) -> str:
         """Each gateway is asked for paths of its own."""
         return request.target.split("/")[2]
 
@@ -367,7 +379,7 @@
                 index = len(pending) % len(self.gateways)
                 path = f"/get/{index}/{len(pending)}"
                 host = self.gateways[index]
-                pending.append(callers.submit(self.fleet.ask, host, path))
+                pending.append(callers.submit(self.fleet.send_request, host, path))
                 time.sleep(1.0 / self.REQUESTS_PER_S)
             return [call.result() for call in pending]
 
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -15,7 +15,7 @@
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES, Candidate
 from ashlatch.policy.rate_limit import Sharers
-from tests.stub_server import document, encoded, route
+from tests.stub_server import document, encode_document, route
 
 
 class VersionsTest(testtools.TestCase):
@@ -215,7 +215,7 @@
         made = document(
             routes=[route("a", "/"), route("b", "/x/"), route("c", "/x/y/")]
         )
-        table = RouteTable(decode_catalog(encoded(made)))
+        table = RouteTable(decode_catalog(encode_document(made)))
         for path, name in (
             ("/", "a"),
             ("/x", "a"),
@@ -236,7 +236,7 @@
             {"service": "none", "weight": 0},
         ]
         made = document(routes=[route("a", "/", split=split)], services=services)
-        table = RouteTable(decode_catalog(encoded(made)))
+        table = RouteTable(decode_catalog(encode_document(made)))
         found = table.route("shop.example", "/")
         assert found is not None
         names = [table.service(found, f"r{n}").name for n in range(2000)]
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -20,7 +20,7 @@
 from ashlatch.rpc import RpcLoop
 from ashlatch.suspension import SuspensionMeter
 from tests.gateway import GatewayHarness, ask
-from tests.stub_server import Received, StandIn, answer
+from tests.stub_server import ReceivedRequest, StubServer, answer_with
 
 SUSPENDED_S = 3.0
 
@@ -99,16 +99,16 @@
         with Suspension() as vm:
 
             async def suspended(
-                request: Received, writer: asyncio.StreamWriter
+                request: ReceivedRequest, writer: asyncio.StreamWriter
             ) -> None:
                 vm.suspended_s = SUSPENDED_S
                 writer.transport.abort()
 
-            workers = [StandIn([suspended, answer()]) for _ in range(2)]
+            workers = [StubServer([suspended, answer_with()]) for _ in range(2)]
 
             async def work() -> None:
                 self.assertEqual(504, (await self.call(ask("/get/1")))[0])
-                self.assertEqual(1, sum(len(worker.seen) for worker in workers))
+                self.assertEqual(1, sum(len(worker.requests) for worker in workers))
 
             self.run_gateway(workers, work)
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -216,7 +216,7 @@
     def test_the_configuration_tells(self) -> None:
         services = [{"name": "app", "coldS": 3.0, "coldPerS": 10.0}]
         document = stub_server.document(3, services=services)
-        catalog = decode_catalog(stub_server.encoded(document))
+        catalog = decode_catalog(stub_server.encode_document(document))
         (service,) = catalog.services
         self.assertEqual((3000.0, 10.0), (service.cold_ms, service.cold_requests_per_s))
 
@@ -262,7 +262,7 @@
         self.directory.replace(EndpointList(1, 1, listed), 0.0)
         services = [{"name": "app", "coldS": 3.0, "coldPerS": 10.0}]
         document = stub_server.document(3, services=services)
-        self.table = RouteTable(decode_catalog(stub_server.encoded(document)))
+        self.table = RouteTable(decode_catalog(stub_server.encode_document(document)))
 
     def cold(self, evacuations: Evacuations, before: int) -> list[str]:
         warm_up_returned(self.directory, self.table, before, evacuations, 0.0)
@@ -326,13 +326,15 @@
 class RequestTest(GatewayHarness):
     def test_requests_go_to_warm_endpoints_meanwhile(self) -> None:
         """Retries too: a gateway that is no sender never touches the cold one."""
-        cold = stub_server.StandIn([stub_server.answer()])
-        warm = stub_server.StandIn([stub_server.answer()])
+        cold = stub_server.StubServer([stub_server.answer_with()])
+        warm = stub_server.StubServer([stub_server.answer_with()])
 
         async def work() -> None:
             services = [{"name": "app", "coldS": 3.0, "coldPerS": 10.0}]
             document = stub_server.document(3, services=services)
-            self.known.table = RouteTable(decode_catalog(stub_server.encoded(document)))
+            self.known.table = RouteTable(
+                decode_catalog(stub_server.encode_document(document))
+            )
             state = self.known.directory.state("i-0")
             assert state is not None
             state.warms_up(asyncio.get_running_loop().time() * 1000.0 + 60_000.0)
@@ -340,5 +342,5 @@
                 self.assertEqual(200, (await self.call(ask("/get/1")))[0])
 
         self.run_gateway([cold, warm], work)
-        self.assertEqual([], cold.seen)
-        self.assertEqual(10, len(warm.seen))
+        self.assertEqual([], cold.requests)
+        self.assertEqual(10, len(warm.requests))
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -15,7 +15,7 @@
 from ashlatch.platform.document import decode_catalog
 from tests import stub_server
 from tests.gateway import GatewayHarness, ask
-from tests.stub_server import Received, StandIn
+from tests.stub_server import ReceivedRequest, StubServer
 
 CONNECTIONS_MAX = 50
 GATEWAYS = 10
@@ -23,10 +23,10 @@
 REQUESTS = 20
 
 
-async def slow(request: Received, writer: asyncio.StreamWriter) -> None:
+async def slow(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     """Answer after half a second."""
     await asyncio.sleep(0.5)
-    writer.write(stub_server.whole(request, b"body"))
+    writer.write(stub_server.full_response(request, b"body"))
 
 
 class IdleTest(GatewayHarness):
@@ -37,14 +37,16 @@
             {"name": "app", "healthPath": "/healthz", "maxConns": CONNECTIONS_MAX}
         ]
         document = stub_server.document(3, services=services)
-        self.known.table = RouteTable(decode_catalog(stub_server.encoded(document)))
+        self.known.table = RouteTable(
+            decode_catalog(stub_server.encode_document(document))
+        )
         self.known.gateways = tuple(
             GatewayVm(f"10.0.0.{n}:70", "hall-1") for n in range(gateways)
         )
 
     def idle_after_a_burst(self, gateways: int) -> int:
         """How many connections are left when all requests have been answered."""
-        worker = StandIn([slow])
+        worker = StubServer([slow])
         left = []
 
         async def work() -> None:
@@ -53,7 +55,7 @@
             statuses = [status for status, _ in await asyncio.gather(*calls)]
             self.assertEqual([200] * REQUESTS, statuses)
             await asyncio.sleep(0.1)
-            left.append(worker.open)
+            left.append(worker.open_connections)
 
         self.run_gateway([worker], work)
         return left[0]
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -37,7 +37,7 @@
 from tests.crashing import CRASHING_BODY, CrashingEngine, CrashLog
 from tests.fleet import FRONT_PORT, READY_PORT, Fleet, wait_for
 from tests.gateway import ASK_STREAM, GatewayHarness, ask
-from tests.stub_server import LAST_CHUNK, Received, StandIn
+from tests.stub_server import LAST_CHUNK, ReceivedRequest, StubServer
 
 # The bound that the users set: three ends, and this often after them, counted from
 # when all VMs that are in touch must know.
@@ -77,7 +77,7 @@
             for engine in engines:
                 engine.stop()
 
-        self.run_gateway([StandIn([stub_server.answer()])], work)
+        self.run_gateway([StubServer([stub_server.answer_with()])], work)
         return answers
 
     def test_the_repeat_reaches_no_engine(self) -> None:
@@ -120,33 +120,35 @@
             self.assertEqual(503, (await self.call(ask("/get/1")))[0])
             self.assertEqual(200, (await self.call(ask("/get/2")))[0])
 
-        self.run_gateway([StandIn([stub_server.answer()])], work)
+        self.run_gateway([StubServer([stub_server.answer_with()])], work)
 
 
 class CutConnectionTest(GatewayHarness):
     """A connection that ends is no crash while somebody listens there."""
 
     def test_endpoints_that_cut_answers_off(self) -> None:
-        async def cut(request: Received, writer: asyncio.StreamWriter) -> None:
+        async def cut(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             writer.transport.abort()
 
-        workers = [StandIn([cut]) for _ in range(4)]
+        workers = [StubServer([cut]) for _ in range(4)]
 
         async def work() -> None:
             for _ in range(4):
                 self.assertEqual(502, (await self.call(ask("/get/1")))[0])
-            self.assertEqual(12, sum(len(worker.seen) for worker in workers))
+            self.assertEqual(12, sum(len(worker.requests) for worker in workers))
 
         self.run_gateway(workers, work)
 
     def test_a_good_run_clears_a_suspect(self) -> None:
         """An endpoint ends beside it; elsewhere it runs well, and counts anew."""
-        good = StandIn([stub_server.answer()])
+        good = StubServer([stub_server.answer_with()])
 
         async def work() -> None:
-            crashing = StandIn([])
+            crashing = StubServer([])
 
-            async def crash(request: Received, writer: asyncio.StreamWriter) -> None:
+            async def crash(
+                request: ReceivedRequest, writer: asyncio.StreamWriter
+            ) -> None:
                 crashing.crash()
 
             crashing.scripts.append(crash)
@@ -186,8 +188,8 @@
         ]
         for engine in self.engines:
             self.platform.run(engine.start())
-        self.fleet.found()
-        self.fleet.acknowledged(3)
+        self.fleet.bootstrap()
+        self.fleet.replace_until_accepted(3)
         self.gateways = [f"{self.fleet.net}.{n}" for n in (101, 102, 103)]
         for host in self.gateways:
             self.fleet.start_gateway(host)
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -11,7 +11,7 @@
     decode_rollout_order,
     encode_rollout_state,
 )
-from tests.stub_server import document, encoded, route
+from tests.stub_server import document, encode_document, route
 
 
 class DocumentTest(testtools.TestCase):
@@ -21,10 +21,10 @@
         self.assertTrue(any(f.endswith(field) for f in fields), fields)
 
     def with_routes(self, *routes: dict[str, Any], **more: Any) -> bytes:
-        return encoded(document(routes=list(routes), **more))
+        return encode_document(document(routes=list(routes), **more))
 
     def test_whole(self) -> None:
-        catalog = decode_catalog(encoded(document(7)))
+        catalog = decode_catalog(encode_document(document(7)))
         self.assertEqual(7, catalog.version)
         repeats = [route.repeat for route in catalog.routes]
         expected = [
@@ -38,12 +38,12 @@
         self.assertEqual(2, catalog.organisations[0].priority)
 
     def test_cut_short(self) -> None:
-        whole = encoded(document())
+        whole = encode_document(document())
         for length in range(0, len(whole), 97):
             self.refused("(document)", whole[:length])
 
     def test_unknown_fields_are_passed_over(self) -> None:
-        body = encoded(document(later={"a": 1}))
+        body = encode_document(document(later={"a": 1}))
         self.assertEqual(1, decode_catalog(body).version)
 
     def test_service(self) -> None:
@@ -68,7 +68,7 @@
             {"name": "a", "apiKeys": ["k1", "k2"]},
             {"name": "b", "apiKeys": ["k2"]},
         ]
-        self.refused("apiKeys", encoded(document(tenants=tenants)))
+        self.refused("apiKeys", encode_document(document(tenants=tenants)))
 
     def test_rollouts(self) -> None:
         order = decode_rollout_order(
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -265,7 +265,7 @@
 class RequestTest(GatewayHarness):
     def test_what_only_an_evacuated_hall_serves(self) -> None:
         """It is refused at once, with a time to come back, and has not run."""
-        worker = stub_server.StandIn([stub_server.answer()])
+        worker = stub_server.StubServer([stub_server.answer_with()])
 
         async def work() -> None:
             self.known.directory.evacuate(Evacuations(1, ("hall-1",)))
@@ -275,13 +275,13 @@
             self.assertIn(b"evacuated", got)
 
         self.run_gateway([worker], work)
-        self.assertEqual([], worker.seen)
+        self.assertEqual([], worker.requests)
 
     def test_retries_and_resumed_streams(self) -> None:
         """A hall is evacuated while the first answer there breaks off."""
-        first = stub_server.StandIn([self.evacuate_and_break])
-        second = stub_server.StandIn([stub_server.stream(3)])
-        third = stub_server.StandIn([stub_server.stream(3)])
+        first = stub_server.StubServer([self.evacuate_and_break])
+        second = stub_server.StubServer([stub_server.stream(3)])
+        third = stub_server.StubServer([stub_server.stream(3)])
 
         async def work() -> None:
             self.listed([(first, "hall-1"), (second, "hall-1"), (third, "hall-2")])
@@ -290,18 +290,20 @@
             self.assertIn(b"piece 3", got)
 
         self.run_gateway([first, second, third], work)
-        self.assertEqual([], second.seen)
+        self.assertEqual([], second.requests)
 
     async def evacuate_and_break(
-        self, request: stub_server.Received, writer: asyncio.StreamWriter
+        self, request: stub_server.ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
         self.known.directory.evacuate(Evacuations(1, ("hall-1",)))
-        writer.write(stub_server.head(request) + b"Transfer-Encoding: chunked\r\n\r\n")
+        writer.write(
+            stub_server.response_head(request) + b"Transfer-Encoding: chunked\r\n\r\n"
+        )
         writer.write(stub_server.chunk(stub_server.event(1)))
         await writer.drain()
         writer.transport.abort()
 
-    def listed(self, workers: list[tuple[stub_server.StandIn, str]]) -> None:
+    def listed(self, workers: list[tuple[stub_server.StubServer, str]]) -> None:
         endpoints = tuple(
             Endpoint(f"i-{n}", "app", worker.address, hall, "v1", 8, False)
             for n, (worker, hall) in enumerate(workers)
@@ -318,10 +320,10 @@
         super().setUp()
         self.fleet = Fleet()
         self.addCleanup(self.fleet.close)
-        self.fleet.found()
+        self.fleet.bootstrap()
         self.gateway = f"{self.fleet.net}.101"
         self.fleet.start_gateway(self.gateway)
-        self.fleet.acknowledged(3)
+        self.fleet.replace_until_accepted(3)
         wait_for(self.ready, "gateway ready")
 
     def ready(self) -> bool:
@@ -343,15 +345,15 @@
 
     def test_in_force_and_over(self) -> None:
         fleet = self.fleet
-        self.assertEqual(200, fleet.ask(self.gateway))
+        self.assertEqual(200, fleet.send_request(self.gateway))
         self.order(f"{BEGIN}hall-1")
         begun_s = time.monotonic()
-        wait_for(lambda: fleet.ask(self.gateway) == 503, "evacuated", 5.0)
+        wait_for(lambda: fleet.send_request(self.gateway) == 503, "evacuated", 5.0)
         self.assertTrue(time.monotonic() - begun_s < 1.0)
         log = fleet.processes[self.gateway]
         wait_for(lambda: "reason=evacuated" in log.log, "told in the log", 2.0)
         self.order(f"{FINISH}hall-1")
-        wait_for(lambda: fleet.ask(self.gateway) == 200, "over", 5.0)
+        wait_for(lambda: fleet.send_request(self.gateway) == 200, "over", 5.0)
 
     def test_survives_the_loss_of_all(self) -> None:
         """All processes are killed as soon as it is acknowledged."""
@@ -363,7 +365,7 @@
             fleet.start_core(host)
         fleet.start_gateway(self.gateway)
         wait_for(self.ready, "gateway ready")
-        self.assertEqual(503, fleet.ask(self.gateway))
+        self.assertEqual(503, fleet.send_request(self.gateway))
         wait_for(lambda: self.halls(fleet.hosts[0]) == b'{"halls":["hall-1"]}', "read")
 
     def test_a_gateway_that_stood_still(self) -> None:
@@ -374,8 +376,8 @@
         self.order(f"{BEGIN}hall-1")
         time.sleep(2.5)
         process.signal(signal.SIGCONT)
-        self.assertEqual(503, fleet.ask(self.gateway))
-        self.assertEqual([], fleet.platform.worker.seen)
+        self.assertEqual(503, fleet.send_request(self.gateway))
+        self.assertEqual([], fleet.platform.endpoint.requests)
 
     def test_by_the_operators_command(self) -> None:
         hosts = self.fleet.hosts
--- a/tests/test_evaluation.py
+++ b/tests/test_evaluation.py
@@ -7,7 +7,7 @@
 from ashlatch.gateway.tally import Tallies, Tally, TallyKey, step_of
 
 
-class VerdictTest(testtools.TestCase):
+class EvaluationTest(testtools.TestCase):
     """Roll-outs of 20 s, judged with an old version that fails 1 in 100."""
 
     def evidence(self, **new: int) -> Evidence:
@@ -34,7 +34,7 @@
         rollout = Rollout("app", "v2", stage, share, 1, 20_000.0)
         return decide(rollout, part * 20_000.0, evidence, 0.0, ready=True)
 
-    def test_good(self) -> None:
+    def test_good_version_completes(self) -> None:
         good = self.evidence()
         stages = [self.decide(part / 100, good).stage.value for part in (10, 52, 64)]
         self.assertEqual(["trial", "load_test", "settle"], stages)
@@ -57,11 +57,11 @@
         evidence = self.evidence(answered=140)
         self.assertEqual(RolloutStage.SETTLE, self.decide(0.52, evidence).stage)
 
-    def test_a_new_version_may_fail_now_and_then(self) -> None:
+    def test_a_few_failures_are_tolerated(self) -> None:
         evidence = self.evidence(answered=48, failed=2, late=3)
         self.assertEqual(RolloutStage.TRIAL, self.decide(0.3, evidence).stage)
 
-    def test_fails(self) -> None:
+    def test_failing_version_is_rolled_back(self) -> None:
         evidence = self.evidence(answered=9, failed=4)
         self.assertEqual(RolloutStage.ROLLED_BACK, self.decide(0.1, evidence).stage)
 
@@ -69,7 +69,7 @@
         slow = self.evidence(answered=12, late=6)
         self.assertEqual(RolloutStage.ROLLED_BACK, self.decide(0.2, slow).stage)
 
-    def test_answers_that_were_given_up_are_slow(self) -> None:
+    def test_abandoned_answers_count_as_slow(self) -> None:
         evidence = self.evidence(answered=8)
         tallies = Tallies()
         for _ in range(6):
@@ -77,7 +77,7 @@
         evidence.add(tallies.take(), 0.0)
         self.assertEqual(RolloutStage.ROLLED_BACK, self.decide(0.2, evidence).stage)
 
-    def spread_failures(self, failed: int) -> Evidence:
+    def distributed_failures(self, failed: int) -> Evidence:
         """Failures of the new version on three routes, 20 answers on each."""
         evidence = Evidence()
         for route in ("one", "two", "three"):
@@ -85,17 +85,17 @@
             evidence.add((self.tally("v2", 20, failed, route=route),), 0.0)
         return evidence
 
-    def test_fails_now_and_then_on_every_route(self) -> None:
+    def test_few_failures_on_every_route(self) -> None:
         """As under load, where too few requests of each route are answered."""
-        decision = self.decide(0.3, self.spread_failures(2))
+        decision = self.decide(0.3, self.distributed_failures(2))
         self.assertEqual(RolloutStage.ROLLED_BACK, decision.stage)
         self.assertEqual("all routes: 6 of 66 failed", decision.reason)
-        decision = self.decide(0.3, self.spread_failures(0))
+        decision = self.decide(0.3, self.distributed_failures(0))
         self.assertEqual(RolloutStage.TRIAL, decision.stage)
 
-    def test_a_route_that_always_fails_now_and_then(self) -> None:
+    def test_a_route_that_fails_in_both_versions(self) -> None:
         """What the other version shows on a route is expected there."""
-        evidence = self.spread_failures(0)
+        evidence = self.distributed_failures(0)
         evidence.add((self.tally("v1", 86, 14, route="faulty"),), 0.0)
         evidence.add((self.tally("v2", 52, 8, route="faulty"),), 0.0)
         self.assertEqual(RolloutStage.TRIAL, self.decide(0.3, evidence).stage)
@@ -108,14 +108,14 @@
         self.assertEqual(RolloutStage.ROLLED_BACK, decision.stage)
         self.assertIn("other", decision.reason)
 
-    def test_turns_slow_late(self) -> None:
+    def test_late_slowdown_is_detected(self) -> None:
         evidence = self.evidence(answered=400)
         evidence.add((self.tally("v2", 12, late=6),), 10_000.0)
         rollout = Rollout("app", "v2", RolloutStage.SHIFT, 0.3, 1, 20_000.0)
         decision = decide(rollout, 11_000.0, evidence, 11_000.0, ready=True)
         self.assertEqual(RolloutStage.ROLLED_BACK, decision.stage)
 
-    def slowing(self, *old: Tally) -> Decision:
+    def decide_with_late_answers(self, *old: Tally) -> Decision:
         """The latest answers of a good version are late; those of the old are given.
 
         What users saw: a busy hour in a trial, and a good version was taken back.
@@ -129,20 +129,20 @@
         rollout = Rollout("app", "v2", RolloutStage.TRIAL, 0.1, 1, 20_000.0)
         return decide(rollout, 9500.0, evidence, 9500.0, ready=True)
 
-    def test_what_slows_both_versions_is_no_fault(self) -> None:
-        decision = self.slowing(self.tally("v1", 40, late=40))
+    def test_slowdown_of_both_versions_is_no_fault(self) -> None:
+        decision = self.decide_with_late_answers(self.tally("v1", 40, late=40))
         self.assertEqual(RolloutStage.TRIAL, decision.stage, decision.reason)
 
-    def test_a_version_that_slows_alone(self) -> None:
-        decision = self.slowing(self.tally("v1", 40))
+    def test_slowdown_of_the_new_version_only(self) -> None:
+        decision = self.decide_with_late_answers(self.tally("v1", 40))
         self.assertEqual(RolloutStage.ROLLED_BACK, decision.stage)
 
-    def test_a_version_that_slows_while_few_answers_of_the_other_come(self) -> None:
+    def test_slowdown_while_the_old_version_has_few_answers(self) -> None:
         """The nearest time in which there are enough says what is late."""
-        decision = self.slowing(self.tally("v1", 4))
+        decision = self.decide_with_late_answers(self.tally("v1", 4))
         self.assertEqual(RolloutStage.ROLLED_BACK, decision.stage)
 
-    def few_on_each_route(self, late: int) -> Decision:
+    def decide_with_few_answers_per_route(self, late: int) -> Decision:
         """12 answers of the old version on each of five routes, 3 of the new one.
 
         What users saw: a version that was slow in half of its answers was completed.
@@ -161,11 +161,11 @@
         return self.decide(0.3, evidence)
 
     def test_slow_on_many_routes_with_few_requests(self) -> None:
-        decision = self.few_on_each_route(late=4)
+        decision = self.decide_with_few_answers_per_route(late=4)
         self.assertEqual(RolloutStage.ROLLED_BACK, decision.stage)
         self.assertEqual("routes with few requests: 4 of 15 were late", decision.reason)
 
-    def late_in_twos(self, plain: bool) -> Decision:
+    def decide_with_two_late_answers_per_route(self, plain: bool) -> Decision:
         """Two late answers on each of two routes, where the old version has many."""
         evidence = Evidence()
         for route in ("one", "two"):
@@ -174,19 +174,19 @@
         rollout = Rollout("app", "v2", RolloutStage.TRIAL, 0.25, 1, 20_000.0)
         return decide(rollout, 6000.0, evidence, 0.0, ready=True, plain=plain)
 
-    def test_a_plain_service_is_judged_over_all_routes(self) -> None:
+    def test_a_plain_service_is_evaluated_over_all_routes(self) -> None:
         """Its answers take as long at once as later: it keeps no prompts."""
-        decision = self.late_in_twos(plain=True)
+        decision = self.decide_with_two_late_answers_per_route(plain=True)
         self.assertEqual(RolloutStage.ROLLED_BACK, decision.stage)
         self.assertEqual("all routes: 4 of 6 were late", decision.reason)
-        decision = self.late_in_twos(plain=False)
+        decision = self.decide_with_two_late_answers_per_route(plain=False)
         self.assertEqual(RolloutStage.TRIAL, decision.stage, decision.reason)
 
-    def test_a_late_answer_on_routes_with_few_requests(self) -> None:
-        decision = self.few_on_each_route(late=1)
+    def test_one_late_answer_on_routes_with_few_requests(self) -> None:
+        decision = self.decide_with_few_answers_per_route(late=1)
         self.assertEqual(RolloutStage.TRIAL, decision.stage, decision.reason)
 
-    def test_what_fails_in_both_versions_is_no_fault(self) -> None:
+    def test_failures_of_both_versions_are_no_fault(self) -> None:
         """A few bad seconds of everything: 20 of 60 of the other version failed."""
         evidence = self.evidence(answered=20)
         evidence.add((self.tally("v1", 40, 20),), 9000.0)
--- a/tests/test_exposure.py
+++ b/tests/test_exposure.py
@@ -13,10 +13,10 @@
 from ashlatch.fleet.exposure import ExposurePlan, plan_exposure
 from ashlatch.gateway.tally import Tally, TallyKey, step_of
 
-LOOK_MS = 200.0
+INTERVAL_MS = 200.0
 
 
-class Play:
+class RolloutSimulation:
     """A roll-out whose version answers well, and all that it gets.
 
     `capacity_per_s` is what the one endpoint answers that the load test makes busy.
@@ -39,10 +39,10 @@
         self.completed_ms = float("inf")
 
     def step(self, now_ms: float) -> None:
-        wanted = self.rate_per_s * LOOK_MS / 1000.0
+        wanted = self.rate_per_s * INTERVAL_MS / 1000.0
         new = self.rollout.share * wanted
         if self.rollout.stage is RolloutStage.LOAD_TEST:
-            new = min(wanted, max(new, self.capacity_per_s * LOOK_MS / 1000.0))
+            new = min(wanted, max(new, self.capacity_per_s * INTERVAL_MS / 1000.0))
         before = int(self.new), int(self.old)
         self.new += new
         self.old += wanted - new
@@ -60,10 +60,10 @@
             "app", "v2", decision.stage, decision.share, 1, self.end_ms
         )
 
-    def until(self, part: float) -> None:
+    def run_until(self, progress: float) -> None:
         now_ms = 0.0
-        while now_ms < part * self.end_ms:
-            now_ms += LOOK_MS
+        while now_ms < progress * self.end_ms:
+            now_ms += INTERVAL_MS
             self.step(now_ms)
             if self.rollout.stage is RolloutStage.COMPLETED:
                 self.completed_ms = min(self.completed_ms, now_ms)
@@ -78,7 +78,7 @@
         st.floats(1.0, 400.0),
         st.floats(10.0, 60.0),
     )
-    def test_no_plan_passes_the_bound(
+    def test_exposure_stays_within_the_limit(
         self, share: float, extra: int, rate: float, capacity: float, end_s: float
     ) -> None:
         """Until it gets everything, a version has got less than a bad one may.
@@ -86,10 +86,12 @@
         A report is counted at the next look only, so what two looks bring is added.
         """
         plan = plan_exposure(share, float(extra))
-        play = Play(plan, rate, capacity, end_s * 1000.0)
-        play.until(0.70)
+        play = RolloutSimulation(plan, rate, capacity, end_s * 1000.0)
+        play.run_until(0.70)
         allowed = share * rate * end_s + extra
-        late = min(rate, max(capacity, plan.shift_share * rate)) * 2 * LOOK_MS / 1000.0
+        late = (
+            min(rate, max(capacity, plan.shift_share * rate)) * 2 * INTERVAL_MS / 1000.0
+        )
         self.assertTrue(play.new <= allowed + late + 1.0, (play.new, allowed))
 
     @settings(max_examples=30, deadline=None)
@@ -97,17 +99,17 @@
     def test_a_good_version_completes_in_time(
         self, share: float, rate: float, end_s: float
     ) -> None:
-        play = Play(plan_exposure(share, 30.0), rate, 50.0, end_s * 1000.0)
-        play.until(1.0)
+        play = RolloutSimulation(plan_exposure(share, 30.0), rate, 50.0, end_s * 1000.0)
+        play.run_until(1.0)
         self.assertTrue(play.completed_ms < 0.9 * play.end_ms, play.completed_ms)
 
-    def test_by_the_bound_of_a_deployment(self) -> None:
+    def test_the_limit_of_one_deployment(self) -> None:
         """At 257 requests a second, in 24 s: 632 are allowed to a bad version."""
-        play = Play(plan_exposure(0.0975, 30.0), 257.0, 140.0, 24_000.0)
-        play.until(0.70)
+        play = RolloutSimulation(plan_exposure(0.0975, 30.0), 257.0, 140.0, 24_000.0)
+        play.run_until(0.70)
         self.assertTrue(play.new <= 632.0, play.new)
 
-    def test_what_is_not_told_is_as_before(self) -> None:
+    def test_default_plan(self) -> None:
         plan = plan_exposure(0.15, 30.0)
         self.assertEqual((0.1, 0.4), (plan.trial_share, plan.shift_share))
         self.assertAlmostEqual(0.125, plan.tested_share)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -69,7 +69,7 @@
         self.assertEqual(self.machine.state, other.state)
 
 
-class FoundingTest(testtools.TestCase):
+class BootstrapTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         folder = tempfile.TemporaryDirectory()
@@ -82,19 +82,19 @@
         storage.close()
         return member, boot.snapshot.members
 
-    def test_seeds_found_the_same_group(self) -> None:
+    def test_seeds_derive_the_same_group(self) -> None:
         shuffled = random.Random(1).sample(SEEDS, 3)
         self.assertEqual(bootstrap_members(SEEDS), bootstrap_members(tuple(shuffled)))
         member, members = self.open(SEEDS[1], True)
         self.assertEqual(bootstrap_members(SEEDS), members)
         self.assertIn(member, members.voters)
 
-    def test_folder_is_kept(self) -> None:
+    def test_an_existing_folder_is_reused(self) -> None:
         first, members = self.open(SEEDS[0], True)
         self.assertEqual((first, members), self.open(SEEDS[0], False))
         self.assertEqual((first, members), self.open(SEEDS[0], True))
 
-    def test_others_join(self) -> None:
+    def test_other_vms_become_learners(self) -> None:
         member, members = self.open("10.0.0.4:70", True)
         self.assertEqual(Members(), members)
         self.assertNotIn("founder", member.member_id)
@@ -105,13 +105,14 @@
         self.assertNotIn(member.member_id, bootstrap_members(SEEDS).voter_ids())
 
 
-def standing(
-    voters: int, silent: dict[int, float], committed: bool = True
+def leader_status(
+    voters: int, unresponsive: dict[int, float], committed: bool = True
 ) -> GroupStatus:
     """A leader's standing at 100 s; `silent` voters were heard so long ago."""
     members = tuple(Member(f"m{n}", f"v{n}", f"a{n}") for n in range(voters))
     answered = {
-        m.member_id: 100_000.0 - silent.get(n, 50.0) for n, m in enumerate(members)
+        m.member_id: 100_000.0 - unresponsive.get(n, 50.0)
+        for n, m in enumerate(members)
     }
     return GroupStatus(
         "m0",
@@ -133,17 +134,19 @@
 
 class MembershipTest(testtools.TestCase):
     def test_enough_voters(self) -> None:
-        self.assertFalse(has_enough_voters(standing(3, {}), 2, 1000.0))
-        self.assertFalse(has_enough_voters(standing(4, {}), 2, 1000.0))
-        self.assertTrue(has_enough_voters(standing(4, {}), 2, 9000.0))
-        self.assertFalse(has_enough_voters(standing(3, {}), 2, 9000.0))
-        self.assertTrue(has_enough_voters(standing(5, {}), 2, 0.0))
-        self.assertFalse(has_enough_voters(standing(5, {}, committed=False), 2, 0.0))
-
-    def test_a_member_that_was_added_a_moment_ago_is_not_taken_out(self) -> None:
+        self.assertFalse(has_enough_voters(leader_status(3, {}), 2, 1000.0))
+        self.assertFalse(has_enough_voters(leader_status(4, {}), 2, 1000.0))
+        self.assertTrue(has_enough_voters(leader_status(4, {}), 2, 9000.0))
+        self.assertFalse(has_enough_voters(leader_status(3, {}), 2, 9000.0))
+        self.assertTrue(has_enough_voters(leader_status(5, {}), 2, 0.0))
+        self.assertFalse(
+            has_enough_voters(leader_status(5, {}, committed=False), 2, 0.0)
+        )
+
+    def test_a_recently_added_member_is_not_removed(self) -> None:
         now_ms = 100_000.0
         added = Member("m9", "v9", "a9")
-        before = standing(5, {})
+        before = leader_status(5, {})
         members = Members(before.members.voters, (added,))
         known = dataclasses.replace(
             before,
@@ -156,10 +159,14 @@
         assert found is not None
         self.assertEqual("m9", found[0].member_id)
 
-    def test_silent_members(self) -> None:
+    def test_unresponsive_members(self) -> None:
         now_ms = 100_000.0
-        self.assertIsNone(find_unresponsive_member(standing(6, {}), 2, now_ms))
-        self.assertIsNone(find_unresponsive_member(standing(5, {1: 9000.0}), 2, now_ms))
-        found = find_unresponsive_member(standing(6, {1: 4000.0, 2: 9000.0}), 2, now_ms)
+        self.assertIsNone(find_unresponsive_member(leader_status(6, {}), 2, now_ms))
+        self.assertIsNone(
+            find_unresponsive_member(leader_status(5, {1: 9000.0}), 2, now_ms)
+        )
+        found = find_unresponsive_member(
+            leader_status(6, {1: 4000.0, 2: 9000.0}), 2, now_ms
+        )
         assert found is not None
         self.assertEqual("m2", found[0].member_id)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -18,19 +18,19 @@
         super().setUp()
         self.fleet = Fleet()
         self.addCleanup(self.fleet.close)
-        self.fleet.found()
+        self.fleet.bootstrap()
 
-    def all_read(self, version: int) -> None:
+    def wait_for_version(self, version: int) -> None:
         def same() -> bool:
             hosts = self.fleet.hosts
             return all(self.fleet.read_version(host) == version for host in hosts)
 
         wait_for(same, f"all read version {version}")
 
-    def test_orders(self) -> None:
+    def test_configuration_commands(self) -> None:
         fleet = self.fleet
-        fleet.acknowledged(3)
-        self.all_read(3)
+        fleet.replace_until_accepted(3)
+        self.wait_for_version(3)
         first = fleet.hosts[0]
         self.assertEqual(200, fleet.replace(first, 3))
         self.assertEqual(409, fleet.replace(first, 3, later=1))
@@ -40,81 +40,81 @@
 
     def test_two_lost_disks(self) -> None:
         fleet = self.fleet
-        fleet.acknowledged(3)
+        fleet.replace_until_accepted(3)
         leader = fleet.leader()
         other = next(host for host in fleet.hosts if host != leader)
         for host in (leader, other):
-            fleet.wipe(host)
+            fleet.kill_and_wipe(host)
         for host in (leader, other):
             fleet.start_core(host)
-        self.all_read(3)
+        self.wait_for_version(3)
         # Repaired: the loss of two others is borne as well.
         time.sleep(2.0)
         rest = [host for host in fleet.hosts if host not in (leader, other)][:2]
         for host in rest:
-            fleet.wipe(host)
+            fleet.kill_and_wipe(host)
         for host in rest:
             fleet.start_core(host)
-        self.all_read(3)
-        fleet.acknowledged(4)
+        self.wait_for_version(3)
+        fleet.replace_until_accepted(4)
 
     def test_all_killed(self) -> None:
         fleet = self.fleet
-        fleet.acknowledged(3)
+        fleet.replace_until_accepted(3)
         for host in fleet.hosts:
             fleet.processes[host].kill()
         for host in fleet.hosts:
             fleet.start_core(host)
-        self.all_read(3)
+        self.wait_for_version(3)
 
     def test_replaced_vms(self) -> None:
         """Two are removed for good, one after the other, and two are new."""
         fleet = self.fleet
-        fleet.acknowledged(3)
+        fleet.replace_until_accepted(3)
         for number, added in enumerate((f"{fleet.net}.11", f"{fleet.net}.12")):
             fleet.processes[fleet.hosts[0]].kill()
             del fleet.hosts[0]
             fleet.hosts.append(added)
             fleet.start_core(added)
-            self.all_read(3 + number)
+            self.wait_for_version(3 + number)
             time.sleep(4.0)
-            fleet.acknowledged(4 + number)
+            fleet.replace_until_accepted(4 + number)
         fleet.processes[fleet.hosts[0]].kill()
         fleet.processes[fleet.hosts[1]].kill()
-        fleet.acknowledged(6, fleet.hosts[2:])
+        fleet.replace_until_accepted(6, fleet.hosts[2:])
 
-    def test_frozen_leader_reads_nothing_old(self) -> None:
+    def test_a_resumed_leader_returns_no_stale_reads(self) -> None:
         fleet = self.fleet
-        fleet.acknowledged(3)
+        fleet.replace_until_accepted(3)
         leader = fleet.leader()
         others = [host for host in fleet.hosts if host != leader]
         fleet.processes[leader].signal(signal.SIGSTOP)
-        fleet.acknowledged(4, others)
+        fleet.replace_until_accepted(4, others)
         fleet.processes[leader].signal(signal.SIGCONT)
         for _ in range(20):
             self.assertIn(fleet.read_version(leader), (0, 4))
 
-    def test_a_full_disk_costs_its_member_alone(self) -> None:
+    def test_a_full_disk_affects_only_its_member(self) -> None:
         fleet = self.fleet
-        fleet.acknowledged(3)
+        fleet.replace_until_accepted(3)
         full = fleet.leader()
         process = fleet.processes[full]
         resource.prlimit(process.popen.pid, resource.RLIMIT_FSIZE, (64, -1))
         others = [host for host in fleet.hosts if host != full]
-        fleet.acknowledged(4, others)
-        fleet.acknowledged(5, others)
+        fleet.replace_until_accepted(4, others)
+        fleet.replace_until_accepted(5, others)
         # The log is a file too, so it says nothing until there is room again.
-        wait_for(lambda: fleet.counted(full, "disk_refused") > 2, "disk refused")
+        wait_for(lambda: fleet.read_counter(full, "disk_refused") > 2, "disk refused")
         self.assertIsNone(process.popen.poll())
         resource.prlimit(process.popen.pid, resource.RLIMIT_FSIZE, (-1, -1))
-        self.all_read(5)
+        self.wait_for_version(5)
         wait_for(lambda: "event=disk_regained" in process.log, "disk regained")
-        self.assertEqual(1, fleet.counted(full, "disk_lost"))
-        self.assertEqual(1, fleet.counted(full, "disk_regained"))
+        self.assertEqual(1, fleet.read_counter(full, "disk_lost"))
+        self.assertEqual(1, fleet.read_counter(full, "disk_regained"))
 
-    def test_a_minority_neither_takes_nor_reads(self) -> None:
+    def test_a_minority_refuses_writes_and_reads(self) -> None:
         fleet = self.fleet
-        fleet.acknowledged(3)
+        fleet.replace_until_accepted(3)
         for host in fleet.hosts[:3]:
             fleet.processes[host].signal(signal.SIGSTOP)
         time.sleep(2.0)
@@ -123,7 +123,7 @@
             self.assertEqual(503, fleet.replace(host, 5))
         for host in fleet.hosts[:3]:
             fleet.processes[host].signal(signal.SIGCONT)
-        self.all_read(3)
+        self.wait_for_version(3)
 
 
 class GatewayFleetTest(testtools.TestCase):
@@ -131,43 +131,45 @@
         super().setUp()
         self.fleet = Fleet()
         self.addCleanup(self.fleet.close)
-        self.fleet.found()
+        self.fleet.bootstrap()
         self.gateway = f"{self.fleet.net}.101"
         self.fleet.start_gateway(self.gateway)
 
     def ready(self) -> bool:
         return self.fleet.call(self.gateway, "GET", READY, port=READY_PORT)[0] == 200
 
-    def test_serves_on_without_the_core(self) -> None:
+    def test_serves_without_the_core(self) -> None:
         fleet = self.fleet
-        self.assertNotEqual(200, fleet.ask(self.gateway))
-        fleet.acknowledged(3)
+        self.assertNotEqual(200, fleet.send_request(self.gateway))
+        fleet.replace_until_accepted(3)
         wait_for(self.ready, "gateway ready")
-        self.assertEqual(200, fleet.ask(self.gateway))
+        self.assertEqual(200, fleet.send_request(self.gateway))
         for host in fleet.hosts:
             fleet.processes[host].kill()
         time.sleep(1.0)
         self.assertTrue(self.ready())
-        self.assertEqual(200, fleet.ask(self.gateway))
+        self.assertEqual(200, fleet.send_request(self.gateway))
         # The list is read directly meanwhile: the endpoint leaves.
         fleet.platform.instances[0]["state"] = "draining"
-        took_s = wait_for(lambda: fleet.ask(self.gateway) == 503, "left alone", 8.0)
+        took_s = wait_for(
+            lambda: fleet.send_request(self.gateway) == 503, "left alone", 8.0
+        )
         self.assertTrue(took_s < 6.0, took_s)
 
-    def test_change_in_force(self) -> None:
+    def test_a_change_is_in_force_within_2_s(self) -> None:
         fleet = self.fleet
-        fleet.acknowledged(3)
+        fleet.replace_until_accepted(3)
         wait_for(self.ready, "gateway ready")
-        self.assertEqual(200, fleet.ask(self.gateway))
+        self.assertEqual(200, fleet.send_request(self.gateway))
         begun_s = time.monotonic()
         tenants = [{"name": "acme", "apiKeys": ["key-9"]}]
         self.assertEqual(200, fleet.replace(fleet.hosts[0], 4, tenants=tenants))
-        wait_for(lambda: fleet.ask(self.gateway) == 401, "key taken away", 2.0)
+        wait_for(lambda: fleet.send_request(self.gateway) == 401, "key taken away", 2.0)
         self.assertTrue(time.monotonic() - begun_s < 2.0)
 
-    def test_callers_are_taken_while_it_starts(self) -> None:
+    def test_connections_are_accepted_during_the_start(self) -> None:
         fleet = self.fleet
-        fleet.acknowledged(3)
+        fleet.replace_until_accepted(3)
         wait_for(self.ready, "gateway ready")
         fleet.processes[self.gateway].kill()
         fleet.start_gateway(self.gateway)
@@ -177,7 +179,9 @@
             time.sleep(0.03)
             status, _ = fleet.call(self.gateway, "GET", READY, port=READY_PORT)
             self.assertEqual(0, status)
-            self.assertEqual(200, fleet.ask(self.gateway, at=connection))
+            self.assertEqual(
+                200, fleet.send_request(self.gateway, connected=connection)
+            )
 
     def connected(self) -> socket.socket:
         """A connection to the gateway, the moment that it takes one."""
@@ -189,7 +193,7 @@
     def test_new_seeds_without_a_signal(self) -> None:
         """All that the gateway knew are gone; the file names others."""
         fleet = self.fleet
-        fleet.acknowledged(3)
+        fleet.replace_until_accepted(3)
         wait_for(self.ready, "gateway ready")
         fleet.processes[self.gateway].kill()
         fleet.seeds = [f"{fleet.net}.77"]
@@ -208,18 +212,18 @@
 
     def test_stop(self) -> None:
         fleet = self.fleet
-        fleet.acknowledged(3)
+        fleet.replace_until_accepted(3)
         wait_for(self.ready, "gateway ready")
         process = fleet.processes[self.gateway]
         process.signal(signal.SIGTERM)
         time.sleep(0.3)
         self.assertFalse(self.ready())
-        self.assertEqual(200, fleet.ask(self.gateway))
+        self.assertEqual(200, fleet.send_request(self.gateway))
         # New seeds are announced while it stops.
         for _ in range(20):
             process.signal(signal.SIGHUP)
             time.sleep(0.01)
-        self.assertEqual(200, fleet.ask(self.gateway))
+        self.assertEqual(200, fleet.send_request(self.gateway))
         process.popen.wait(8.0)
         self.assertEqual(0, process.popen.returncode)
         self.assertIn("event=daemon_stopped", process.log)
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -17,7 +17,7 @@
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES, rank
 from ashlatch.policy.workload import WORK_MAX_MS, Workload
-from tests.stub_server import document, encoded, engine_service
+from tests.stub_server import document, encode_document, engine_service
 
 ENGINES = ("i-near", "i-far", "i-farther")
 HALLS = ("here", "there", "there")
@@ -61,7 +61,7 @@
         generator=random.Random(1),
     )
     made = document(services=[engine_service("app")])
-    known.table = RouteTable(decode_catalog(encoded(made)))
+    known.table = RouteTable(decode_catalog(encode_document(made)))
     endpoints = tuple(
         Endpoint(instance, "app", f"{instance}:1", hall, "v1", 8, False)
         for instance, hall in zip(ENGINES, HALLS, strict=True)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -15,37 +15,49 @@
     ask,
     hang,
 )
-from tests.stub_server import LAST_CHUNK, Received, StandIn, chunk, event, head
+from tests.stub_server import (
+    LAST_CHUNK,
+    ReceivedRequest,
+    StubServer,
+    chunk,
+    event,
+    response_head,
+)
 
 
-async def reset(request: Received, writer: asyncio.StreamWriter) -> None:
+async def reset(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
     raise ConnectionResetError
 
 
-async def cut_within_event(request: Received, writer: asyncio.StreamWriter) -> None:
-    writer.write(head(request, 200) + b"Transfer-Encoding: chunked\r\n\r\n")
+async def cut_within_event(
+    request: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
+    writer.write(response_head(request, 200) + b"Transfer-Encoding: chunked\r\n\r\n")
     writer.write(chunk(event(1) + event(2) + b"id: 3\nda"))
     await writer.drain()
     await asyncio.sleep(0.05)
     await reset(request, writer)
 
 
-async def foreign(request: Received, writer: asyncio.StreamWriter) -> None:
+async def foreign(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     request.headers["x-attempt-id"] = "another"
-    writer.write(stub_server.whole(request, b"not yours"))
+    writer.write(stub_server.full_response(request, b"not yours"))
 
 
-async def surplus(request: Received, writer: asyncio.StreamWriter) -> None:
+async def surplus(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(
-        stub_server.whole(request, b"body") + stub_server.whole(request, b"more")
+        stub_server.full_response(request, b"body")
+        + stub_server.full_response(request, b"more")
     )
 
 
-async def unframed_reset(request: Received, writer: asyncio.StreamWriter) -> None:
-    writer.write(head(request) + b"Connection: close\r\n\r\nhalf of the bo")
+async def unframed_reset(
+    request: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
+    writer.write(response_head(request) + b"Connection: close\r\n\r\nhalf of the bo")
     await writer.drain()
     await asyncio.sleep(0.05)
     await reset(request, writer)
@@ -53,7 +65,7 @@
 
 class GatewayTest(GatewayHarness):
     def test_headers(self) -> None:
-        worker = StandIn([stub_server.answer()])
+        worker = StubServer([stub_server.answer_with()])
         theirs = (
             "X-Tenant: other\r\nX-Kv-Hold: a\r\nX-Pin-Ms: 9\r\nKv-From: b\r\n"
             "X-Kv-Backup: c\r\nX-Request-Priority: 0\r\nX-Expect-Instance: z\r\n"
@@ -67,7 +79,7 @@
             self.assertTrue(got.endswith(b"\r\n\r\nbody"))
 
         self.run_gateway([worker], work)
-        (seen,) = worker.seen
+        (seen,) = worker.requests
         self.assertEqual(("POST", "/get/1?q=2"), (seen.method, seen.target))
         self.assertEqual(b"abc", seen.body)
         expected = {
@@ -94,22 +106,22 @@
             self.assertEqual(503, status)
             self.assertIn(b"Retry-After", got)
 
-        self.run_gateway([StandIn([stub_server.answer()])], work)
+        self.run_gateway([StubServer([stub_server.answer_with()])], work)
 
     def test_repeats(self) -> None:
-        broken = StandIn([reset])
-        sound = StandIn([stub_server.answer()])
+        broken = StubServer([reset])
+        sound = StubServer([stub_server.answer_with()])
 
         async def work() -> None:
             for _ in range(12):
                 self.assertEqual(200, (await self.call(ask("/get/1")))[0])
 
         self.run_gateway([broken, sound], work)
-        self.assertNotEqual([], broken.seen)
-        self.assertEqual(12, len(sound.seen))
+        self.assertNotEqual([], broken.requests)
+        self.assertEqual(12, len(sound.requests))
 
     def test_never_twice(self) -> None:
-        broken = StandIn([reset])
+        broken = StubServer([reset])
 
         async def work() -> None:
             status, got = await self.call(ask("/once/1", method="POST", body=b"x"))
@@ -117,11 +129,11 @@
             self.assertNotIn(b"Retry-After", got)
 
         self.run_gateway([broken], work)
-        self.assertEqual(1, len(broken.seen))
+        self.assertEqual(1, len(broken.requests))
 
     def test_not_run_goes_elsewhere(self) -> None:
-        full = stub_server.answer(b"", 503, "X-Not-Executed: 1")
-        workers = [StandIn([full]) for _ in range(5)]
+        full = stub_server.answer_with(b"", 503, "X-Not-Executed: 1")
+        workers = [StubServer([full]) for _ in range(5)]
 
         async def work() -> None:
             status, got = await self.call(ask("/once/1", method="POST", body=b"x"))
@@ -129,22 +141,22 @@
             self.assertIn(b"Retry-After", got)
 
         self.run_gateway(workers, work)
-        self.assertEqual(3, sum(len(w.seen) for w in workers))
+        self.assertEqual(3, sum(len(w.requests) for w in workers))
 
     def test_budget(self) -> None:
-        workers = [StandIn([reset]) for _ in range(5)]
+        workers = [StubServer([reset]) for _ in range(5)]
 
         async def work() -> None:
             for _ in range(4):
                 await self.call(ask("/get/1"))
 
         self.run_gateway(workers, work, extra=0.0)
-        sent = sum(len(w.seen) for w in workers)
+        sent = sum(len(w.requests) for w in workers)
         self.assertTrue(4 <= sent <= 4 + int(0.9 * 4), sent)
 
     def test_foreign_answers(self) -> None:
-        worker = StandIn([foreign, stub_server.answer()])
-        other = StandIn([foreign, stub_server.answer()])
+        worker = StubServer([foreign, stub_server.answer_with()])
+        other = StubServer([foreign, stub_server.answer_with()])
 
         async def work() -> None:
             status, got = await self.call(ask("/once/1", method="POST", body=b"x"))
@@ -154,7 +166,7 @@
         self.run_gateway([worker, other], work)
 
     def test_surplus_ends_the_connection(self) -> None:
-        worker = StandIn([surplus, stub_server.answer(b"second")])
+        worker = StubServer([surplus, stub_server.answer_with(b"second")])
 
         async def work() -> None:
             self.assertEqual(200, (await self.call(ask("/get/1")))[0])
@@ -165,7 +177,9 @@
         self.assertEqual(2, worker.connections)
 
     def test_kept_connections(self) -> None:
-        worker = StandIn([stub_server.answer(b"body", 200, "Keep-Alive: timeout=5")])
+        worker = StubServer(
+            [stub_server.answer_with(b"body", 200, "Keep-Alive: timeout=5")]
+        )
 
         async def work() -> None:
             for _ in range(5):
@@ -175,7 +189,7 @@
         self.assertEqual(1, worker.connections)
 
     def test_unframed_and_reset_is_not_whole(self) -> None:
-        worker = StandIn([unframed_reset])
+        worker = StubServer([unframed_reset])
 
         async def work() -> None:
             status, got = await self.call(ask("/once/1", method="POST", body=b"x"))
@@ -185,8 +199,8 @@
         self.run_gateway([worker], work)
 
     def test_stream_resumes(self) -> None:
-        cut = StandIn([cut_within_event])
-        sound = StandIn([stub_server.stream(5)])
+        cut = StubServer([cut_within_event])
+        sound = StubServer([stub_server.stream(5)])
 
         async def work() -> None:
             for asked in ASK_STREAMS:
@@ -198,17 +212,17 @@
                 self.assertTrue(got.endswith(LAST_CHUNK))
 
         self.run_gateway([cut, sound], work)
-        resumed = [s for s in sound.seen if s.headers.get("last-event-id") == "2"]
-        self.assertNotEqual([], cut.seen)
-        self.assertEqual(len(cut.seen), len(resumed))
+        resumed = [s for s in sound.requests if s.headers.get("last-event-id") == "2"]
+        self.assertNotEqual([], cut.requests)
+        self.assertEqual(len(cut.requests), len(resumed))
 
     def test_stream_begun_anew_passes_nothing_twice(self) -> None:
-        async def anew(request: Received, writer: asyncio.StreamWriter) -> None:
+        async def anew(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             request.headers.pop("last-event-id", None)
             await stub_server.stream(5)(request, writer)
 
-        cut = StandIn([cut_within_event])
-        sound = StandIn([anew])
+        cut = StubServer([cut_within_event])
+        sound = StubServer([anew])
 
         async def work() -> None:
             for asked in ASK_STREAMS:
@@ -216,10 +230,10 @@
                 self.assertEqual(5, got.count(b"data: piece"))
 
         self.run_gateway([cut, sound], work)
-        self.assertNotEqual([], cut.seen)
+        self.assertNotEqual([], cut.requests)
 
     def test_stream_that_cannot_resume_seems_cut(self) -> None:
-        cut = StandIn([cut_within_event])
+        cut = StubServer([cut_within_event])
 
         async def work() -> None:
             _, got = await self.call(ask("/stream/1", ASK_STREAM, "POST"))
@@ -230,7 +244,7 @@
     def test_larger_model(self) -> None:
         unsure = stub_server.stream(3, "X-Confidence: 20")
         sure = stub_server.stream(3, "X-Confidence: 90")
-        worker = StandIn([unsure, sure])
+        worker = StubServer([unsure, sure])
 
         async def work() -> None:
             status, got = await self.call(ask("/stream/1", ASK_STREAM, "POST"))
@@ -239,44 +253,44 @@
             self.assertEqual(3, got.count(b"data: piece"))
 
         self.run_gateway([worker], work)
-        models = [seen.headers["x-model"] for seen in worker.seen]
+        models = [seen.headers["x-model"] for seen in worker.requests]
         self.assertEqual(["small", "large"], models)
 
     def test_silence_alone_ends_nothing(self) -> None:
         """Without a repeat to spend, the answer is waited for."""
 
-        async def slow(request: Received, writer: asyncio.StreamWriter) -> None:
+        async def slow(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.9)
-            writer.write(stub_server.whole(request, b"body"))
+            writer.write(stub_server.full_response(request, b"body"))
 
-        worker = StandIn([slow])
-        other = StandIn([slow])
+        worker = StubServer([slow])
+        other = StubServer([slow])
 
         async def work() -> None:
             self.assertEqual(200, (await self.call(ask("/get/1")))[0])
 
         self.run_gateway([worker, other], work, extra=0.0)
-        self.assertEqual(1, len(worker.seen) + len(other.seen))
+        self.assertEqual(1, len(worker.requests) + len(other.requests))
 
     def test_a_silent_endpoint_is_left(self) -> None:
-        silent = StandIn([hang])
-        sound = StandIn([stub_server.answer()])
+        silent = StubServer([hang])
+        sound = StubServer([stub_server.answer_with()])
 
         async def work() -> None:
             for _ in range(6):
                 self.assertEqual(200, (await self.call(ask("/get/1")))[0])
 
         self.run_gateway([silent, sound], work)
-        self.assertNotEqual([], silent.seen)
+        self.assertNotEqual([], silent.requests)
 
     def test_caller_leaves(self) -> None:
-        worker = StandIn([hang])
+        worker = StubServer([hang])
 
         async def work() -> None:
             _, writer = await asyncio.open_connection("127.0.0.1", self.port)
             writer.write(ask("/once/1", method="POST", body=b"x"))
             await asyncio.sleep(0.15)
-            self.assertEqual(1, worker.open)
+            self.assertEqual(1, worker.open_connections)
             writer.close()
             await asyncio.sleep(0.2)
             state = next(iter(self.known.directory.of_service("app")))
@@ -285,7 +299,7 @@
         self.run_gateway([worker], work)
 
     def test_held_no_longer_than_allowed(self) -> None:
-        worker = StandIn([hang])
+        worker = StubServer([hang])
 
         async def work() -> None:
             loop = asyncio.get_running_loop()
@@ -304,9 +318,11 @@
         The answer was a 503 on the code before, a promise that nothing has run.
         """
         low = stub_server.stream(3, "X-Confidence: 20")
-        full = stub_server.answer(b"", 503, "X-Not-Executed: full")
+        full = stub_server.answer_with(b"", 503, "X-Not-Executed: full")
 
-        async def by_model(request: Received, writer: asyncio.StreamWriter) -> None:
+        async def by_model(
+            request: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             small = request.headers["x-model"] == "small"
             await (low if small else full)(request, writer)
 
@@ -314,7 +330,7 @@
             status, _ = await self.call(ask("/stream/1", ASK_STREAM))
             self.assertEqual(502, status)
 
-        self.run_gateway([StandIn([by_model])], work)
+        self.run_gateway([StubServer([by_model])], work)
 
 
 class MisdirectedTest(GatewayHarness):
@@ -324,19 +340,27 @@
         It has climbed to the large model by then, so two of three attempts are
         taken, and each of the replaced engines is asked once.
         """
-        turned = stub_server.answer(b"", 421)
+        turned = stub_server.answer_with(b"", 421)
         low = stub_server.stream(3, "X-Confidence: 20")
         good = stub_server.stream(3, "X-Confidence: 90")
 
-        async def by_model(request: Received, writer: asyncio.StreamWriter) -> None:
+        async def by_model(
+            request: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             small = request.headers["x-model"] == "small"
             await (low if small else good)(request, writer)
 
-        async def small_only(request: Received, writer: asyncio.StreamWriter) -> None:
+        async def small_only(
+            request: ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             small = request.headers["x-model"] == "small"
             await (low if small else turned)(request, writer)
 
-        workers = [StandIn([small_only]), StandIn([small_only]), StandIn([by_model])]
+        workers = [
+            StubServer([small_only]),
+            StubServer([small_only]),
+            StubServer([by_model]),
+        ]
 
         async def work() -> None:
             told: list[object] = []
@@ -347,7 +371,7 @@
             turned_away = [
                 r
                 for w in workers[:2]
-                for r in w.seen
+                for r in w.requests
                 if r.headers["x-model"] != "small"
             ]
             self.assertTrue(len(turned_away) <= 2, len(turned_away))
@@ -360,7 +384,7 @@
 class LoadTestSessionsTest(GatewayHarness):
     def test_other_gateways_are_told_of_moved_sessions(self) -> None:
         """The session's next request may come by another gateway."""
-        worker = StandIn([stub_server.stream(2, "X-Confidence: 90")])
+        worker = StubServer([stub_server.stream(2, "X-Confidence: 90")])
 
         async def work() -> None:
             told: list[object] = []
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -24,12 +24,12 @@
         self.gateway = f"{self.fleet.net}.20"
         self.fleet.halls = {self.near: "north", self.gateway: "north"}
         self.fleet.halls |= dict.fromkeys(far, "south")
-        self.fleet.found()
-        self.fleet.acknowledged(3)
+        self.fleet.bootstrap()
+        self.fleet.replace_until_accepted(3)
         self.fleet.start_gateway(self.gateway)
 
     def asked(self, place: str) -> int:
-        return self.fleet.counted(self.gateway, f"question_{place}_hall")
+        return self.fleet.read_counter(self.gateway, f"question_{place}_hall")
 
     def asks_only_near(self) -> bool:
         """Whether no question has crossed for a while, and some have stayed."""
@@ -50,12 +50,12 @@
         wait_for(lambda: self.in_force() == 3, "the first configuration", BACK_S)
         wait_for(self.asks_only_near, "questions stay in the hall", BACK_S)
         fleet.processes[self.near].kill()
-        fleet.acknowledged(4, fleet.hosts[1:])
+        fleet.replace_until_accepted(4, fleet.hosts[1:])
         wait_for(lambda: self.in_force() == 4, "a far core VM's news", BACK_S)
         far = self.asked("other")
         time.sleep(WATCHED_S)
         self.assertTrue(self.asked("other") > far)
         fleet.start_core(self.near)
         wait_for(self.asks_only_near, "questions stay in the hall again", BACK_S)
-        fleet.acknowledged(5)
+        fleet.replace_until_accepted(5)
         wait_for(lambda: self.in_force() == 5, "news of the near core VM", BACK_S)
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -15,10 +15,10 @@
 from ashlatch.gateway.tally import Tally, TallyKey
 
 
-class RolloutKeeperTest(testtools.TestCase):
+class RolloutControllerTest(testtools.TestCase):
     LISTED = EndpointList(1, 1, (Endpoint("i", "app", "a:1", "h", "v2", 8, False),))
 
-    def test_time_goes_on_through_leaders(self) -> None:
+    def test_elapsed_time_survives_a_change_of_leader(self) -> None:
         """A leader that takes over late knows when the order was applied."""
         first, second = RolloutController(), RolloutController()
         order = Rollout("app", "v2", RolloutStage.TRIAL, 0.0, 1, 20_000.0)
@@ -32,7 +32,7 @@
             (RolloutStage.LOAD_TEST, 10_500.0), (move.stage, move.elapsed_ms)
         )
 
-    def test_running_sessions_are_kept_with_the_trial(self) -> None:
+    def test_running_sessions_are_stored_with_the_trial(self) -> None:
         keeper = RolloutController()
         order = Rollout("app", "v2", RolloutStage.TRIAL, 0.0, 1, 20_000.0)
         keeper.observe((order,), 0.0)
@@ -47,7 +47,7 @@
         (move,) = keeper.due_updates((begun,), self.LISTED, 4000.0)
         self.assertEqual((7, 9), move.held)
 
-    def test_moved_sessions_are_kept_until_all_move(self) -> None:
+    def test_moved_sessions_are_stored_until_the_shift(self) -> None:
         """What gateways tell is committed at once, and nothing of it is lost."""
         keeper = RolloutController()
         known = Rollout("app", "v2", RolloutStage.LOAD_TEST, 0.1, 3, 20_000.0, 10_500.0)
@@ -65,7 +65,7 @@
         (move,) = keeper.due_updates((known,), self.LISTED, 4000.0)
         self.assertEqual((1.0, ()), (move.share, move.moved))
 
-    def test_moves_of_an_earlier_rollout_are_not_taken(self) -> None:
+    def test_moved_sessions_of_an_earlier_rollout_are_ignored(self) -> None:
         keeper = RolloutController()
         begun = Rollout("app", "v3", RolloutStage.TRIAL, 0.1, 9, 20_000.0, 2000.0)
         keeper.observe((begun,), 0.0)
@@ -73,7 +73,7 @@
         (move,) = keeper.due_updates((begun,), self.LISTED, 3000.0)
         self.assertEqual((), move.moved)
 
-    def test_sessions_that_begin_in_the_trial_of_the_version_are_taken(self) -> None:
+    def test_sessions_that_begin_in_the_trial_are_stored(self) -> None:
         keeper = RolloutController()
         begun = Rollout("app", "v3", RolloutStage.TRIAL, 0.1, 9, 20_000.0, 2000.0)
         keeper.observe((begun,), 0.0)
@@ -102,7 +102,7 @@
                 )
         self.assertTrue(known.number > 3)
 
-    def test_a_load_test_makes_no_version_late(self) -> None:
+    def test_times_during_a_load_test_are_ignored(self) -> None:
         keeper = RolloutController()
         tested = Rollout(
             "app", "v2", RolloutStage.LOAD_TEST, 0.1, 3, 20_000.0, 11_000.0
@@ -116,7 +116,7 @@
         (move,) = keeper.due_updates((tested,), self.LISTED, 40.0)
         self.assertEqual(RolloutStage.ROLLED_BACK, move.stage)
 
-    def test_a_restarted_member_knows_the_last_checkpoint(self) -> None:
+    def test_a_restarted_member_continues_from_the_last_checkpoint(self) -> None:
         keeper = RolloutController()
         known = Rollout(
             "app",
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -26,7 +26,7 @@
 from ashlatch.gateway.news import EndpointRefuses
 from ashlatch.gateway.peers import GatewayPeers
 from tests.gateway import GatewayHarness
-from tests.stub_server import StandIn, answer
+from tests.stub_server import StubServer, answer_with
 
 FIRST = Endpoint("i-1", "app", "10.0.0.1:80", "hall-1", "v1", 8, False, 1000)
 LATER = msgspec.structs.replace(FIRST, started_unix_ms=2000)
@@ -123,7 +123,7 @@
             self.assertEqual(0.0, state.workload.left_ms(now_ms))
             self.assertEqual(0.0, state.load.requests())
 
-        self.run_gateway([StandIn([answer()])], work)
+        self.run_gateway([StubServer([answer_with()])], work)
         return self.known
 
     def test_seen_here(self) -> None:
--- a/tests/test_foreign_entries.py
+++ b/tests/test_malformed_input.py
@@ -26,7 +26,7 @@
 from ashlatch.platform.memory import decode_memory
 from ashlatch.platform.reading import JsonUnreadable
 from tests import stub_server
-from tests.stub_server import StandIn
+from tests.stub_server import StubServer
 
 ENTRY = {
     "id": "i-1",
@@ -68,7 +68,7 @@
 
 
 class ListEntryTest(testtools.TestCase):
-    FOREIGN = (
+    INVALID = (
         *(without(name) for name in ENTRY),
         b"null",
         b"5",
@@ -97,14 +97,14 @@
         entry(born=-1),
     )
 
-    def test_others_hold(self) -> None:
-        for foreign in self.FOREIGN:
+    def test_other_entries_stay_valid(self) -> None:
+        for foreign in self.INVALID:
             read = decode_page(page(entry("i-0"), foreign, entry("i-2")))
             names = [endpoint.instance for endpoint in read.endpoints]
             self.assertEqual(["i-0", "i-2"], names, str(foreign[:80]))
             self.assertEqual(1, sum(read.left_out.values()))
 
-    def test_reasons_are_few(self) -> None:
+    def test_the_number_of_reasons_is_bounded(self) -> None:
         """Positions within an entry make no new reason, which would be logged."""
         broken = [b'{"id":"' + b"i" * n + b'",}' for n in range(1, 60)]
         broken += [entry(slots=-n) for n in range(1, 60)]
@@ -112,20 +112,20 @@
         self.assertEqual(118, sum(left_out.values()))
         self.assertTrue(len(left_out) <= 3, left_out)
 
-    def test_a_good_entry(self) -> None:
+    def test_a_valid_entry(self) -> None:
         (endpoint,) = decode_page(page(entry(born=1234, state="draining"))).endpoints
         self.assertEqual(1234, endpoint.started_unix_ms)
         self.assertTrue(endpoint.leaving)
         self.assertEqual((), decode_page(b'{"instances":[]}').endpoints)
         self.assertEqual((), decode_page(b'{ "instances" : [ ] }').endpoints)
 
-    def test_strings_that_look_like_the_end(self) -> None:
+    def test_delimiters_within_strings(self) -> None:
         odd = entry("i-0", zone='a"]},')
         read = decode_page(page(odd, entry("i-2", zone="a\\]")))
         self.assertEqual(2, len(read.endpoints) + sum(read.left_out.values()))
         self.assertEqual("i-2", read.endpoints[-1].instance)
 
-    def test_a_whole_that_is_unreadable(self) -> None:
+    def test_an_unreadable_document(self) -> None:
         for body in (b"", b"{}", b"[]", b"\xff", DEEP, page(entry())[:-30], b'{"in'):
             self.assertRaises(JsonUnreadable, decode_page, body)
 
@@ -167,8 +167,8 @@
         """The ids that a reader finds on these pages, and what it left out."""
 
         async def run() -> tuple[list[str], int]:
-            scripts = [stub_server.answer(body) for body in bodies]
-            platform = StandIn(scripts)
+            scripts = [stub_server.answer_with(body) for body in bodies]
+            platform = StubServer(scripts)
             await platform.start()
             reader = ListReader(platform.address)
             found = await reader.read()
@@ -177,22 +177,22 @@
 
         return asyncio.run(run())
 
-    def test_pages_after_a_foreign_entry(self) -> None:
+    def test_pages_after_an_invalid_entry(self) -> None:
         first = page(entry("i-0"), b"null", next_token=b'"p-2"')
         second = page(entry("i-0", address="10.0.0.9:1"), entry("i-2"))
         self.assertEqual((["i-0", "i-2"], 2), self.read(first, second))
 
-    def test_an_unreadable_list_is_one_typed_error(self) -> None:
+    def test_an_unreadable_list_raises_one_error_type(self) -> None:
         for body in (b"\xff", DEEP, page(entry(), next_token=b"5")):
             self.assertRaises(ListUnreadable, self.read, body)
 
 
-class EndpointWordsTest(testtools.TestCase):
+class HeaderNumbersTest(testtools.TestCase):
     """What endpoints and callers say in headers and of their memory."""
 
     NUMBERS = ("nan", "inf", "-inf", "1e999", "²", "9" * 5000, "-5", "", "x")
 
-    def ask(self, name: str, value: str) -> None:
+    def decode(self, name: str, value: str) -> None:
         headers = [
             (b"Host", b"shop.example"),
             (b"X-Attempt-Id", b"r1"),
@@ -208,9 +208,9 @@
 
     def test_numbers_of_callers(self) -> None:
         for number in self.NUMBERS:
-            self.ask("X-Token-Count", f"{number},{number}")
-            self.ask("X-Prompt-Prefix", f"aa:{number},bb:{number}")
-            self.ask("X-Deadline-Ms", number)
+            self.decode("X-Token-Count", f"{number},{number}")
+            self.decode("X-Prompt-Prefix", f"aa:{number},bb:{number}")
+            self.decode("X-Deadline-Ms", number)
 
     @settings(max_examples=200, deadline=None)
     @given(
@@ -235,14 +235,17 @@
     def test_nested_deeply(self) -> None:
         self.assertRaises(DocumentError, decode_catalog, DEEP)
         body = (
-            stub_server.encoded(stub_server.document())[:-1] + b',"more":' + DEEP + b"}"
+            stub_server.encode_document(stub_server.document())[:-1]
+            + b',"more":'
+            + DEEP
+            + b"}"
         )
         self.assertRaises(DocumentError, decode_catalog, body)
 
     @settings(max_examples=200, deadline=None)
     @given(st.binary(max_size=50), st.integers(min_value=0, max_value=2000))
     def test_bytes_anywhere(self, noise: bytes, at: int) -> None:
-        body = stub_server.encoded(stub_server.document())
+        body = stub_server.encode_document(stub_server.document())
         # The one way to say so; any other error fails the test.
         with contextlib.suppress(DocumentError):
             decode_catalog(body[:at] + noise + body[at:])
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -22,7 +22,7 @@
 
 
 def route(target_ms: float) -> Route:
-    catalog = decode_catalog(stub_server.encoded(stub_server.document()))
+    catalog = decode_catalog(stub_server.encode_document(stub_server.document()))
     return msgspec.structs.replace(catalog.routes[0], target_ms=target_ms)
 
 
@@ -35,7 +35,7 @@
 class DarkEndpointTest(GatewayHarness):
     def test_another_endpoint_answers_in_time(self) -> None:
         """The dark endpoint is in the own hall and idle: it is chosen first."""
-        worker = stub_server.StandIn([stub_server.answer()])
+        worker = stub_server.StubServer([stub_server.answer_with()])
         asked: list[float] = []
         connect = Upstream.connect
 
@@ -52,7 +52,9 @@
             document = stub_server.document(3)
             for each in document["routes"]:
                 each["sloMs"] = 162
-            self.known.table = RouteTable(decode_catalog(stub_server.encoded(document)))
+            self.known.table = RouteTable(
+                decode_catalog(stub_server.encode_document(document))
+            )
             endpoints = (
                 Endpoint("i-0", "app", DARK, "hall-1", "v1", 8, False),
                 Endpoint("i-1", "app", worker.address, "hall-2", "v1", 8, False),
--- a/tests/test_prefix_caches.py
+++ b/tests/test_prefix_caches.py
@@ -9,20 +9,20 @@
 from ashlatch.fleet.prefix_caches import PART_TOKENS_MIN, PARTS_MAX, read_prefix_caches
 from ashlatch.gateway.kept import PromptRead
 from tests.gateway import hang
-from tests.stub_server import Script, StandIn, answer
+from tests.stub_server import Script, StubServer, answer_with
 
-Held = list[list[object]]
+HeldParts = list[list[object]]
 
 
-def tells(held: Held) -> Script:
+def answer_with_cache(held: HeldParts) -> Script:
     body = {"epoch": "e", "nextToken": 7, "held": held}
-    return answer(json.dumps(body).encode())
+    return answer_with(json.dumps(body).encode())
 
 
-class MemoriesTest(testtools.TestCase):
+class PrefixCachesTest(testtools.TestCase):
     def read(self, *scripts: Script) -> tuple[PromptRead, ...]:
         async def run() -> tuple[PromptRead, ...]:
-            engines = [StandIn([script]) for script in scripts]
+            engines = [StubServer([script]) for script in scripts]
             for engine in engines:
                 await engine.start()
             listed = tuple(
@@ -30,21 +30,21 @@
                 for n, e in enumerate(engines)
             )
             reads = await read_prefix_caches(listed)
-            self.seen = [engine.seen for engine in engines]
+            self.seen = [engine.requests for engine in engines]
             for engine in engines:
                 engine.stop()
             return reads
 
         return asyncio.run(run())
 
-    def test_by_model(self) -> None:
-        held: Held = [
+    def test_prefixes_are_grouped_by_model(self) -> None:
+        held: HeldParts = [
             ["", "aa", 9000, "large"],
             ["", "bb", 3000, "small"],
             ["", "cc", 4000, "large"],
             ["", "short", PART_TOKENS_MIN - 1, "large"],
         ]
-        reads = self.read(tells(held), tells([]))
+        reads = self.read(answer_with_cache(held), answer_with_cache([]))
         expected = {
             PromptRead("i-0", "large", (("aa", 9000), ("cc", 4000))),
             PromptRead("i-0", "small", (("bb", 3000),)),
@@ -53,15 +53,17 @@
         headers = self.seen[0][0].headers
         self.assertEqual("i-0", headers["x-expect-instance"])
 
-    def test_engines_that_do_not_tell(self) -> None:
+    def test_failing_engines_are_skipped(self) -> None:
         """One hangs, one refuses, one tells nonsense: the others count."""
-        refused = answer(b"", 421)
-        good = tells([["", "aa", 9000, "large"]])
-        reads = self.read(hang, refused, answer(b"{"), good)
+        refused = answer_with(b"", 421)
+        good = answer_with_cache([["", "aa", 9000, "large"]])
+        reads = self.read(hang, refused, answer_with(b"{"), good)
         self.assertEqual((PromptRead("i-3", "large", (("aa", 9000),)),), reads)
 
-    def test_bounded(self) -> None:
-        held: Held = [["", f"p{n}", 1000 + n, "large"] for n in range(2 * PARTS_MAX)]
-        (read,) = self.read(tells(held))
+    def test_the_longest_prefixes_are_taken_up_to_a_limit(self) -> None:
+        held: HeldParts = [
+            ["", f"p{n}", 1000 + n, "large"] for n in range(2 * PARTS_MAX)
+        ]
+        (read,) = self.read(answer_with_cache(held))
         self.assertEqual(PARTS_MAX, len(read.parts))
         self.assertEqual(1000 + 2 * PARTS_MAX - 1, read.parts[0][1])
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -178,8 +178,8 @@
         for name, endpoint in (("i-1", self.limited), ("i-2", self.other)):
             platform.run(endpoint.worker.start(platform.host))
             platform.add(name, "v1", port=endpoint.worker.port)
-        self.fleet.found()
-        self.fleet.acknowledged(3)
+        self.fleet.bootstrap()
+        self.fleet.replace_until_accepted(3)
         self.gateways = [f"{self.fleet.net}.{n}" for n in (101, 102, 103)]
         for host in self.gateways:
             self.fleet.start_gateway(host)
@@ -202,7 +202,7 @@
             while time.monotonic() < ends_s:
                 host = self.gateways[len(pending) % len(self.gateways)]
                 path = f"/get/{len(pending)}"
-                pending.append(callers.submit(self.fleet.ask, host, path))
+                pending.append(callers.submit(self.fleet.send_request, host, path))
                 time.sleep(1.0 / self.REQUESTS_PER_S)
             return [call.result() for call in pending]
 
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -7,13 +7,15 @@
 from ashlatch.platform.document import decode_catalog
 from tests import stub_server
 from tests.gateway import ASK_STREAM, GatewayHarness, ask
-from tests.stub_server import Received, StandIn
+from tests.stub_server import ReceivedRequest, StubServer
 
 REGIONS = {"hall-1": "north", "hall-2": "south", "hall-3": "west"}
 
 
-async def break_off(request: Received, writer: asyncio.StreamWriter) -> None:
-    writer.write(stub_server.head(request) + b"Transfer-Encoding: chunked\r\n\r\n")
+async def break_off(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
+    writer.write(
+        stub_server.response_head(request) + b"Transfer-Encoding: chunked\r\n\r\n"
+    )
     writer.write(stub_server.chunk(stub_server.event(1)))
     await writer.drain()
     writer.transport.abort()
@@ -22,7 +24,7 @@
 class RegionTest(GatewayHarness):
     def setUp(self) -> None:
         super().setUp()
-        self.workers = [StandIn([stub_server.answer()]) for _ in range(3)]
+        self.workers = [StubServer([stub_server.answer_with()]) for _ in range(3)]
 
     def bind(self, route: list[str], organisation: list[str]) -> None:
         """Endpoints in three halls of three regions; the gateway is in the first."""
@@ -31,7 +33,9 @@
             each["allowedRegions"] = route
         for each in document["tenants"]:
             each["allowedRegions"] = organisation
-        self.known.table = RouteTable(decode_catalog(stub_server.encoded(document)))
+        self.known.table = RouteTable(
+            decode_catalog(stub_server.encode_document(document))
+        )
         self.known.regions = REGIONS
         endpoints = tuple(
             Endpoint(f"i-{n}", "app", worker.address, hall, "v1", 8, False)
@@ -48,7 +52,7 @@
                 self.assertEqual(200, (await self.call(ask("/get/1")))[0])
 
         self.run_gateway(self.workers, work)
-        return [len(worker.seen) for worker in self.workers]
+        return [len(worker.requests) for worker in self.workers]
 
     def test_by_the_route(self) -> None:
         self.assertEqual([0, 20, 0], self.answered(["south"], []))
@@ -68,7 +72,7 @@
             self.assertIn(b"Retry-After", got)
 
         self.run_gateway(self.workers, work)
-        self.assertEqual([], [seen for w in self.workers for seen in w.seen])
+        self.assertEqual([], [seen for w in self.workers for seen in w.requests])
 
     def test_where_none_can_serve(self) -> None:
         """It is refused at once, and no endpoint elsewhere gets its body."""
@@ -84,7 +88,7 @@
             self.assertEqual(503, (await self.call(ask("/get/1")))[0])
 
         self.run_gateway(self.workers, work)
-        self.assertEqual([], [seen for w in self.workers for seen in w.seen])
+        self.assertEqual([], [seen for w in self.workers for seen in w.requests])
 
     def test_a_stream_is_resumed_within_its_region(self) -> None:
         """The only endpoint there breaks off: the stream ends, and goes nowhere."""
@@ -95,5 +99,5 @@
             await self.call(ask("/stream/1", ASK_STREAM))
 
         self.run_gateway(self.workers, work)
-        self.assertTrue(self.workers[1].seen)
-        self.assertEqual([], self.workers[0].seen + self.workers[2].seen)
+        self.assertTrue(self.workers[1].requests)
+        self.assertEqual([], self.workers[0].requests + self.workers[2].requests)
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -67,7 +67,7 @@
 from tests.fleet import PORTS, READY_PORT, Fleet, wait_for
 from tests.gateway import ASK_STREAM, GatewayHarness, ask
 from tests.session_play import Load, SessionWorld
-from tests.stub_server import Received, StandIn
+from tests.stub_server import ReceivedRequest, StubServer
 
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
 OLD = Endpoint("i-1", "app", "127.0.0.1:1", "hall-1", "v1", 8, False)
@@ -189,17 +189,17 @@
     def test_an_answer_of_the_old_version_ends_after_the_move(self) -> None:
         moved, ended = asyncio.Event(), stub_server.stream(2, "X-Confidence: 90")
 
-        async def slow(request: Received, writer: asyncio.StreamWriter) -> None:
+        async def slow(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
             await moved.wait()
             await ended(request, writer)
 
-        worker = StandIn([slow])
+        worker = StubServer([slow])
 
         async def work() -> None:
             running = Rollout("app", "v2", RolloutStage.SETTLE, 0.0, 1, DURATION_MS)
             self.known.versions.learn([running])
             call = asyncio.ensure_future(self.call(ask("/stream/1", ASK_STREAM)))
-            while not worker.seen:
+            while not worker.requests:
                 await asyncio.sleep(0.01)
             peers = GatewayPeers(self.known)
             peers.datagram_received(self.MOVED, ("127.0.0.9", 1))
@@ -316,17 +316,17 @@
         super().setUp()
 
         async def tell_instance(
-            request: Received, writer: asyncio.StreamWriter
+            request: ReceivedRequest, writer: asyncio.StreamWriter
         ) -> None:
             # A version that gets few requests opens a connection for most of them:
             # on a busy machine that is 3.4 times an answer of 1 ms, which is late.
             await asyncio.sleep(ANSWER_S)
             instance = request.headers["x-expect-instance"].encode()
-            writer.write(stub_server.whole(request, instance))
+            writer.write(stub_server.full_response(request, instance))
 
         self.fleet = Fleet(scripts=[tell_instance])
         self.addCleanup(self.fleet.close)
-        self.fleet.found()
+        self.fleet.bootstrap()
         self.gateways = [f"{self.fleet.net}.{n}" for n in (101, 102, 103)]
 
     @property
@@ -338,7 +338,7 @@
     def start_gateways(self) -> None:
         for gateway in self.gateways:
             self.fleet.start_gateway(gateway)
-        self.fleet.acknowledged(3)
+        self.fleet.replace_until_accepted(3)
         wait_for(self.ready, "gateways ready")
 
     def ready(self) -> bool:
@@ -356,7 +356,7 @@
         ran = []
         for step in range(3):
             gateway = self.gateways[(number + step) % 3]
-            status, instance = self.fleet.ask_in_session(gateway, f"session-{number}")
+            status, instance = self.fleet.send_in_session(gateway, f"session-{number}")
             if status == 200 and not self.rolled_back:
                 ran.append(instance)
             time.sleep(self.PAUSE_S)
--- a/tests/test_soft_state.py
+++ b/tests/test_soft_state.py
@@ -15,13 +15,13 @@
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
 ONE = GatewayVm("10.0.0.1:7000", "hall-1")
 TWO = GatewayVm("10.0.0.2:7000", "hall-2")
-READ = PromptRead("i-1", "large", (("aa", 9000),))
+PREFILL = PromptRead("i-1", "large", (("aa", 9000),))
 
 
 def request(
     *gateways: GatewayVm,
-    reads: tuple[PromptRead, ...] = (),
-    reads_known: tuple[int, int] = (0, 0),
+    prefills: tuple[PromptRead, ...] = (),
+    prefills_known: tuple[int, int] = (0, 0),
     gateways_known: int = 0,
     sessions: tuple[SessionMarks, ...] = (),
 ) -> SyncRequest:
@@ -34,28 +34,28 @@
         0.0,
         (),
         sessions,
-        reads,
-        reads_known,
+        prefills,
+        prefills_known,
         gateways_known,
     )
 
 
-class SpreadTest(testtools.TestCase):
+class SoftStateTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.leader = SoftState(CORE)
         self.follower = SoftState(CORE)
 
-    def ask(self, spread: SoftState, asked: SyncRequest) -> SyncReply:
-        spread.apply_request(asked)
-        return spread.build_reply(asked, True, (), FleetState())
+    def sync(self, state: SoftState, sent: SyncRequest) -> SyncReply:
+        state.apply_request(sent)
+        return state.build_reply(sent, True, (), FleetState())
 
-    def follow(self) -> None:
+    def sync_follower(self) -> None:
         """One question of the follower to the leader, and its answer."""
         asked = request(
             *self.follower.live_gateways(),
-            reads=self.follower.take_prefills(),
-            reads_known=self.follower.prefills.position,
+            prefills=self.follower.take_prefills(),
+            prefills_known=self.follower.prefills.position,
             gateways_known=gateways_digest(self.follower.gateways),
         )
         self.leader.apply_request(asked)
@@ -64,14 +64,14 @@
             self.leader.build_reply(asked, True, (), FleetState())
         )
 
-    def test_reads_reach_the_gateways_of_all_core_vms(self) -> None:
-        self.ask(self.follower, request(ONE, reads=(READ,)))
-        self.follow()
+    def test_prefills_reach_the_gateways_of_all_core_vms(self) -> None:
+        self.sync(self.follower, request(ONE, prefills=(PREFILL,)))
+        self.sync_follower()
         for spread in (self.leader, self.follower):
-            told = self.ask(spread, request(TWO))
-            self.assertEqual((READ,), told.prefills)
+            told = self.sync(spread, request(TWO))
+            self.assertEqual((PREFILL,), told.prefills)
             self.assertEqual((3, 1), told.prefills_known)
-            again = self.ask(spread, request(TWO, reads_known=told.prefills_known))
+            again = self.sync(spread, request(TWO, prefills_known=told.prefills_known))
             self.assertEqual((), again.prefills)
 
     def test_halls_of_core_vms_reach_all(self) -> None:
@@ -87,31 +87,31 @@
         self.follower.apply_reply(SyncReply(True, members=told))
         self.assertEqual(known, self.follower.core_vms(addresses))
 
-    def test_gateways_are_told_when_they_change(self) -> None:
-        self.ask(self.follower, request(ONE))
-        self.ask(self.leader, request(TWO))
-        self.follow()
+    def test_gateways_are_sent_when_they_change(self) -> None:
+        self.sync(self.follower, request(ONE))
+        self.sync(self.leader, request(TWO))
+        self.sync_follower()
         for spread in (self.leader, self.follower):
-            told = self.ask(spread, request(ONE))
+            told = self.sync(spread, request(ONE))
             self.assertEqual((ONE, TWO), told.gateways)
             known = gateways_digest((ONE, TWO))
-            again = self.ask(spread, request(ONE, gateways_known=known))
+            again = self.sync(spread, request(ONE, gateways_known=known))
             self.assertIsNone(again.gateways)
 
-    def test_a_core_vm_that_has_just_started_makes_nobody_forget(self) -> None:
+    def test_a_core_vm_that_has_just_started_removes_no_gateways(self) -> None:
         """All core VMs were killed: some gateways have not asked the new leader yet.
 
         Who knows no gateway gets what is known so far.
         """
         everyone = gateways_digest((ONE, TWO))
-        self.ask(self.leader, request(ONE, gateways_known=everyone))
+        self.sync(self.leader, request(ONE, gateways_known=everyone))
         self.leader.apply_leader_state(3, EndpointList(), 0.0, 0.0)
-        told = self.ask(self.leader, request(ONE, gateways_known=everyone))
+        told = self.sync(self.leader, request(ONE, gateways_known=everyone))
         self.assertIsNone(told.gateways)
-        told = self.ask(self.leader, request(ONE))
+        told = self.sync(self.leader, request(ONE))
         self.assertEqual((ONE,), told.gateways)
         self.leader._started_ms -= GATEWAYS_SETTLE_MS
-        told = self.ask(self.leader, request(ONE, gateways_known=everyone))
+        told = self.sync(self.leader, request(ONE, gateways_known=everyone))
         self.assertEqual((ONE,), told.gateways)
 
     def test_moved_sessions_reach_the_leader(self) -> None:
@@ -126,8 +126,10 @@
             spread.apply_request(asked)
             self.assertFalse(spread.urgent.is_set())
 
-    def test_reads_without_a_leader_are_bounded(self) -> None:
+    def test_prefills_without_a_leader_are_bounded(self) -> None:
         for _ in range(3):
-            self.ask(self.follower, request(ONE, reads=(READ,) * PENDING_PREFILLS_MAX))
+            self.sync(
+                self.follower, request(ONE, prefills=(PREFILL,) * PENDING_PREFILLS_MAX)
+            )
         self.assertEqual(PENDING_PREFILLS_MAX, len(self.follower.take_prefills()))
         self.assertEqual((), self.follower.take_prefills())
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -29,7 +29,7 @@
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 from ashlatch.settings import GatewaySettings, read
-from tests.test_fleet import standing
+from tests.test_fleet import leader_status
 
 CORE = CoreVm("127.0.0.2:7001", "hall-1")
 OWN = GatewayVm("127.0.0.1:7000", "hall-1")
@@ -126,7 +126,9 @@
         async def run() -> list[tuple[float, tuple[int, ...]]]:
             book, spread = Book(SyncReply(True), holds=True), SoftState(CORE)
             leader = "127.0.0.9:7000"
-            following = replace(standing(3, {}), leading=False, leader_address=leader)
+            following = replace(
+                leader_status(3, {}), leading=False, leader_address=leader
+            )
             link = LeaderLink(
                 "core-1", CORE, 10_000.0, spread, book, lambda: following, FleetState
             )
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -11,7 +11,7 @@
 from ashlatch.platform.document import decode_catalog
 from tests import stub_server
 from tests.gateway import ASK_STREAM, GatewayHarness, ask, hang
-from tests.stub_server import StandIn
+from tests.stub_server import StubServer
 
 # Longer than any wait of these tests, so that a route's target ends none.
 TARGET_MS = 2400
@@ -58,8 +58,8 @@
     def took_s(self, asked: bytes, reason: str) -> tuple[int, float]:
         """Status and time of a request whose first endpoint falls silent."""
         silent, other = (
-            StandIn([hang]),
-            StandIn([stub_server.answer(), stub_server.stream(3)]),
+            StubServer([hang]),
+            StubServer([stub_server.answer_with(), stub_server.stream(3)]),
         )
         other.scripts = [
             stub_server.stream(3) if b"/stream/" in asked else other.scripts[0]
@@ -69,7 +69,7 @@
         async def work() -> None:
             routes = stub_server.document()["routes"]
             slow = [{**r, "sloMs": TARGET_MS, "timeoutMs": 9000} for r in routes]
-            document = stub_server.encoded(stub_server.document(routes=slow))
+            document = stub_server.encode_document(stub_server.document(routes=slow))
             self.known.table = RouteTable(decode_catalog(document))
             for state in self.known.directory.all():
                 # The other one seems busier, so the silent one is asked first.
@@ -85,7 +85,7 @@
             task.cancel()
 
         self.run_gateway([silent, other], work)
-        self.assertEqual(1, len(silent.seen))
+        self.assertEqual(1, len(silent.requests))
         return result[0]
 
     def patient(self, path: str, extra: str = "") -> bytes:
