--- a/tests/engines.py
+++ b/tests/engines.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from typing import Any, cast
 
-from tests.stub_server import document, encoded, engine_service
+from tests.stub_server import document, encode_document, engine_service
 
 from ashlatch.catalog import Endpoint, EndpointList, GatewayVm
 from ashlatch.codec import decode
@@ -129,7 +129,7 @@
             for n in range(gateways_each)
         )
         table = RouteTable(
-            decode_catalog(encoded(document(services=[engine_service("app")])))
+            decode_catalog(encode_document(document(services=[engine_service("app")])))
         )
         listed = EndpointList(1, 1, endpoints)
         self.gateways = [self._gateway(vm, vms, table, listed, seed) for vm in vms]
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -3,7 +3,7 @@
 import random
 
 import testtools
-from tests.stub_server import document, encoded, engine_service
+from tests.stub_server import document, encode_document, engine_service
 
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.gateway.budget import BudgetTerms
@@ -61,7 +61,7 @@
         generator=random.Random(1),
     )
     made = document(services=[engine_service("app")])
-    known.table = RouteTable(decode_catalog(encoded(made)))
+    known.table = RouteTable(decode_catalog(encode_document(made)))
     endpoints = tuple(
         Endpoint(instance, "app", f"{instance}:1", hall, "v1", 8, False)
         for instance, hall in zip(ENGINES, HALLS, strict=True)
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -13,7 +13,7 @@
 import testtools
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from tests.stub_server import StandIn, answer
+from tests.stub_server import StubServer, answer_with
 
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.codec import encode
@@ -123,7 +123,7 @@
             self.assertEqual(0.0, state.workload.remaining_ms(now_ms))
             self.assertEqual(0.0, state.load.requests())
 
-        self.run_gateway([StandIn([answer()])], work)
+        self.run_gateway([StubServer([answer_with()])], work)
         return self.known
 
     def test_seen_here(self) -> None:
