--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -1,4 +1,4 @@
-"""The two users' deployments of the brief, on fakes."""
+"""The two example deployments, run on fakes."""
 
 import json
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """One user's pools: how many VMs of each, in which halls."""
+    """The pools of one example: the number of VMs in each and their halls."""
 
     example_name: str
     pool: str
@@ -48,11 +48,11 @@
 
 
 def start_fakes(system: System, deployment: Deployment, *arguments: str) -> None:
-    """Start the deployment's engines and workers and list them."""
-    for place in range(deployment.engines):
-        hall = deployment.halls[place % len(deployment.halls)]
+    """Starts the deployment's engines and workers and lists them."""
+    for number in range(deployment.engines):
+        hall = deployment.halls[number % len(deployment.halls)]
         system.start_engine(
-            f"{deployment.pool}-{place}",
+            f"{deployment.pool}-{number}",
             deployment.pool,
             hall,
             "--versions",
@@ -61,14 +61,14 @@
             deployment.quality,
             *arguments,
         )
-    for place in range(deployment.workers):
-        hall = deployment.halls[place % len(deployment.halls)]
-        name = f"{deployment.service}-{place}"
+    for number in range(deployment.workers):
+        hall = deployment.halls[number % len(deployment.halls)]
+        name = f"{deployment.service}-{number}"
         system.start_worker(name, deployment.service, hall)
 
 
 def resources(system: System, deployment: Deployment) -> list[dict[str, Any]]:
-    """The example's resources, with the platform's real address."""
+    """Returns the example's resources with the platform's actual address."""
     assert system.platform is not None
     text = (EXAMPLES / f"{deployment.example_name}.json").read_text()
     text = text.replace(EXAMPLE_PLATFORM, system.platform.urls["platform"])
@@ -77,7 +77,7 @@
 
 
 def wait_for_endpoints(system: System, count: int) -> None:
-    """Wait until so many endpoints are configured and in force."""
+    """Waits until this many endpoints are configured and in force."""
 
     def listed() -> bool:
         found = system.operate("GET", "/v1/resources/endpoint").json
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,6 +1,6 @@
-"""A deployment of real processes on loopback: core VMs, gateways, and stand-ins
-of the list of endpoints and of one endpoint. Every VM has an IP number of its
-own, so all use the same ports.
+"""A deployment of real processes on loopback: core VMs, gateways, and stub servers for
+the list of endpoints and for one endpoint. Every VM has its own IP address, so all use
+the same ports.
 """
 
 import asyncio
@@ -34,17 +34,17 @@
 def wait_for(
     condition: Callable[[], bool], description: str, wait_s: float = WAIT_S
 ) -> float:
-    """Wait until something holds; the seconds that it took."""
-    begun_s = time.monotonic()
+    """Waits until a condition holds; returns the seconds that it took."""
+    started_s = time.monotonic()
     while not condition():
-        if time.monotonic() - begun_s > wait_s:
+        if time.monotonic() - started_s > wait_s:
             raise AssertionError(f"not within {wait_s} s: {description}")
         time.sleep(0.05)
-    return time.monotonic() - begun_s
+    return time.monotonic() - started_s
 
 
 class Platform:
-    """The list of endpoints and one endpoint, on a thread."""
+    """Serves the list of endpoints and one endpoint, on a separate thread."""
 
     def __init__(self, host: str, scripts: list[Script]) -> None:
         self.host = host
@@ -61,9 +61,9 @@
             asyncio.run_coroutine_threadsafe(started, self._loop).result(5.0)
         self.add("i-1", "v1")
 
-    def run(self, work: Coroutine[Any, Any, None]) -> None:
-        """Do something on the platform's thread, and wait for it."""
-        asyncio.run_coroutine_threadsafe(work, self._loop).result(5.0)
+    def run(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Runs a coroutine on the platform's thread and waits for it."""
+        asyncio.run_coroutine_threadsafe(coroutine, self._loop).result(5.0)
 
     def add(
         self, instance: str, version: str, state: str = "ready", port: int = 0
@@ -87,7 +87,7 @@
         writer.write(stub_server.full_response(request, body))
 
     def stop(self) -> None:
-        """End the connections first: a loop that has gone cannot close them."""
+        """Closes the connections first because a stopped loop cannot close them."""
         asyncio.run_coroutine_threadsafe(self._end_all(), self._loop).result(5.0)
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(5.0)
@@ -101,14 +101,14 @@
 
 
 class Fleet:
-    """Starts and ends the processes; `close` ends all.
+    """Starts and stops the processes; `close` stops all.
 
-    `halls` names the halls of those VMs that are not in the first one.
+    `halls` maps hosts to their halls, for VMs that are not in the first hall.
     """
 
     def __init__(self, cores: int = 5, scripts: list[Script] | None = None) -> None:
-        drawn = random.SystemRandom()
-        self.net = f"127.{drawn.randrange(1, 255)}.{drawn.randrange(1, 255)}"
+        generator = random.SystemRandom()
+        self.net = f"127.{generator.randrange(1, 255)}.{generator.randrange(1, 255)}"
         self.folder = Path(tempfile.mkdtemp(prefix="ashlatch-fleet-"))
         self.platform = Platform(
             f"{self.net}.200", scripts or [stub_server.answer_with()]
@@ -125,7 +125,7 @@
         shutil.rmtree(self.folder, ignore_errors=True)
 
     def _settings(self, host: str, **more: Any) -> Path:
-        made = {
+        settings = {
             "vm": f"vm-{host.rpartition('.')[2]}",
             "hall": self.halls.get(host, "hall-1"),
             "host": host,
@@ -136,7 +136,7 @@
             **more,
         }
         path = self.folder / f"{host}.json"
-        path.write_text(json.dumps(made))
+        path.write_text(json.dumps(settings))
         return path
 
     def start_core(self, host: str, first_start: bool = False) -> None:
@@ -175,7 +175,7 @@
     def call(
         self, host: str, method: str, target: str, body: bytes = b"", port: int = 0
     ) -> tuple[int, bytes]:
-        """One call; status 0 when there was no answer."""
+        """Makes one call; the status is 0 if there was no answer."""
         connection = http.client.HTTPConnection(
             host, port or OPERATOR_PORT, timeout=3.0
         )
@@ -195,27 +195,27 @@
     def replace_until_accepted(
         self, version: int, hosts: list[str] | None = None
     ) -> float:
-        """Send a version, to one VM after another, until it is taken."""
-        asked = hosts or self.hosts
+        """Sends a version to one VM after another until one accepts it."""
+        targets = hosts or self.hosts
 
-        def taken() -> bool:
-            return any(self.replace(host, version) == 200 for host in asked)
+        def accepted() -> bool:
+            return any(self.replace(host, version) == 200 for host in targets)
 
-        return wait_for(taken, f"version {version} acknowledged")
+        return wait_for(accepted, f"version {version} acknowledged")
 
     def read_version(self, host: str) -> int:
-        """The version that a VM reads back; 0 when it says nothing certain."""
+        """Returns the version that a VM reads; 0 if it cannot confirm one."""
         status, body = self.call(host, "GET", "/-/Config.Read")
         return int(json.loads(body)["version"]) if status == 200 else 0
 
     def read_counter(self, host: str, name: str) -> int:
-        """What a counter of a VM's metrics stands at."""
+        """Returns the value of a counter in a VM's metrics."""
         _, text = self.call(host, "GET", "/metrics", port=METRICS_PORT)
         found = re.search(rf"^ashlatch_{name}_total (\d+)$", text.decode(), re.M)
         return int(found.group(1)) if found else 0
 
     def leader(self) -> str:
-        """The core VM whose log says that it leads, by the newest term."""
+        """Returns the core VM that is the leader of the newest term by its log."""
         found: dict[int, str] = {}
         for host in self.hosts:
             lines = self.processes[host].log.splitlines()
@@ -226,25 +226,25 @@
         return found[max(found)] if found else ""
 
     def begin_rollout(self, service: str, version: str, duration_s: float) -> None:
-        """Order a roll-out, and wait until it is taken."""
-        order = {
+        """Starts a roll-out and waits until it is accepted."""
+        rollout = {
             "service": service,
             "targetVersion": version,
             "durationS": duration_s,
         }
-        body = json.dumps(order).encode()
+        body = json.dumps(rollout).encode()
 
-        def taken() -> bool:
+        def accepted() -> bool:
             calls = (
                 self.call(host, "POST", "/-/Rollouts.Begin", body)
                 for host in self.hosts
             )
             return any(status == 200 for status, _ in calls)
 
-        wait_for(taken, f"roll-out of {version} acknowledged")
+        wait_for(accepted, f"roll-out of {version} acknowledged")
 
     def send_in_session(self, host: str, session: str) -> tuple[int, str]:
-        """A caller's request that belongs to a session; status and body."""
+        """Sends a caller's request in a session; returns status and body."""
         connection = http.client.HTTPConnection(host, FRONT_PORT, timeout=3.0)
         try:
             headers = {**_caller_headers(), "Session": session}
@@ -257,7 +257,7 @@
             connection.close()
 
     def post(self, host: str, path: str, body: bytes, port: int) -> int:
-        """A caller's request with a body, read to the end of its answer; 0 for none."""
+        """Sends a caller's request with a body and reads the answer; 0 for none."""
         connection = http.client.HTTPConnection(host, port, timeout=5.0)
         try:
             connection.request("POST", path, body, _caller_headers())
@@ -272,7 +272,7 @@
     def send_request(
         self, host: str, path: str = "/get/1", connected: socket.socket | None = None
     ) -> int:
-        """A caller's request at a gateway, on a connection that stands if given."""
+        """Sends a caller's request to a gateway, on an open connection if given."""
         connection = http.client.HTTPConnection(host, FRONT_PORT, timeout=3.0)
         if connected is not None:
             connection.sock = connected
@@ -286,7 +286,7 @@
 
 
 def _caller_headers() -> dict[str, str]:
-    """What each request of a caller carries, under an id of its own."""
+    """Returns the headers of a caller's request, with a new id."""
     return {
         "Host": "shop.example",
         "X-Attempt-Id": f"r{random.random()}",
--- a/tests/stub_server.py
+++ b/tests/stub_server.py
@@ -1,5 +1,5 @@
-"""Stand-ins of the users' platform: its endpoints, by scripts of raw bytes, its
-list of endpoints, and documents as its operators send them.
+"""Stub servers for the platform: endpoints that play scripts of raw bytes, and
+configuration documents as operators send them.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 
 @dataclass
 class ReceivedRequest:
-    """A request as it reached a stand-in."""
+    """A request as a stub server received it."""
 
     method: str
     target: str
@@ -38,7 +38,7 @@
 def full_response(
     request: ReceivedRequest, body: bytes, status: int = 200, *more: str
 ) -> bytes:
-    """A whole answer with its length."""
+    """Returns a complete response with its length."""
     length = f"Content-Length: {len(body)}\r\n\r\n".encode()
     return response_head(request, status, *more) + length + body
 
@@ -62,7 +62,7 @@
 
 
 def stream(count: int, *more: str) -> Script:
-    """Events behind the last one that the caller has, up to `count`."""
+    """Streams the events after the last one that the caller has, up to `count`."""
 
     async def script(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
         first = int(request.headers.get("last-event-id", "0")) + 1
@@ -77,7 +77,7 @@
 
 @dataclass
 class StubServer:
-    """An endpoint on loopback that plays its scripts in turn, the last for ever."""
+    """An endpoint on loopback that plays its scripts in turn, the last one forever."""
 
     scripts: list[Script]
     requests: list[ReceivedRequest] = field(default_factory=list)
@@ -94,7 +94,7 @@
         self._server.close()
 
     def crash(self) -> None:
-        """End like a process: nobody listens, and all connections are closed."""
+        """Ends like a process: stops listening and aborts all connections."""
         self.stop()
         for writer in self._writers:
             writer.transport.abort()
@@ -155,7 +155,7 @@
 
 
 def document(version: int = 1, **more: Any) -> dict[str, Any]:
-    """A configuration with a route of each kind."""
+    """Returns a configuration with a route of each kind."""
     base = {
         "version": version,
         "routes": [
@@ -184,7 +184,7 @@
 
 
 def engine_service(name: str) -> dict[str, Any]:
-    """A service whose endpoints are model engines."""
+    """Returns a service whose endpoints are model engines."""
     engine = {
         "slots": 8,
         "kvCapacity": 400_000,
--- a/tests/test_evaluation.py
+++ b/tests/test_evaluation.py
@@ -1,4 +1,4 @@
-"""Tests of how a new version is judged beside the old one."""
+"""Tests of the evaluation of a new version against the old one."""
 
 import testtools
 
@@ -8,7 +8,7 @@
 
 
 class EvaluationTest(testtools.TestCase):
-    """Roll-outs of 20 s, judged with an old version that fails 1 in 100."""
+    """Roll-outs of 20 s, compared with an old version that fails 1 in 100."""
 
     def evidence(self, **new: int) -> Evidence:
         evidence = Evidence()
@@ -24,31 +24,36 @@
         late: int = 0,
         route: str = "r",
     ) -> Tally:
-        """Answers that begin after 60 ms, or eight times as late."""
+        """Returns answers that begin after 60 ms; the late ones after 480 ms."""
         key = TallyKey("app", version, route)
         times = {step_of(60.0): answered - late, step_of(480.0): late}
         return Tally(key, answered, failed, times)
 
-    def decide(self, part: float, evidence: Evidence, share: float = 0.1) -> Decision:
-        stage = RolloutStage.TRIAL if part < 0.5 else RolloutStage.SHIFT
+    def decide(
+        self, progress: float, evidence: Evidence, share: float = 0.1
+    ) -> Decision:
+        stage = RolloutStage.TRIAL if progress < 0.5 else RolloutStage.SHIFT
         rollout = Rollout("app", "v2", stage, share, 1, 20_000.0)
-        return decide(rollout, part * 20_000.0, evidence, 0.0, ready=True)
+        return decide(rollout, progress * 20_000.0, evidence, 0.0, ready=True)
 
     def test_good_version_completes(self) -> None:
-        good = self.evidence()
-        stages = [self.decide(part / 100, good).stage.value for part in (10, 52, 64)]
+        healthy = self.evidence()
+        stages = [
+            self.decide(progress / 100, healthy).stage.value
+            for progress in (10, 52, 64)
+        ]
         self.assertEqual(["trial", "load_test", "settle"], stages)
-        self.assertEqual(0.4, self.decide(0.67, good).share)
-        self.assertEqual(1.0, self.decide(0.75, good).share)
+        self.assertEqual(0.4, self.decide(0.67, healthy).share)
+        self.assertEqual(1.0, self.decide(0.75, healthy).share)
         self.assertEqual(
-            RolloutStage.COMPLETED, self.decide(0.9, good, share=1.0).stage
+            RolloutStage.COMPLETED, self.decide(0.9, healthy, share=1.0).stage
         )
 
     def test_few_requests_need_a_larger_share(self) -> None:
         evidence = Evidence()
         evidence.add((self.tally("v1", 20),), 0.0)
         self.assertEqual(0.25, self.decide(0.1, evidence, share=0.0).share)
-        # Once it is set, more requests do not change it.
+        # More requests do not change a share that was set.
         evidence.add((self.tally("v1", 300),), 0.0)
         self.assertEqual(0.25, self.decide(0.2, evidence, share=0.25).share)
         self.assertEqual(0.1, self.decide(0.2, Evidence(), share=0.0).share)
@@ -78,7 +83,7 @@
         self.assertEqual(RolloutStage.ROLLED_BACK, self.decide(0.2, evidence).stage)
 
     def distributed_failures(self, failed: int) -> Evidence:
-        """Failures of the new version on three routes, 20 answers on each."""
+        """Returns failures of the new version on three routes with 20 answers each."""
         evidence = Evidence()
         for route in ("one", "two", "three"):
             evidence.add((self.tally("v1", 500, 1, route=route),), 0.0)
@@ -86,7 +91,7 @@
         return evidence
 
     def test_few_failures_on_every_route(self) -> None:
-        """As under load, where too few requests of each route are answered."""
+        """As under load, where single routes have too few answers."""
         decision = self.decide(0.3, self.distributed_failures(2))
         self.assertEqual(RolloutStage.ROLLED_BACK, decision.stage)
         self.assertEqual("all routes: 6 of 66 failed", decision.reason)
@@ -94,7 +99,7 @@
         self.assertEqual(RolloutStage.TRIAL, decision.stage)
 
     def test_a_route_that_fails_in_both_versions(self) -> None:
-        """What the other version shows on a route is expected there."""
+        """Failures of the old version on a route are expected of the new one there."""
         evidence = self.distributed_failures(0)
         evidence.add((self.tally("v1", 86, 14, route="faulty"),), 0.0)
         evidence.add((self.tally("v2", 52, 8, route="faulty"),), 0.0)
@@ -116,11 +121,11 @@
         self.assertEqual(RolloutStage.ROLLED_BACK, decision.stage)
 
     def decide_with_late_answers(self, *old: Tally) -> Decision:
-        """The latest answers of a good version are late; those of the old are given.
+        """The latest answers of a good version are late; the old version's are given.
 
-        What users saw: a busy hour in a trial, and a good version was taken back.
-        The latest answers of the new version were held to all of the old one's,
-        most of which came in the calm time before.
+        Guards against rolling back a good version because of a busy hour during its
+        trial. Its latest answers were compared with all answers of the old version,
+        most of which came from the calm time before.
         """
         evidence = self.evidence(answered=20)
         for tally in old:
@@ -138,16 +143,16 @@
         self.assertEqual(RolloutStage.ROLLED_BACK, decision.stage)
 
     def test_slowdown_while_the_old_version_has_few_answers(self) -> None:
-        """The nearest time in which there are enough says what is late."""
+        """The latest window with enough answers defines which answers are late."""
         decision = self.decide_with_late_answers(self.tally("v1", 4))
         self.assertEqual(RolloutStage.ROLLED_BACK, decision.stage)
 
     def decide_with_few_answers_per_route(self, late: int) -> Decision:
         """12 answers of the old version on each of five routes, 3 of the new one.
 
-        What users saw: a version that was slow in half of its answers was completed.
-        It had a few requests on each of five routes, and on none of them was the
-        old version's pace known well enough to call an answer late.
+        Guards against completing a version that is slow in half of its answers. It had
+        few requests on each of five routes, and on none of them had the old version
+        enough timed answers to call an answer late.
         """
         evidence = Evidence()
         routes = ("one", "two", "three", "four")
@@ -175,7 +180,7 @@
         return decide(rollout, 6000.0, evidence, 0.0, ready=True, plain=plain)
 
     def test_a_plain_service_is_evaluated_over_all_routes(self) -> None:
-        """Its answers take as long at once as later: it keeps no prompts."""
+        """Its answers are not slower at first, as it caches no prompts."""
         decision = self.decide_with_two_late_answers_per_route(plain=True)
         self.assertEqual(RolloutStage.ROLLED_BACK, decision.stage)
         self.assertEqual("all routes: 4 of 6 were late", decision.reason)
@@ -187,7 +192,7 @@
         self.assertEqual(RolloutStage.TRIAL, decision.stage, decision.reason)
 
     def test_failures_of_both_versions_are_no_fault(self) -> None:
-        """A few bad seconds of everything: 20 of 60 of the other version failed."""
+        """Everything fails for a few seconds: 20 of 60 of the old version failed."""
         evidence = self.evidence(answered=20)
         evidence.add((self.tally("v1", 40, 20),), 9000.0)
         evidence.add((self.tally("v2", 6, 4),), 9500.0)
--- a/tests/test_exposure.py
+++ b/tests/test_exposure.py
@@ -1,7 +1,8 @@
-"""What a version may get before it has proved itself, by the operator's own bound.
+"""Tests of the exposure of an unproven version within the limit that operators set.
 
-The bound of one deployment (15 in 100 and 30 more) stood in constants: where operators
-allow 9.75 in 100, a load test went on until the version had got 12.5 in 100.
+Guards against constants that fit the limit of one deployment only (15 in 100 and 30
+more): where operators allow 9.75 in 100, a load test went on until the version had got
+12.5 in 100.
 """
 
 import testtools
@@ -17,9 +18,9 @@
 
 
 class RolloutSimulation:
-    """A roll-out whose version answers well, and all that it gets.
+    """A roll-out of a healthy version, with counts of the requests that it gets.
 
-    `capacity_per_s` is what the one endpoint answers that the load test makes busy.
+    `capacity_per_s` is the capacity of the one endpoint that the load test makes busy.
     """
 
     def __init__(
@@ -39,13 +40,13 @@
         self.completed_ms = float("inf")
 
     def step(self, now_ms: float) -> None:
-        wanted = self.rate_per_s * INTERVAL_MS / 1000.0
-        new = self.rollout.share * wanted
+        requests = self.rate_per_s * INTERVAL_MS / 1000.0
+        new = self.rollout.share * requests
         if self.rollout.stage is RolloutStage.LOAD_TEST:
-            new = min(wanted, max(new, self.capacity_per_s * INTERVAL_MS / 1000.0))
+            new = min(requests, max(new, self.capacity_per_s * INTERVAL_MS / 1000.0))
         before = int(self.new), int(self.old)
         self.new += new
-        self.old += wanted - new
+        self.old += requests - new
         for version, count in (
             ("v2", int(self.new) - before[0]),
             ("v1", int(self.old) - before[1]),
@@ -81,33 +82,42 @@
     def test_exposure_stays_within_the_limit(
         self, share: float, extra: int, rate: float, capacity: float, end_s: float
     ) -> None:
-        """Until it gets everything, a version has got less than a bad one may.
+        """A version gets less than a bad one may, until it gets everything.
 
-        A report is counted at the next look only, so what two looks bring is added.
+        A report is counted only at the next evaluation, so the requests of two
+        intervals are added.
         """
         plan = plan_exposure(share, float(extra))
-        play = RolloutSimulation(plan, rate, capacity, end_s * 1000.0)
-        play.run_until(0.70)
+        simulation = RolloutSimulation(plan, rate, capacity, end_s * 1000.0)
+        simulation.run_until(0.70)
         allowed = share * rate * end_s + extra
-        late = (
+        uncounted = (
             min(rate, max(capacity, plan.shift_share * rate)) * 2 * INTERVAL_MS / 1000.0
         )
-        self.assertTrue(play.new <= allowed + late + 1.0, (play.new, allowed))
+        self.assertTrue(
+            simulation.new <= allowed + uncounted + 1.0, (simulation.new, allowed)
+        )
 
     @settings(max_examples=30, deadline=None)
     @given(st.floats(0.02, 0.3), st.floats(1.0, 2000.0), st.floats(10.0, 60.0))
     def test_a_good_version_completes_in_time(
         self, share: float, rate: float, end_s: float
     ) -> None:
-        play = RolloutSimulation(plan_exposure(share, 30.0), rate, 50.0, end_s * 1000.0)
-        play.run_until(1.0)
-        self.assertTrue(play.completed_ms < 0.9 * play.end_ms, play.completed_ms)
+        simulation = RolloutSimulation(
+            plan_exposure(share, 30.0), rate, 50.0, end_s * 1000.0
+        )
+        simulation.run_until(1.0)
+        self.assertTrue(
+            simulation.completed_ms < 0.9 * simulation.end_ms, simulation.completed_ms
+        )
 
     def test_the_limit_of_one_deployment(self) -> None:
-        """At 257 requests a second, in 24 s: 632 are allowed to a bad version."""
-        play = RolloutSimulation(plan_exposure(0.0975, 30.0), 257.0, 140.0, 24_000.0)
-        play.run_until(0.70)
-        self.assertTrue(play.new <= 632.0, play.new)
+        """257 requests a second for 24 s: a bad version may get 632."""
+        simulation = RolloutSimulation(
+            plan_exposure(0.0975, 30.0), 257.0, 140.0, 24_000.0
+        )
+        simulation.run_until(0.70)
+        self.assertTrue(simulation.new <= 632.0, simulation.new)
 
     def test_default_plan(self) -> None:
         plan = plan_exposure(0.15, 30.0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of the parts of ashlatch.fleet that need no process."""
+"""Tests of the parts of `ashlatch.fleet` that need no process."""
 
 import dataclasses
 import random
@@ -108,9 +108,12 @@
 def leader_status(
     voters: int, unresponsive: dict[int, float], committed: bool = True
 ) -> GroupStatus:
-    """A leader's standing at 100 s; `silent` voters were heard so long ago."""
+    """Returns a leader's status at 100 s.
+
+    `unresponsive` maps voters to the time in ms since their last answer.
+    """
     members = tuple(Member(f"m{n}", f"v{n}", f"a{n}") for n in range(voters))
-    answered = {
+    answered_ms = {
         m.member_id: 100_000.0 - unresponsive.get(n, 50.0)
         for n, m in enumerate(members)
     }
@@ -127,7 +130,7 @@
         Members(members),
         committed,
         {},
-        answered,
+        answered_ms,
         {},
     )
 
@@ -148,14 +151,14 @@
         added = Member("m9", "v9", "a9")
         before = leader_status(5, {})
         members = Members(before.members.voters, (added,))
-        known = dataclasses.replace(
+        status = dataclasses.replace(
             before,
             members=members,
             answered_ms={**before.answered_ms, "m9": float("-inf")},
             added_ms={"m9": now_ms - 1.0},
         )
-        self.assertIsNone(find_unresponsive_member(known, 2, now_ms))
-        found = find_unresponsive_member(known, 2, now_ms + 4000.0)
+        self.assertIsNone(find_unresponsive_member(status, 2, now_ms))
+        found = find_unresponsive_member(status, 2, now_ms + 4000.0)
         assert found is not None
         self.assertEqual("m9", found[0].member_id)
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Core VMs and gateways as real processes: founding, losses, and spreading."""
+"""Core VMs and gateways as real processes: bootstrap, failures and distribution."""
 
 import contextlib
 import resource
@@ -21,11 +21,11 @@
         self.fleet.bootstrap()
 
     def wait_for_version(self, version: int) -> None:
-        def same() -> bool:
+        def all_have_version() -> bool:
             hosts = self.fleet.hosts
             return all(self.fleet.read_version(host) == version for host in hosts)
 
-        wait_for(same, f"all read version {version}")
+        wait_for(all_have_version, f"all read version {version}")
 
     def test_configuration_commands(self) -> None:
         fleet = self.fleet
@@ -48,7 +48,7 @@
         for host in (leader, other):
             fleet.start_core(host)
         self.wait_for_version(3)
-        # Repaired: the loss of two others is borne as well.
+        # The group is complete again and survives the loss of two other VMs.
         time.sleep(2.0)
         rest = [host for host in fleet.hosts if host not in (leader, other)][:2]
         for host in rest:
@@ -68,7 +68,7 @@
         self.wait_for_version(3)
 
     def test_replaced_vms(self) -> None:
-        """Two are removed for good, one after the other, and two are new."""
+        """Two VMs are removed for good, one after the other; new ones replace them."""
         fleet = self.fleet
         fleet.replace_until_accepted(3)
         for number, added in enumerate((f"{fleet.net}.11", f"{fleet.net}.12")):
@@ -103,7 +103,7 @@
         others = [host for host in fleet.hosts if host != full]
         fleet.replace_until_accepted(4, others)
         fleet.replace_until_accepted(5, others)
-        # The log is a file too, so it says nothing until there is room again.
+        # The log is a file too, so nothing is logged until the disk has space again.
         wait_for(lambda: fleet.read_counter(full, "disk_refused") > 2, "disk refused")
         self.assertIsNone(process.popen.poll())
         resource.prlimit(process.popen.pid, resource.RLIMIT_FSIZE, (-1, -1))
@@ -149,7 +149,8 @@
         time.sleep(1.0)
         self.assertTrue(self.ready())
         self.assertEqual(200, fleet.send_request(self.gateway))
-        # The list is read directly meanwhile: the endpoint leaves.
+        # Without the core, the gateway reads the list itself, in which the endpoint
+        # leaves.
         fleet.platform.instances[0]["state"] = "draining"
         took_s = wait_for(
             lambda: fleet.send_request(self.gateway) == 503, "left alone", 8.0
@@ -174,8 +175,8 @@
         fleet.processes[self.gateway].kill()
         fleet.start_gateway(self.gateway)
         with self.connected() as connection:
-            # The rest of the program is still being loaded; without that, the
-            # callers' address and this one are opened within a millisecond.
+            # The rest of the program is still being loaded. Otherwise this address
+            # would open within a millisecond of the callers' address.
             time.sleep(0.03)
             status, _ = fleet.call(self.gateway, "GET", READY, port=READY_PORT)
             self.assertEqual(0, status)
@@ -184,22 +185,22 @@
             )
 
     def connected(self) -> socket.socket:
-        """A connection to the gateway, the moment that it takes one."""
+        """Returns a connection to the gateway as soon as it accepts one."""
         address = (self.gateway, FRONT_PORT)
         while True:
             with contextlib.suppress(ConnectionRefusedError):
                 return socket.create_connection(address, 5.0)
 
     def test_new_seeds_without_a_signal(self) -> None:
-        """All that the gateway knew are gone; the file names others."""
+        """All seeds known to the gateway are gone, and the file names new ones."""
         fleet = self.fleet
         fleet.replace_until_accepted(3)
         wait_for(self.ready, "gateway ready")
         fleet.processes[self.gateway].kill()
         fleet.seeds = [f"{fleet.net}.77"]
         fleet.start_gateway(self.gateway)
-        # It must have read the file before the file changes; the log is that of
-        # its first life too.
+        # The file may change only after the process has read it. The log also
+        # contains the lines of the process's first incarnation.
         process = fleet.processes[self.gateway]
         started = "event=daemon_started"
         wait_for(lambda: process.log.count(started) == 2, "started with old seeds")
@@ -219,7 +220,7 @@
         time.sleep(0.3)
         self.assertFalse(self.ready())
         self.assertEqual(200, fleet.send_request(self.gateway))
-        # New seeds are announced while it stops.
+        # Signals to read new seeds arrive while the process stops.
         for _ in range(20):
             process.signal(signal.SIGHUP)
             time.sleep(0.01)
--- a/tests/test_malformed_input.py
+++ b/tests/test_malformed_input.py
@@ -1,9 +1,9 @@
-"""What other writers may put into the platform's list and into what endpoints say:
-an entry that cannot be read names no endpoint, and the others hold.
+"""Tests of invalid entries in the platform's list and of invalid values from endpoints:
+an unreadable entry names no endpoint, and the other entries stay valid.
 
-On the code before, one such entry made the whole list unreadable (an unknown type, a
-missing field, bytes that are no UTF-8), an unknown state counted as leaving, and JSON
-nested some thousand times ended the process of a core VM.
+Guards against three faults: one such entry (an unknown type, a missing field, invalid
+UTF-8) made the whole list unreadable, an unknown state counted as leaving, and JSON
+nested some thousand levels deep ended the process of a core VM.
 """
 
 import asyncio
@@ -98,14 +98,14 @@
     )
 
     def test_other_entries_stay_valid(self) -> None:
-        for foreign in self.INVALID:
-            read = decode_page(page(entry("i-0"), foreign, entry("i-2")))
+        for invalid in self.INVALID:
+            read = decode_page(page(entry("i-0"), invalid, entry("i-2")))
             names = [endpoint.instance for endpoint in read.endpoints]
-            self.assertEqual(["i-0", "i-2"], names, str(foreign[:80]))
+            self.assertEqual(["i-0", "i-2"], names, str(invalid[:80]))
             self.assertEqual(1, sum(read.left_out.values()))
 
     def test_the_number_of_reasons_is_bounded(self) -> None:
-        """Positions within an entry make no new reason, which would be logged."""
+        """Reasons contain no positions, as each new reason is logged."""
         broken = [b'{"id":"' + b"i" * n + b'",}' for n in range(1, 60)]
         broken += [entry(slots=-n) for n in range(1, 60)]
         left_out = decode_page(page(*broken)).left_out
@@ -120,8 +120,8 @@
         self.assertEqual((), decode_page(b'{ "instances" : [ ] }').endpoints)
 
     def test_delimiters_within_strings(self) -> None:
-        odd = entry("i-0", zone='a"]},')
-        read = decode_page(page(odd, entry("i-2", zone="a\\]")))
+        unusual = entry("i-0", zone='a"]},')
+        read = decode_page(page(unusual, entry("i-2", zone="a\\]")))
         self.assertEqual(2, len(read.endpoints) + sum(read.left_out.values()))
         self.assertEqual("i-2", read.endpoints[-1].instance)
 
@@ -148,23 +148,23 @@
     @given(st.binary(max_size=200), st.integers(min_value=0, max_value=400))
     def test_bytes_anywhere(self, noise: bytes, at: int) -> None:
         body = page(entry("i-0"), entry("i-2"))
-        # The one way to say so; any other error fails the test.
+        # This error is the only one allowed; any other fails the test.
         with contextlib.suppress(JsonUnreadable):
             decode_page(body[:at] + noise + body[at:])
 
     def test_time_and_size_stay_bounded(self) -> None:
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         for body in (DEEP, b'{"instances":[' + b"," * 500_000 + b"]}", b'"' * 10**6):
             try:
                 decode_page(body)
             except JsonUnreadable:
                 continue
-        self.assertTrue(time.monotonic() - begun_s < 5.0)
+        self.assertTrue(time.monotonic() - started_s < 5.0)
 
 
 class ListReaderTest(testtools.TestCase):
     def read(self, *bodies: bytes) -> tuple[list[str], int]:
-        """The ids that a reader finds on these pages, and what it left out."""
+        """Returns the ids that a reader finds on these pages, and its skipped count."""
 
         async def run() -> tuple[list[str], int]:
             scripts = [stub_server.answer_with(body) for body in bodies]
@@ -188,7 +188,7 @@
 
 
 class HeaderNumbersTest(testtools.TestCase):
-    """What endpoints and callers say in headers and of their memory."""
+    """Values that endpoints and callers send in headers, and engines' caches."""
 
     NUMBERS = ("nan", "inf", "-inf", "1e999", "²", "9" * 5000, "-5", "", "x")
 
@@ -246,6 +246,6 @@
     @given(st.binary(max_size=50), st.integers(min_value=0, max_value=2000))
     def test_bytes_anywhere(self, noise: bytes, at: int) -> None:
         body = stub_server.encode_document(stub_server.document())
-        # The one way to say so; any other error fails the test.
+        # This error is the only one allowed; any other fails the test.
         with contextlib.suppress(DocumentError):
             decode_catalog(body[:at] + noise + body[at:])
--- a/tests/test_prefix_caches.py
+++ b/tests/test_prefix_caches.py
@@ -1,4 +1,4 @@
-"""Tests of how a new leader learns what engines keep, from stand-ins of them."""
+"""Tests of how a new leader reads prefix caches, with stub engines."""
 
 import asyncio
 import json
@@ -29,11 +29,11 @@
                 Endpoint(f"i-{n}", "app", e.address, "h", "v1", 8, False)
                 for n, e in enumerate(engines)
             )
-            reads = await read_prefix_caches(listed)
+            prefills = await read_prefix_caches(listed)
             self.seen = [engine.requests for engine in engines]
             for engine in engines:
                 engine.stop()
-            return reads
+            return prefills
 
         return asyncio.run(run())
 
@@ -44,26 +44,26 @@
             ["", "cc", 4000, "large"],
             ["", "short", PART_TOKENS_MIN - 1, "large"],
         ]
-        reads = self.read(answer_with_cache(held), answer_with_cache([]))
+        prefills = self.read(answer_with_cache(held), answer_with_cache([]))
         expected = {
             PromptRead("i-0", "large", (("aa", 9000), ("cc", 4000))),
             PromptRead("i-0", "small", (("bb", 3000),)),
         }
-        self.assertEqual(expected, set(reads))
+        self.assertEqual(expected, set(prefills))
         headers = self.seen[0][0].headers
         self.assertEqual("i-0", headers["x-expect-instance"])
 
     def test_failing_engines_are_skipped(self) -> None:
-        """One hangs, one refuses, one tells nonsense: the others count."""
+        """One engine hangs, one refuses, one returns invalid JSON and one answers."""
         refused = answer_with(b"", 421)
-        good = answer_with_cache([["", "aa", 9000, "large"]])
-        reads = self.read(hang, refused, answer_with(b"{"), good)
-        self.assertEqual((PromptRead("i-3", "large", (("aa", 9000),)),), reads)
+        healthy = answer_with_cache([["", "aa", 9000, "large"]])
+        prefills = self.read(hang, refused, answer_with(b"{"), healthy)
+        self.assertEqual((PromptRead("i-3", "large", (("aa", 9000),)),), prefills)
 
     def test_the_longest_prefixes_are_taken_up_to_a_limit(self) -> None:
         held: HeldParts = [
             ["", f"p{n}", 1000 + n, "large"] for n in range(2 * PARTS_MAX)
         ]
-        (read,) = self.read(answer_with_cache(held))
-        self.assertEqual(PARTS_MAX, len(read.parts))
-        self.assertEqual(1000 + 2 * PARTS_MAX - 1, read.parts[0][1])
+        (prefill,) = self.read(answer_with_cache(held))
+        self.assertEqual(PARTS_MAX, len(prefill.parts))
+        self.assertEqual(1000 + 2 * PARTS_MAX - 1, prefill.parts[0][1])
--- a/tests/test_soft_state.py
+++ b/tests/test_soft_state.py
@@ -1,4 +1,4 @@
-"""Tests of what core VMs pass on besides the log."""
+"""Tests of the soft state that core VMs exchange."""
 
 import testtools
 
@@ -51,80 +51,80 @@
         return state.build_reply(sent, True, (), FleetState())
 
     def sync_follower(self) -> None:
-        """One question of the follower to the leader, and its answer."""
-        asked = request(
+        """Syncs the follower with the leader once."""
+        sent = request(
             *self.follower.live_gateways(),
             prefills=self.follower.take_prefills(),
             prefills_known=self.follower.prefills.position,
             gateways_known=gateways_digest(self.follower.gateways),
         )
-        self.leader.apply_request(asked)
+        self.leader.apply_request(sent)
         self.leader.apply_leader_state(3, EndpointList(), 0.0, 0.0)
-        self.follower.apply_reply(
-            self.leader.build_reply(asked, True, (), FleetState())
-        )
+        self.follower.apply_reply(self.leader.build_reply(sent, True, (), FleetState()))
 
     def test_prefills_reach_the_gateways_of_all_core_vms(self) -> None:
         self.sync(self.follower, request(ONE, prefills=(PREFILL,)))
         self.sync_follower()
-        for spread in (self.leader, self.follower):
-            told = self.sync(spread, request(TWO))
-            self.assertEqual((PREFILL,), told.prefills)
-            self.assertEqual((3, 1), told.prefills_known)
-            again = self.sync(spread, request(TWO, prefills_known=told.prefills_known))
-            self.assertEqual((), again.prefills)
+        for state in (self.leader, self.follower):
+            reply = self.sync(state, request(TWO))
+            self.assertEqual((PREFILL,), reply.prefills)
+            self.assertEqual((3, 1), reply.prefills_known)
+            second_reply = self.sync(
+                state, request(TWO, prefills_known=reply.prefills_known)
+            )
+            self.assertEqual((), second_reply.prefills)
 
     def test_halls_of_core_vms_reach_all(self) -> None:
-        """The leader hears of a hall from its VM, the others from the leader."""
-        far = CoreVm("10.0.2.1:7000", "hall-2")
+        """The leader gets a hall from its VM, the others get it from the leader."""
+        remote = CoreVm("10.0.2.1:7000", "hall-2")
         self.leader.apply_request(
-            SyncRequest("core-2", (), 0, (0, 0), 0, 0.0, core=far)
+            SyncRequest("core-2", (), 0, (0, 0), 0, 0.0, core=remote)
         )
-        addresses = (CORE.address, far.address, "10.0.3.1:7000")
-        known = (CORE, far, CoreVm("10.0.3.1:7000"))
-        told = self.leader.core_vms(addresses)
-        self.assertEqual(known, told)
-        self.follower.apply_reply(SyncReply(True, members=told))
-        self.assertEqual(known, self.follower.core_vms(addresses))
+        addresses = (CORE.address, remote.address, "10.0.3.1:7000")
+        expected = (CORE, remote, CoreVm("10.0.3.1:7000"))
+        core_vms = self.leader.core_vms(addresses)
+        self.assertEqual(expected, core_vms)
+        self.follower.apply_reply(SyncReply(True, members=core_vms))
+        self.assertEqual(expected, self.follower.core_vms(addresses))
 
     def test_gateways_are_sent_when_they_change(self) -> None:
         self.sync(self.follower, request(ONE))
         self.sync(self.leader, request(TWO))
         self.sync_follower()
-        for spread in (self.leader, self.follower):
-            told = self.sync(spread, request(ONE))
-            self.assertEqual((ONE, TWO), told.gateways)
-            known = gateways_digest((ONE, TWO))
-            again = self.sync(spread, request(ONE, gateways_known=known))
-            self.assertIsNone(again.gateways)
+        for state in (self.leader, self.follower):
+            reply = self.sync(state, request(ONE))
+            self.assertEqual((ONE, TWO), reply.gateways)
+            digest = gateways_digest((ONE, TWO))
+            second_reply = self.sync(state, request(ONE, gateways_known=digest))
+            self.assertIsNone(second_reply.gateways)
 
     def test_a_core_vm_that_has_just_started_removes_no_gateways(self) -> None:
-        """All core VMs were killed: some gateways have not asked the new leader yet.
+        """All core VMs were killed, and some gateways have not synced again yet.
 
-        Who knows no gateway gets what is known so far.
+        A gateway that knows no others gets the list that is known so far.
         """
         everyone = gateways_digest((ONE, TWO))
         self.sync(self.leader, request(ONE, gateways_known=everyone))
         self.leader.apply_leader_state(3, EndpointList(), 0.0, 0.0)
-        told = self.sync(self.leader, request(ONE, gateways_known=everyone))
-        self.assertIsNone(told.gateways)
-        told = self.sync(self.leader, request(ONE))
-        self.assertEqual((ONE,), told.gateways)
+        reply = self.sync(self.leader, request(ONE, gateways_known=everyone))
+        self.assertIsNone(reply.gateways)
+        reply = self.sync(self.leader, request(ONE))
+        self.assertEqual((ONE,), reply.gateways)
         self.leader._started_ms -= GATEWAYS_SETTLE_MS
-        told = self.sync(self.leader, request(ONE, gateways_known=everyone))
-        self.assertEqual((ONE,), told.gateways)
+        reply = self.sync(self.leader, request(ONE, gateways_known=everyone))
+        self.assertEqual((ONE,), reply.gateways)
 
     def test_moved_sessions_reach_the_leader(self) -> None:
         moved = SessionMarks("app", (), (7,))
-        for spread in (self.follower, self.leader):
-            self.assertFalse(spread.urgent.is_set())
-            asked = request(ONE, sessions=(moved,))
-            spread.apply_request(asked)
-            self.assertTrue(spread.urgent.is_set())
-            self.assertEqual((moved,), spread.recent_sessions())
-            spread.urgent.clear()
-            spread.apply_request(asked)
-            self.assertFalse(spread.urgent.is_set())
+        for state in (self.follower, self.leader):
+            self.assertFalse(state.urgent.is_set())
+            sent = request(ONE, sessions=(moved,))
+            state.apply_request(sent)
+            self.assertTrue(state.urgent.is_set())
+            self.assertEqual((moved,), state.recent_sessions())
+            state.urgent.clear()
+            state.apply_request(sent)
+            self.assertFalse(state.urgent.is_set())
 
     def test_prefills_without_a_leader_are_bounded(self) -> None:
         for _ in range(3):
