--- a/ashlatch/fleet/daemon.py
+++ b/ashlatch/fleet/daemon.py
@@ -313,7 +313,7 @@
         self._rollout_controller.set_sessions(self._soft_state.recent_sessions())
         rollouts = self._current_rollouts()
         plain = self._plain_services() if rollouts else frozenset()
-        for move in self._rollout_controller.due_updates(
+        for update in self._rollout_controller.due_updates(
             rollouts,
             self._soft_state.endpoints,
             monotonic_ms(),
@@ -321,10 +321,12 @@
             self._soft_state.endpoints_age_ms,
         ):
             try:
-                await self._commands.commit_local(move)
+                await self._commands.commit_local(update)
             except NoQuorum as error:
                 emit(
-                    log, RolloutUpdateLost(move.service, error.detail), logging.WARNING
+                    log,
+                    RolloutUpdateLost(update.service, error.detail),
+                    logging.WARNING,
                 )
 
     async def _commit_crashes(self) -> None:
@@ -380,8 +382,8 @@
     def _remove_unresponsive(self, status: GroupStatus, now_ms: float) -> None:
         found = find_unresponsive_member(status, self.settings.losses_max, now_ms)
         if found is not None:
-            member, silent_ms = found
-            emit(log, MemberRemoved(member.member_id, int(silent_ms)))
+            member, unresponsive_ms = found
+            emit(log, MemberRemoved(member.member_id, int(unresponsive_ms)))
             self.group.post(RemoveMember(member.member_id))
 
     # State of this VM and of others.
@@ -410,7 +412,7 @@
         self._logged_status = current_status
         # A new leader reads the list at once because starting gateways wait for it.
         self._leader_wakeup.set()
-        changed = GroupStatusChanged(
+        event = GroupStatusChanged(
             self.member.member_id,
             status.term,
             status.leading,
@@ -418,4 +420,4 @@
             len(members.voters),
             len(members.learners),
         )
-        emit(log, changed)
+        emit(log, event)
--- a/ashlatch/fleet/evaluation.py
+++ b/ashlatch/fleet/evaluation.py
@@ -61,9 +61,9 @@
 # needs this many of its own to define late answers, which begin at 3.4 times the
 # route's median.
 POOLED_TIMED_ANSWERS_MIN = 8
-# Late regressions are detected in the new version's answers of the first of these
-# windows only. The other version's times are taken from the first window that has
-# enough.
+# Regressions that appear late in a roll-out are detected in the new version's answers
+# of the first of these windows only. The other version's times are taken from the first
+# window that has enough.
 WINDOWS_MS = (4000.0, 8000.0, 16_000.0)
 
 Counts = dict[TallyKey, Tally]
--- a/ashlatch/fleet/exposure.py
+++ b/ashlatch/fleet/exposure.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 
 __all__ = [
+    "FULL_SHIFT_START",
     "SETTLE_START",
     "SHIFT_START",
-    "FULL_SHIFT_START",
     "ExposurePlan",
     "plan_exposure",
 ]
--- a/ashlatch/fleet/leader.py
+++ b/ashlatch/fleet/leader.py
@@ -88,30 +88,30 @@
 
 
 def _lists_match(
-    known: tuple[Endpoint, ...], listed: tuple[Endpoint, ...], age_ms: float
+    previous: tuple[Endpoint, ...], listed: tuple[Endpoint, ...], age_ms: float
 ) -> bool:
     """Checks whether a list equals one that was read `age_ms` before.
 
     The remaining cold time of an endpoint decreases by itself. If each decrease counted
     as a change, the whole list would be sent to all gateways every second.
     """
-    if len(known) != len(listed):
+    if len(previous) != len(listed):
         return False
     return all(
-        _endpoints_match(a, b, age_ms) for a, b in zip(known, listed, strict=True)
+        _endpoints_match(a, b, age_ms) for a, b in zip(previous, listed, strict=True)
     )
 
 
-def _endpoints_match(known: Endpoint, listed: Endpoint, age_ms: float) -> bool:
-    if known == listed:
+def _endpoints_match(previous: Endpoint, listed: Endpoint, age_ms: float) -> bool:
+    if previous == listed:
         # The remaining cold time has not decreased: the endpoint stays cold for longer
         # than was known before.
         return listed.cold_left_ms == 0.0 or age_ms < COLD_TOLERANCE_MS
-    left_ms = max(0.0, known.cold_left_ms - age_ms)
+    left_ms = max(0.0, previous.cold_left_ms - age_ms)
     if abs(left_ms - listed.cold_left_ms) > COLD_TOLERANCE_MS:
         return False
     cold_left_ms = listed.cold_left_ms
-    return msgspec.structs.replace(known, cold_left_ms=cold_left_ms) == listed
+    return msgspec.structs.replace(previous, cold_left_ms=cold_left_ms) == listed
 
 
 @dataclass
@@ -201,9 +201,9 @@
                 self._evidence.pop(rollout.service, None)
                 continue
             ready = self._has_ready_endpoint(rollout, listed, listed_age_ms, now_ms)
-            move = self._due_update(rollout, ready, now_ms, rollout.service in plain)
-            if move is not None:
-                yield move
+            update = self._due_update(rollout, ready, now_ms, rollout.service in plain)
+            if update is not None:
+                yield update
 
     def _has_ready_endpoint(
         self,
@@ -240,9 +240,9 @@
             rollout, elapsed_ms, evidence, now_ms, ready, plain, self.plan
         )
         changed = (decision.stage, decision.share) != (rollout.stage, rollout.share)
-        nothing = SessionMarks(rollout.service, ())
-        reported = self._sessions.get((rollout.service, ""), nothing)
-        begun = self._sessions.get((rollout.service, rollout.version), nothing)
+        no_sessions = SessionMarks(rollout.service, ())
+        reported = self._sessions.get((rollout.service, ""), no_sessions)
+        begun = self._sessions.get((rollout.service, rollout.version), no_sessions)
         moved = _moved_sessions(rollout, decision, reported, begun)
         due = elapsed_ms - rollout.elapsed_ms >= CHECKPOINT_INTERVAL_MS
         if not changed and not due and moved == rollout.moved:
--- a/ashlatch/fleet/machine.py
+++ b/ashlatch/fleet/machine.py
@@ -24,11 +24,11 @@
     "Conflict",
     "FleetMachine",
     "FleetState",
-    "UpdateRollout",
-    "RecordCrashes",
     "Outcome",
+    "RecordCrashes",
     "ReplaceDocument",
     "SetEvacuation",
+    "UpdateRollout",
 ]
 
 _HANDLERS = Handlers("fleet")
@@ -156,8 +156,8 @@
 
 @_HANDLERS.on(BeginRollout)
 def _begin_rollout(state: FleetState, command: BeginRollout) -> Outcome:
-    known = state.rollouts.get(command.service)
-    if known is not None and known.version == command.version:
+    current = state.rollouts.get(command.service)
+    if current is not None and current.version == command.version:
         return Accepted(changed=False)
     state.number += 1
     state.rollouts[command.service] = Rollout(
@@ -173,14 +173,14 @@
 
 @_HANDLERS.on(UpdateRollout)
 def _update_rollout(state: FleetState, command: UpdateRollout) -> Outcome:
-    known = state.rollouts.get(command.service)
-    if known is None or known.number != command.after_number:
+    current = state.rollouts.get(command.service)
+    if current is None or current.number != command.after_number:
         return Accepted(changed=False)
-    if known.stage in FINAL_STAGES:
+    if current.stage in FINAL_STAGES:
         return Accepted(changed=False)
     state.number += 1
     state.rollouts[command.service] = msgspec.structs.replace(
-        known,
+        current,
         stage=command.stage,
         share=command.share,
         number=state.number,
@@ -198,12 +198,12 @@
 
 @_HANDLERS.on(SetEvacuation)
 def _set_evacuation(state: FleetState, command: SetEvacuation) -> Outcome:
-    known = state.evacuations
-    if (command.hall in known.halls) is command.evacuated:
+    current = state.evacuations
+    if (command.hall in current.halls) is command.evacuated:
         return Accepted(changed=False)
-    number = known.number + 1
-    halls = set(known.halls)
-    returned = dict(known.returned)
+    number = current.number + 1
+    halls = set(current.halls)
+    returned = dict(current.returned)
     if command.evacuated:
         halls.add(command.hall)
     else:
--- a/ashlatch/fleet/membership.py
+++ b/ashlatch/fleet/membership.py
@@ -17,7 +17,7 @@
 from ashlatch.raft.group import GroupStatus
 from ashlatch.raft.message import Member
 
-__all__ = ["has_enough_voters", "join_group", "find_unresponsive_member"]
+__all__ = ["find_unresponsive_member", "has_enough_voters", "join_group"]
 
 # How often a VM that is no member or knows no leader tries to join.
 JOIN_RETRY_S = 0.25
@@ -97,18 +97,18 @@
 async def _send_join_requests(
     local: Member, addresses: tuple[str, ...], peers: PeerConnections
 ) -> None:
-    asked: set[str] = set()
+    tried: set[str] = set()
     pending = [address for address in addresses if address != local.address]
     while pending:
         address = pending.pop(0)
-        asked.add(address)
+        tried.add(address)
         reply = await _send_join_request(local, address, peers)
         if reply is None:
             continue
         if reply.known:
             return
         leader = reply.leader_address
-        if leader and leader not in asked and leader != local.address:
+        if leader and leader not in tried and leader != local.address:
             pending.insert(0, leader)
 
 
--- a/ashlatch/fleet/protocol.py
+++ b/ashlatch/fleet/protocol.py
@@ -28,14 +28,14 @@
 from ashlatch.raft.message import Member
 
 __all__ = [
-    "JOIN",
     "COMMAND",
+    "JOIN",
     "READ",
     "SYNC",
-    "JoinReply",
-    "JoinRequest",
     "CommandReply",
     "CommandRequest",
+    "JoinReply",
+    "JoinRequest",
     "ReadReply",
     "ReadRequest",
     "SyncReply",
