--- a/ashlatch/gateway/attempt.py
+++ b/ashlatch/gateway/attempt.py
@@ -20,8 +20,8 @@
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Forecast
 from ashlatch.gateway.message import AnswerHead, Ask, Dispatch, LoadFigures
-from ashlatch.gateway.patience import CONNECT_MAX_S, Patience
 from ashlatch.gateway.pool import ConnectionPool
+from ashlatch.gateway.timeouts import CONNECT_MAX_S, Patience
 from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
 from ashlatch.platform.headers import decode_answer, endpoint_headers
 
--- a/ashlatch/gateway/chooser.py
+++ b/ashlatch/gateway/chooser.py
@@ -18,7 +18,7 @@
 from ashlatch.gateway.forecast import Send
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import RefusalReason
-from ashlatch.gateway.returns import find_return
+from ashlatch.gateway.retry_time import find_return
 from ashlatch.gateway.versions import AllowedEndpoints
 from ashlatch.policy.permission import Barrier
 
--- a/ashlatch/gateway/crash.py
+++ b/ashlatch/gateway/crash_detector.py
@@ -1,6 +1,6 @@
 """
-ashlatch.gateway.crash
-~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.gateway.crash_detector
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
 Tells the end of an endpoint's process from a connection that was cut, and holds it
 against the requests that were running there.
@@ -15,8 +15,8 @@
 
 from ashlatch.clock import unix_ms
 from ashlatch.gateway.attempt import AttemptFailed, FailureKind
-from ashlatch.gateway.content import digest_text
 from ashlatch.gateway.directory import EndpointState
+from ashlatch.gateway.fingerprint import digest_text
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.logs import (
     ContentHeld,
--- a/ashlatch/gateway/exchange.py
+++ b/ashlatch/gateway/exchange.py
@@ -13,7 +13,6 @@
 from dataclasses import dataclass
 
 from ashlatch.catalog import Repeat
-from ashlatch.gateway.account import Account
 from ashlatch.gateway.admission import (
     RETRY_AFTER_S,
     Admission,
@@ -30,11 +29,12 @@
     larger_models,
 )
 from ashlatch.gateway.chooser import RequestChooser
-from ashlatch.gateway.crash import CrashFinder
+from ashlatch.gateway.crash_detector import CrashFinder
 from ashlatch.gateway.events import EventSplitter, StreamEvent
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import AnswerHead, Dispatch, RefusalReason
-from ashlatch.gateway.patience import (
+from ashlatch.gateway.request_record import Account
+from ashlatch.gateway.timeouts import (
     Patience,
     answer_patience,
     connect_patience_s,
--- a/ashlatch/gateway/content.py
+++ b/ashlatch/gateway/fingerprint.py
@@ -1,6 +1,6 @@
 """
-ashlatch.gateway.content
-~~~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.gateway.fingerprint
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
 Tells equal requests apart from others. Each try of a caller has an id of its own
 and may come to any gateway; what it asks for stays the same.
--- a/ashlatch/gateway/hearing.py
+++ b/ashlatch/gateway/hearing.py
@@ -12,7 +12,7 @@
 import logging
 from dataclasses import dataclass
 
-from ashlatch.gateway.crash import learn_crashes
+from ashlatch.gateway.crash_detector import learn_crashes
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.limits import apply_peer_limit, apply_peer_send
 from ashlatch.gateway.logs import (
--- a/ashlatch/gateway/knowledge.py
+++ b/ashlatch/gateway/knowledge.py
@@ -18,8 +18,8 @@
 from ashlatch.gateway.cold import ColdGate
 from ashlatch.gateway.directory import Directory, EndpointState
 from ashlatch.gateway.kept import KeptParts
+from ashlatch.gateway.latency_model import Pace
 from ashlatch.gateway.news import PeerNews
-from ashlatch.gateway.pace import Pace
 from ashlatch.gateway.pool import ConnectionPool
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.tally import Tallies
--- a/ashlatch/gateway/pace.py
+++ b/ashlatch/gateway/latency_model.py
@@ -1,6 +1,6 @@
 """
-ashlatch.gateway.pace
-~~~~~~~~~~~~~~~~~~~~~
+ashlatch.gateway.latency_model
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
 How long answers take to begin at present, by service and model: the time to
 read a token, and what comes on top of what was foreseen. It tells which engine
--- a/ashlatch/gateway/account.py
+++ b/ashlatch/gateway/request_record.py
@@ -1,6 +1,6 @@
 """
-ashlatch.gateway.account
-~~~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.gateway.request_record
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
 What is counted and logged of one request: its sends, how they end, and its
 final answer. The exchange decides; this only takes note.
@@ -16,9 +16,9 @@
 from ashlatch.gateway.admission import Admission
 from ashlatch.gateway.attempt import Attempt, AttemptFailed, FailureKind
 from ashlatch.gateway.choice import Choice, Verdict
-from ashlatch.gateway.content import digest_text
-from ashlatch.gateway.crash import note_refusal
+from ashlatch.gateway.crash_detector import note_refusal
 from ashlatch.gateway.directory import EndpointState
+from ashlatch.gateway.fingerprint import digest_text
 from ashlatch.gateway.forecast import Forecast
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.limits import LimitReport, apply_answer_limit, record_limited_send
@@ -37,7 +37,7 @@
 )
 from ashlatch.gateway.notices import apply_notice
 from ashlatch.gateway.reports import pass_on_load
-from ashlatch.gateway.session_news import announce_session
+from ashlatch.gateway.session_updates import announce_session
 from ashlatch.gateway.tally import TallyKey
 from ashlatch.gateway.traffic import TrafficKind
 from ashlatch.http.upstream import CONNECT_REFUSED
--- a/ashlatch/gateway/returns.py
+++ b/ashlatch/gateway/retry_time.py
@@ -1,6 +1,6 @@
 """
-ashlatch.gateway.returns
-~~~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.gateway.retry_time
+~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
 When a caller may come back whose request can be sent to no endpoint now.
 
--- a/ashlatch/gateway/session_news.py
+++ b/ashlatch/gateway/session_updates.py
@@ -1,6 +1,6 @@
 """
-ashlatch.gateway.session_news
-~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.gateway.session_updates
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
 What the other gateways have to hear of a session as one of its requests is sent, so
 that its next request, which may come by any of them, runs on the same version.
--- a/ashlatch/gateway/patience.py
+++ b/ashlatch/gateway/timeouts.py
@@ -1,5 +1,5 @@
 """
-ashlatch.gateway.patience
+ashlatch.gateway.timeouts
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
 How long an endpoint may be silent before its request is sent elsewhere.
--- a/tests/limit_play.py
+++ b/tests/limit_play.py
@@ -29,7 +29,7 @@
 )
 from ashlatch.gateway.message import Ask
 from ashlatch.gateway.peers import GatewayPeers
-from ashlatch.gateway.returns import find_return
+from ashlatch.gateway.retry_time import find_return
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import AllowedEndpoints, VersionChooser, VersionReason
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -416,14 +416,14 @@
     ),
     Mutant(
         "any-broken-connection-is-a-crash",
-        "ashlatch/gateway/crash.py",
+        "ashlatch/gateway/crash_detector.py",
         "        connection.abort()\n        return False\n",
         "        connection.abort()\n        return True\n",
         CRASHING,
     ),
     Mutant(
         "good-run-clears-nothing",
-        "ashlatch/gateway/crash.py",
+        "ashlatch/gateway/crash_detector.py",
         "        if self._known.quarantine.survived(content):\n",
         "        if False:\n",
         CRASHING,
@@ -682,7 +682,7 @@
     ),
     Mutant(
         "all-told-the-same-moment",
-        "ashlatch/gateway/returns.py",
+        "ashlatch/gateway/retry_time.py",
         "min(returns_ms + step_ms, now_ms + RETURN_MAX_MS)",
         "opens_ms",
         LIMITS,
@@ -829,7 +829,7 @@
     ),
     Mutant(
         "return-without-the-backoff",
-        "ashlatch/gateway/returns.py",
+        "ashlatch/gateway/retry_time.py",
         "_TIMED = frozenset({Barrier.BACKOFF, Barrier.LIMITED})",
         "_TIMED = frozenset({Barrier.LIMITED})",
         BACKOFF,
@@ -871,14 +871,14 @@
     ),
     Mutant(
         "running-sessions-untold",
-        "ashlatch/gateway/session_news.py",
+        "ashlatch/gateway/session_updates.py",
         "known.tell(SessionRuns(service, awaited, mark))",
         "pass",
         TRIAL_BEGINS,
     ),
     Mutant(
         "running-sessions-told-once",
-        "ashlatch/gateway/session_news.py",
+        "ashlatch/gateway/session_updates.py",
         "COPIES = 2",
         "COPIES = 1",
         TRIAL_BEGINS,
--- a/tests/session_play.py
+++ b/tests/session_play.py
@@ -19,7 +19,7 @@
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.news import HallNews, PeerNews
 from ashlatch.gateway.peers import GatewayPeers
-from ashlatch.gateway.session_news import announce_session
+from ashlatch.gateway.session_updates import announce_session
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -8,7 +8,7 @@
 from ashlatch.gateway.budget import BudgetTerms, RepeatBudget
 from ashlatch.gateway.directory import REPLACED_MS, EndpointState
 from ashlatch.gateway.events import EventSplitter
-from ashlatch.gateway.pace import Pace
+from ashlatch.gateway.latency_model import Pace
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions, session_mark
 from ashlatch.gateway.versions import VersionChooser, VersionReason
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -29,7 +29,7 @@
 
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.clock import unix_ms
-from ashlatch.gateway.content import content_digest
+from ashlatch.gateway.fingerprint import content_digest
 from ashlatch.http.connection import HttpRequest
 from ashlatch.platform.headers import decode_ask
 from ashlatch.policy.quarantine import HOLD_MS
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -9,8 +9,8 @@
 from ashlatch.gateway.choice import Choice, choose_endpoint, engine_urgency
 from ashlatch.gateway.forecast import Forecast, Send
 from ashlatch.gateway.knowledge import Knowledge
+from ashlatch.gateway.latency_model import Pace
 from ashlatch.gateway.message import Ask, LoadFigures, PromptPart
-from ashlatch.gateway.pace import Pace
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import AllowedEndpoints, VersionChooser, VersionReason
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -18,7 +18,7 @@
 from ashlatch.codec import encode
 from ashlatch.fleet.protocol import SyncReply
 from ashlatch.gateway.corenews import CoreNews
-from ashlatch.gateway.crash import note_refusal
+from ashlatch.gateway.crash_detector import note_refusal
 from ashlatch.gateway.directory import Directory, EndpointState
 from ashlatch.gateway.kept import PromptRead
 from ashlatch.gateway.knowledge import Knowledge
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -12,7 +12,7 @@
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncRequest
 from ashlatch.fleet.spread import Spread
-from ashlatch.gateway.pace import TOKEN_MS_PRIOR, UNTOLD_MAX, Pace
+from ashlatch.gateway.latency_model import TOKEN_MS_PRIOR, UNTOLD_MAX, Pace
 from ashlatch.policy.reading import RATES_KEPT, ReadingRate, ReadingRates
 
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -53,7 +53,7 @@
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.news import PeerNews, SessionMoved
 from ashlatch.gateway.peers import GatewayPeers
-from ashlatch.gateway.session_news import announce_session
+from ashlatch.gateway.session_updates import announce_session
 from ashlatch.gateway.sessions import (
     MARKS,
     MOVABLE_SHARE,
