--- a/ashlatch/gateway/admission.py
+++ b/ashlatch/gateway/admission.py
@@ -12,9 +12,10 @@
 import logging
 from dataclasses import dataclass
 
+from ashlatch.gateway.fingerprint import content_digest, digest_text
+
 from ashlatch.catalog import Organisation, Route, Service
 from ashlatch.clock import unix_ms
-from ashlatch.gateway.content import content_digest, digest_text
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.logs import RequestHeld
 from ashlatch.gateway.message import Ask, RefusalReason
@@ -22,7 +23,15 @@
 from ashlatch.log import emit
 from ashlatch.platform.headers import refusal_headers
 
-__all__ = ["RETRY_AFTER_S", "Admission", "Refused", "admit", "quarantined", "refuse"]
+__all__ = [
+    "RETRY_AFTER_S",
+    "Admission",
+    "Refused",
+    "admit",
+    "quarantined",
+    "refuse",
+]
+
 
 log = logging.getLogger("ashlatch.gateway")
 
--- a/ashlatch/gateway/attempt.py
+++ b/ashlatch/gateway/attempt.py
@@ -16,16 +16,22 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
+from ashlatch.gateway.timeouts import CONNECT_MAX_S, Patience
+
 from ashlatch.errors import AshlatchError
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Forecast
 from ashlatch.gateway.message import AnswerHead, Ask, Dispatch, LoadFigures
-from ashlatch.gateway.patience import CONNECT_MAX_S, Patience
 from ashlatch.gateway.pool import ConnectionPool
 from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
 from ashlatch.platform.headers import decode_answer, endpoint_headers
 
-__all__ = ["Attempt", "AttemptFailed", "FailureKind"]
+__all__ = [
+    "Attempt",
+    "AttemptFailed",
+    "FailureKind",
+]
+
 
 R = TypeVar("R")
 
--- a/ashlatch/gateway/chooser.py
+++ b/ashlatch/gateway/chooser.py
@@ -12,17 +12,21 @@
 import asyncio
 from collections.abc import Iterable
 
+from ashlatch.gateway.retry_time import find_return
+
 from ashlatch.gateway.admission import RETRY_AFTER_S, Admission, Refused
 from ashlatch.gateway.choice import Choice, choose_endpoint
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Send
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import RefusalReason
-from ashlatch.gateway.returns import find_return
 from ashlatch.gateway.versions import AllowedEndpoints
 from ashlatch.policy.permission import DenialReason
 
-__all__ = ["RequestChooser"]
+__all__ = [
+    "RequestChooser",
+]
+
 
 # When what is left of a service is in evacuated halls: operators take them back after
 # seconds to hours, and a caller that has seconds should find out once more.
--- a/ashlatch/gateway/corenews.py
+++ b/ashlatch/gateway/corenews.py
@@ -14,10 +14,11 @@
 import logging
 import zlib
 
+from ashlatch.gateway.crash_detector import learn_crashes
+
 from ashlatch.catalog import EndpointList, Evacuations, GatewayVm, Rollout
 from ashlatch.fleet.protocol import SyncReply
 from ashlatch.gateway.cold import warm_up_returned
-from ashlatch.gateway.crash import learn_crashes
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.logs import (
     ConfigurationApplied,
@@ -32,7 +33,10 @@
 from ashlatch.log import emit
 from ashlatch.platform.document import DocumentError, decode_catalog
 
-__all__ = ["CoreNews"]
+__all__ = [
+    "CoreNews",
+]
+
 
 log = logging.getLogger("ashlatch.gateway")
 
--- a/ashlatch/gateway/crash.py
+++ b/ashlatch/gateway/crash_detector.py
@@ -1,6 +1,6 @@
 """
-ashlatch.gateway.crash
-~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.gateway.crash_detector
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
 Tells the end of an endpoint's process from a connection that was cut, and holds it
 against the requests that were running there.
@@ -13,9 +13,10 @@
 import logging
 from collections.abc import Awaitable, Callable
 
+from ashlatch.gateway.fingerprint import digest_text
+
 from ashlatch.clock import unix_ms
 from ashlatch.gateway.attempt import AttemptFailed, FailureKind
-from ashlatch.gateway.content import digest_text
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.logs import (
@@ -29,7 +30,12 @@
 from ashlatch.log import emit
 from ashlatch.policy.quarantine import CrashRecord
 
-__all__ = ["CrashFinder", "learn_crashes", "note_refusal"]
+__all__ = [
+    "CrashFinder",
+    "learn_crashes",
+    "note_refusal",
+]
+
 
 log = logging.getLogger("ashlatch.gateway")
 
--- a/ashlatch/gateway/exchange.py
+++ b/ashlatch/gateway/exchange.py
@@ -12,8 +12,16 @@
 import asyncio
 from dataclasses import dataclass
 
+from ashlatch.gateway.crash_detector import CrashFinder
+from ashlatch.gateway.request_record import Account
+from ashlatch.gateway.timeouts import (
+    Patience,
+    answer_patience,
+    connect_patience_s,
+    event_patience,
+)
+
 from ashlatch.catalog import RepeatPolicy
-from ashlatch.gateway.account import Account
 from ashlatch.gateway.admission import (
     RETRY_AFTER_S,
     Admission,
@@ -30,16 +38,9 @@
     larger_models,
 )
 from ashlatch.gateway.chooser import RequestChooser
-from ashlatch.gateway.crash import CrashFinder
 from ashlatch.gateway.events import EventSplitter, StreamEvent
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import AnswerHead, Dispatch, RefusalReason
-from ashlatch.gateway.patience import (
-    Patience,
-    answer_patience,
-    connect_patience_s,
-    event_patience,
-)
 from ashlatch.http.connection import CallerGone, Headers, Responder
 
 __all__ = [
--- a/ashlatch/gateway/hearing.py
+++ b/ashlatch/gateway/hearing.py
@@ -12,7 +12,9 @@
 import logging
 from dataclasses import dataclass
 
-from ashlatch.gateway.crash import learn_crashes
+from ashlatch.gateway.crash_detector import learn_crashes
+from ashlatch.policy.load_advertisement import load_level
+
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.limits import apply_peer_limit, apply_peer_send
 from ashlatch.gateway.logs import (
@@ -36,10 +38,13 @@
 )
 from ashlatch.gateway.notices import mark_leaving
 from ashlatch.log import emit
-from ashlatch.policy.load_advertisement import load_level
 from ashlatch.registry import Handlers
 
-__all__ = ["HEARD", "Teller"]
+__all__ = [
+    "HEARD",
+    "Teller",
+]
+
 
 log = logging.getLogger("ashlatch.gateway")
 
--- a/ashlatch/gateway/pace.py
+++ b/ashlatch/gateway/latency_model.py
@@ -1,6 +1,6 @@
 """
-ashlatch.gateway.pace
-~~~~~~~~~~~~~~~~~~~~~
+ashlatch.gateway.latency_model
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
 How long answers take to begin at present, by service and model: the time to
 read a token, and what comes on top of what was foreseen. It tells which engine
@@ -16,7 +16,10 @@
 
 from ashlatch.policy.prefill_rate import PrefillRate, PrefillRates
 
-__all__ = ["Pace"]
+__all__ = [
+    "Pace",
+]
+
 
 # Each answer moves the estimate of the wait by this part of the difference.
 GAIN = 0.15
--- a/ashlatch/gateway/account.py
+++ b/ashlatch/gateway/request_record.py
@@ -1,6 +1,6 @@
 """
-ashlatch.gateway.account
-~~~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.gateway.request_record
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
 What is counted and logged of one request: its sends, how they end, and its
 final answer. The exchange decides; this only takes note.
@@ -13,11 +13,13 @@
 import logging
 import math
 
+from ashlatch.gateway.crash_detector import note_refusal
+from ashlatch.gateway.fingerprint import digest_text
+from ashlatch.gateway.session_updates import announce_session
+
 from ashlatch.gateway.admission import Admission
 from ashlatch.gateway.attempt import Attempt, AttemptFailed, FailureKind
 from ashlatch.gateway.choice import Choice, Verdict
-from ashlatch.gateway.content import digest_text
-from ashlatch.gateway.crash import note_refusal
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Forecast
 from ashlatch.gateway.knowledge import Knowledge
@@ -31,20 +33,19 @@
     RequestEnded,
     RequestSent,
 )
-from ashlatch.gateway.news import (
-    EndpointReplaced,
-    PromptSent,
-)
+from ashlatch.gateway.news import EndpointReplaced, PromptSent
 from ashlatch.gateway.notices import apply_notice
 from ashlatch.gateway.reports import pass_on_load
-from ashlatch.gateway.session_news import announce_session
 from ashlatch.gateway.tally import TallyKey
 from ashlatch.gateway.traffic import TrafficKind
 from ashlatch.http.upstream import CONNECT_REFUSED
 from ashlatch.log import emit
 from ashlatch.policy.permission import DenialReason
 
-__all__ = ["Account"]
+__all__ = [
+    "Account",
+]
+
 
 log = logging.getLogger("ashlatch.gateway")
 
--- a/ashlatch/gateway/returns.py
+++ b/ashlatch/gateway/retry_time.py
@@ -1,6 +1,6 @@
 """
-ashlatch.gateway.returns
-~~~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.gateway.retry_time
+~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
 When a caller may come back whose request can be sent to no endpoint now.
 
@@ -18,7 +18,11 @@
 from ashlatch.gateway.permission import send_permission
 from ashlatch.policy.permission import DenialReason
 
-__all__ = ["Return", "find_return"]
+__all__ = [
+    "Return",
+    "find_return",
+]
+
 
 SECOND_MS = 1000.0
 # A caller that waits for longer than this should find out once more.
--- a/ashlatch/gateway/patience.py
+++ b/ashlatch/gateway/timeouts.py
@@ -1,5 +1,5 @@
 """
-ashlatch.gateway.patience
+ashlatch.gateway.timeouts
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
 How long an endpoint may be silent before its request is sent elsewhere.
@@ -21,6 +21,7 @@
     "event_patience",
 ]
 
+
 # A send that may be repeated is given up when nothing has come for this many
 # times the route's target, and for at least the floor.
 SILENCE_RATIO = 1.5
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -3,13 +3,13 @@
 import random
 
 import testtools
+from ashlatch.gateway.latency_model import Pace
 from tests.stub_server import document, encode_document, route
 
 from ashlatch.catalog import Endpoint, Rollout, RolloutStage, SessionMarks
 from ashlatch.gateway.budget import BudgetTerms, RepeatBudget
 from ashlatch.gateway.directory import REPLACED_MS, EndpointState
 from ashlatch.gateway.events import EventSplitter
-from ashlatch.gateway.pace import Pace
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions, session_mark
 from ashlatch.gateway.versions import VersionChooser, VersionReason
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -26,11 +26,11 @@
 from concurrent.futures import ThreadPoolExecutor
 
 import testtools
+from ashlatch.gateway.fingerprint import content_digest
 from tests.stub_server import LAST_CHUNK, ReceivedRequest, StubServer
 
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.clock import unix_ms
-from ashlatch.gateway.content import content_digest
 from ashlatch.http.connection import HttpRequest
 from ashlatch.platform.headers import decode_ask
 from ashlatch.policy.quarantine import QUARANTINE_MS
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -3,6 +3,7 @@
 import random
 
 import testtools
+from ashlatch.gateway.latency_model import Pace
 from tests.stub_server import document, encode_document, engine_service
 
 from ashlatch.catalog import Endpoint, EndpointList
@@ -11,7 +12,6 @@
 from ashlatch.gateway.forecast import Forecast, Send
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import Ask, LoadFigures, PromptPart
-from ashlatch.gateway.pace import Pace
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import AllowedEndpoints, VersionChooser, VersionReason
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -11,6 +11,7 @@
 
 import msgspec
 import testtools
+from ashlatch.gateway.crash_detector import note_refusal
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from tests.stub_server import StubServer, answer_with
@@ -19,7 +20,6 @@
 from ashlatch.codec import encode
 from ashlatch.fleet.protocol import SyncReply
 from ashlatch.gateway.corenews import CoreNews
-from ashlatch.gateway.crash import note_refusal
 from ashlatch.gateway.directory import Directory, EndpointState
 from ashlatch.gateway.kept import PromptRead
 from ashlatch.gateway.knowledge import Knowledge
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -31,6 +31,10 @@
 
 import msgspec
 import testtools
+from ashlatch.fleet.evaluation import Evidence, decide
+from ashlatch.fleet.soft_state import SoftState
+from ashlatch.gateway.session_updates import announce_session
+from tests.stub_server import ReceivedRequest, StubServer
 
 from ashlatch.catalog import (
     CoreVm,
@@ -43,17 +47,14 @@
 from ashlatch.codec import encode
 from ashlatch.explain.lines import Line, read_lines
 from ashlatch.explain.sessions import explain_moves
-from ashlatch.fleet.evaluation import Evidence, decide
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncRequest
-from ashlatch.fleet.soft_state import SoftState
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.hearing import HEARD, Teller
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.news import PeerNews, SessionMoved
 from ashlatch.gateway.peers import GatewayPeers
-from ashlatch.gateway.session_news import announce_session
 from ashlatch.gateway.sessions import (
     MARKS,
     MOVABLE_SHARE,
@@ -67,7 +68,6 @@
 from tests.fleet import PORTS, READY_PORT, Fleet, wait_for
 from tests.gateway import ASK_STREAM, GatewayHarness, ask
 from tests.session_play import Load, SessionWorld
-from tests.stub_server import ReceivedRequest, StubServer
 
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
 OLD = Endpoint("i-1", "app", "127.0.0.1:1", "hall-1", "v1", 8, False)
