--- a/ashlatch/catalog.py
+++ b/ashlatch/catalog.py
@@ -32,7 +32,7 @@
     "Route",
     "Service",
     "ServiceShare",
-    "SessionMarks",
+    "SessionHashes",
 ]
 
 
@@ -252,7 +252,7 @@
     moved: tuple[int, ...] = ()
 
 
-class SessionMarks(msgspec.Struct, frozen=True):
+class SessionHashes(msgspec.Struct, frozen=True):
     """Sessions of a service that all gateways have to know of.
 
     `marks` are of those that run and that a trial might move, `moved` of those
--- a/ashlatch/fleet/leader.py
+++ b/ashlatch/fleet/leader.py
@@ -21,7 +21,7 @@
     EndpointList,
     Rollout,
     RolloutStage,
-    SessionMarks,
+    SessionHashes,
 )
 from ashlatch.fleet.discovery import ListReader, ListUnreadable
 from ashlatch.fleet.exposure import ExposurePlan
@@ -134,7 +134,7 @@
     _clocks: dict[str, _Clock] = field(default_factory=dict)
     _newest: dict[str, Rollout] = field(default_factory=dict)
     # By service and the version in whose trial they have begun, empty for the others.
-    _sessions: dict[tuple[str, str], SessionMarks] = field(default_factory=dict)
+    _sessions: dict[tuple[str, str], SessionHashes] = field(default_factory=dict)
 
     def forget(self) -> None:
         """This VM leads no more."""
@@ -160,7 +160,7 @@
             if service in self._evidence:
                 self._evidence[service].add(tuple(own), now_ms)
 
-    def tell_sessions(self, sessions: tuple[SessionMarks, ...]) -> None:
+    def tell_sessions(self, sessions: tuple[SessionHashes, ...]) -> None:
         """Take which sessions run before a trial, and which a load test moved."""
         self._sessions = {(s.service, s.trial_version): s for s in sessions}
 
@@ -233,7 +233,7 @@
             rollout, elapsed_ms, evidence, now_ms, ready, plain, self.plan
         )
         changed = (decision.stage, decision.share) != (rollout.stage, rollout.share)
-        nothing = SessionMarks(rollout.service, ())
+        nothing = SessionHashes(rollout.service, ())
         told = self._sessions.get((rollout.service, ""), nothing)
         begun = self._sessions.get((rollout.service, rollout.version), nothing)
         moved = _moved(rollout, decision, told, begun)
@@ -263,7 +263,7 @@
 
 
 def _moved(
-    rollout: Rollout, decision: Decision, told: SessionMarks, begun: SessionMarks
+    rollout: Rollout, decision: Decision, told: SessionHashes, begun: SessionHashes
 ) -> tuple[int, ...]:
     """The marks of the sessions that stay on the new version, as not all know.
 
--- a/ashlatch/fleet/protocol.py
+++ b/ashlatch/fleet/protocol.py
@@ -17,7 +17,7 @@
     Evacuations,
     GatewayVm,
     Rollout,
-    SessionMarks,
+    SessionHashes,
 )
 from ashlatch.fleet.machine import Command, Outcome
 from ashlatch.gateway.kept import PromptRead
@@ -66,7 +66,7 @@
     rollout_number: int
     wait_ms: float
     tallies: tuple[Tally, ...] = ()
-    sessions: tuple[SessionMarks, ...] = ()
+    sessions: tuple[SessionHashes, ...] = ()
     reads: tuple[PromptRead, ...] = ()
     reads_known: tuple[int, int] = (0, 0)
     gateways_known: int = 0
--- a/ashlatch/fleet/spread.py
+++ b/ashlatch/fleet/spread.py
@@ -12,7 +12,7 @@
 import asyncio
 from collections.abc import Iterable
 
-from ashlatch.catalog import CoreVm, EndpointList, GatewayVm, SessionMarks
+from ashlatch.catalog import CoreVm, EndpointList, GatewayVm, SessionHashes
 from ashlatch.clock import monotonic_ms
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncReply, SyncRequest, gateways_digest
@@ -85,7 +85,7 @@
         """Core VMs by their addresses, with their halls as far as they are known."""
         return tuple(CoreVm(a, self._halls.get(a, "")) for a in addresses)
 
-    def _take_sessions(self, sessions: SessionMarks, now_ms: float) -> None:
+    def _take_sessions(self, sessions: SessionHashes, now_ms: float) -> None:
         if sessions.trial_version:
             key = sessions.service, sessions.trial_version
             self._take_moved(self._begun_in_trial.setdefault(key, {}), sessions, now_ms)
@@ -96,7 +96,7 @@
         self._take_moved(moved, sessions, now_ms)
 
     def _take_moved(
-        self, moved: dict[int, float], sessions: SessionMarks, now_ms: float
+        self, moved: dict[int, float], sessions: SessionHashes, now_ms: float
     ) -> None:
         if not moved.keys() >= set(sessions.moved):
             self.urgent.set()
@@ -112,7 +112,7 @@
         told, self._told = self._told, []
         return tuple(told)
 
-    def sessions(self) -> tuple[SessionMarks, ...]:
+    def sessions(self) -> tuple[SessionHashes, ...]:
         """The sessions that were told lately, by service."""
         oldest_ms = monotonic_ms() - SESSION_TOLD_MS
         found = []
@@ -121,11 +121,11 @@
                 marks = told[service].items()
                 told[service] = {mark: at for mark, at in marks if at >= oldest_ms}
             running, moved = self._running[service], self._moved[service]
-            found.append(SessionMarks(service, tuple(running), tuple(moved)))
+            found.append(SessionHashes(service, tuple(running), tuple(moved)))
         for (service, version), begun in list(self._begun_in_trial.items()):
             recent = tuple(mark for mark, at in begun.items() if at >= oldest_ms)
             if recent:
-                found.append(SessionMarks(service, (), recent, version))
+                found.append(SessionHashes(service, (), recent, version))
             else:
                 del self._begun_in_trial[service, version]
         return tuple(found)
--- a/ashlatch/gateway/choice.py
+++ b/ashlatch/gateway/choice.py
@@ -25,7 +25,7 @@
 
 __all__ = [
     "Choice",
-    "Verdict",
+    "EscalationDecision",
     "choose_endpoint",
     "engine_urgency",
     "first_model",
@@ -38,17 +38,17 @@
 # Prompts of up to these times to read go before longer ones at an engine, and
 # within a step by the urgency of route or organisation: behind a long prompt a short
 # one would wait for many times its own reading.
-READ_STEPS_MS = (150.0, 500.0)
-URGENCIES_EACH = 3
+PREFILL_STEPS_MS = (150.0, 500.0)
+URGENCIES_PER_STEP = 3
 # Requests that ran at an endpoint that crashed go to any of the cheaper half of the
 # endpoints, and of this many at least. To the cheapest, which has kept their subject,
 # they would go on with the one that crashes it, and be held for its doing.
-APART_MIN = 4
+ISOLATED_CANDIDATES_MIN = 4
 # Endpoints that failed this share of their latest attempts are left to others.
-FAILING_MAX = 0.3
+FAILURE_SHARE_MAX = 0.3
 
 
-class Verdict(enum.Enum):
+class EscalationDecision(enum.Enum):
     """What becomes of an answer that has begun at a chosen model.
 
     `GOOD` ones and the largest model's are passed on. The others are asked
@@ -57,10 +57,10 @@
     """
 
     GOOD = "good"
-    CLIMBS = "climbs"
-    LATE = "no_time_for_larger"
-    SPENT = "no_attempt_for_larger"
-    OVER_BUDGET = "no_budget_for_larger"
+    ESCALATE = "climbs"
+    NO_TIME = "no_time_for_larger"
+    NO_ATTEMPT = "no_attempt_for_larger"
+    NO_BUDGET = "no_budget_for_larger"
 
 
 @dataclass(frozen=True)
@@ -77,11 +77,11 @@
     utilisation: float
     forecast: Forecast | None
     allowed: AllowedEndpoints
-    barred: Mapping[Barrier, int] = field(default_factory=dict)
+    denied: Mapping[Barrier, int] = field(default_factory=dict)
 
 
 def choose_endpoint(
-    known: Knowledge,
+    context: Knowledge,
     service: Service,
     allowed: AllowedEndpoints,
     tried: frozenset[str],
@@ -93,43 +93,43 @@
     An engine is chosen by what the send is expected to cost there, an endpoint
     of a plain service by how busy it is.
     """
-    open_now, barred = _open(known, service, allowed.states, now_ms)
-    among = _sound(open_now, tried, now_ms)
+    open_now, barred = _permitted(context, service, allowed.states, now_ms)
+    among = _healthy(open_now, tried, now_ms)
     if not among:
-        otherwise = allowed.otherwise
+        otherwise = allowed.fallback
         if otherwise is None:
             return None
-        return choose_endpoint(known, service, otherwise, tried, send, now_ms)
-    if service.engine is None and send.apart:
-        state = known.generator.choice(among)
+        return choose_endpoint(context, service, otherwise, tried, send, now_ms)
+    if service.engine is None and send.isolated:
+        state = context.generator.choice(among)
         utilisation = state.utilisation(now_ms)
         return Choice(state, len(among), utilisation, None, allowed, barred)
     if service.engine is None:
-        candidates = tuple(_candidate(known, s, now_ms) for s in among)
-        chosen = known.policy.choose(candidates, "", known.generator)
+        candidates = tuple(_candidate(context, s, now_ms) for s in among)
+        chosen = context.policy.choose(candidates, "", context.generator)
         state = next(s for s in among if s.endpoint.instance == chosen.endpoint)
         utilisation = chosen.utilisation
         return Choice(state, len(among), utilisation, None, allowed, barred)
-    forecaster = Forecaster(known, service.name, among, send, now_ms)
+    forecaster = Forecaster(context, service.name, among, send, now_ms)
     forecasts = [(forecaster.forecast(s), s) for s in among]
-    forecast, state = known.generator.choice(_cheapest(forecasts, send.apart))
+    forecast, state = context.generator.choice(_cheapest(forecasts, send.isolated))
     utilisation = state.utilisation(now_ms)
     return Choice(state, len(among), utilisation, forecast, allowed, barred)
 
 
 def _cheapest(
-    forecasts: list[tuple[Forecast, EndpointState]], apart: bool
+    forecasts: list[tuple[Forecast, EndpointState]], isolated: bool
 ) -> list[tuple[Forecast, EndpointState]]:
     """The engines that a send may go to by its cost."""
     ranked = sorted(forecasts, key=lambda pair: pair[0].cost_ms)
-    if apart:
-        return ranked[: max(APART_MIN, len(ranked) // 2)]
+    if isolated:
+        return ranked[: max(ISOLATED_CANDIDATES_MIN, len(ranked) // 2)]
     least_ms = ranked[0][0].cost_ms
     return [pair for pair in ranked if pair[0].cost_ms <= least_ms]
 
 
-def _open(
-    known: Knowledge,
+def _permitted(
+    context: Knowledge,
     service: Service,
     states: Iterable[EndpointState],
     now_ms: float,
@@ -138,7 +138,7 @@
     open_now = []
     barred: Counter[Barrier] = Counter()
     for state in states:
-        barrier = send_permission(known, service, state, now_ms).barrier
+        barrier = send_permission(context, service, state, now_ms).barrier
         if barrier is None:
             open_now.append(state)
         else:
@@ -146,25 +146,25 @@
     return open_now, barred
 
 
-def _sound(
+def _healthy(
     states: Iterable[EndpointState], tried: frozenset[str], now_ms: float
 ) -> list[EndpointState]:
     """The endpoints that a request may go to, without those that do badly."""
     fresh = [s for s in states if s.endpoint.instance not in tried]
-    sound = [s for s in fresh if _may_answer(s, now_ms)]
-    well = [s for s in sound if s.failing < FAILING_MAX]
+    sound = [s for s in fresh if _likely_answers(s, now_ms)]
+    well = [s for s in sound if s.failing < FAILURE_SHARE_MAX]
     moving = [s for s in well if not s.stalled(now_ms)]
     return moving or well or sound or fresh
 
 
-def _may_answer(state: EndpointState, now_ms: float) -> bool:
+def _likely_answers(state: EndpointState, now_ms: float) -> bool:
     """Whether nothing speaks for it that the endpoint fails or sheds still."""
     return state.breaker.allows(now_ms) and not state.backoff.may_shed(now_ms)
 
 
-def first_model(route: Route, ask: Ask) -> str:
+def first_model(route: Route, request: Ask) -> str:
     """The model that a request is sent to first; empty for the caller's own."""
-    if not route.models or ask.model or not ask.names_model:
+    if not route.models or request.model or not request.names_model:
         return ""
     return route.models[0]
 
@@ -188,11 +188,11 @@
     """
     if forecast is None:
         return None
-    steps = sum(forecast.read_ms > step_ms for step_ms in READ_STEPS_MS)
-    return URGENCIES_EACH * steps + min(urgency, URGENCIES_EACH - 1)
+    steps = sum(forecast.prefill_ms > step_ms for step_ms in PREFILL_STEPS_MS)
+    return URGENCIES_PER_STEP * steps + min(urgency, URGENCIES_PER_STEP - 1)
 
 
-def _candidate(known: Knowledge, state: EndpointState, now_ms: float) -> Candidate:
+def _candidate(context: Knowledge, state: EndpointState, now_ms: float) -> Candidate:
     endpoint = state.endpoint
     requests = state.requests(now_ms)
     return Candidate(
@@ -201,5 +201,5 @@
         state.load.reported_requests(),
         endpoint.slots,
         0.0,
-        endpoint.hall == known.hall,
+        endpoint.hall == context.hall,
     )
--- a/ashlatch/gateway/corenews.py
+++ b/ashlatch/gateway/corenews.py
@@ -58,13 +58,13 @@
             self._apply(reply.document_version, reply.document)
         if reply.endpoints is not None:
             self.replace(reply.endpoints, address, reply.endpoints_age_ms)
-        for rollout in self._known.versions.learn(reply.rollouts, _now_ms()):
+        for rollout in self._known.versions.apply_rollouts(reply.rollouts, _now_ms()):
             self._note_rollout(rollout)
         if reply.current:
             self._take_current(reply)
         self._learn_crashes(address, reply)
         self.learn_reads(reply)
-        self._known.pace.learn(reply.rates)
+        self._known.pace.apply_rates(reply.rates)
 
     def _take_current(self, reply: SyncReply) -> None:
         """Take what only a core VM in touch with its leader can tell."""
--- a/ashlatch/gateway/exchange.py
+++ b/ashlatch/gateway/exchange.py
@@ -23,12 +23,12 @@
 from ashlatch.gateway.attempt import Attempt, AttemptFailed, FailureKind
 from ashlatch.gateway.choice import (
     Choice,
-    Verdict,
+    EscalationDecision,
     engine_urgency,
     first_model,
     larger_models,
 )
-from ashlatch.gateway.chooser import RequestChooser
+from ashlatch.gateway.chooser import EndpointChooser
 from ashlatch.gateway.crash_detector import CrashFinder
 from ashlatch.gateway.events import EventSplitter, StreamEvent
 from ashlatch.gateway.knowledge import Knowledge
@@ -76,7 +76,7 @@
         self._model = first_model(admission.route, admission.ask)
         self._last_event = ""
         self._account = Account(known, admission)
-        self._chooser = RequestChooser(known, admission)
+        self._chooser = EndpointChooser(known, admission)
         self._crashes = CrashFinder(known)
         self._error: _Whole | None = None
         self._repeat_taken = False
@@ -107,7 +107,7 @@
             if choice is None:
                 if self._may_have_run:
                     return Refused(502, RefusalReason.OUTCOME_UNKNOWN)
-                return self._chooser.nowhere()
+                return self._chooser.refusal()
             attempt = self._attempt(choice)
             try:
                 if await self._run_attempt(attempt):
@@ -173,7 +173,7 @@
         """
         if self._account.sends >= self._attempts_max:
             return False
-        if self._chooser.choose(self._model, unlimited=True) is None:
+        if self._chooser.choose(self._model, exclude_limited=True) is None:
             return False
         self._repeat_taken = self._spend()
         return self._repeat_taken
@@ -208,10 +208,10 @@
         larger = larger_models(self._route, self._model, head.confidence)
         # A larger model may be asked at the same endpoint.
         self._chooser.tried.discard(attempt.state.endpoint.instance)
-        model, expected_ms = self._chooser.in_time(larger)
+        model, expected_ms = self._chooser.first_model_in_time(larger)
         verdict = self._weigh(larger, model)
         self._account.weighed(attempt, self._model, expected_ms, verdict)
-        if verdict is not Verdict.CLIMBS:
+        if verdict is not EscalationDecision.ESCALATE:
             self._chooser.tried.add(attempt.state.endpoint.instance)
             return False
         self._account.answered(attempt)
@@ -221,15 +221,19 @@
         self._why = "confidence"
         return True
 
-    def _weigh(self, larger: tuple[str, ...], model: str) -> Verdict:
+    def _weigh(self, larger: tuple[str, ...], model: str) -> EscalationDecision:
         """Whether a larger model is asked; takes the repeat for it."""
         if not larger:
-            return Verdict.GOOD
+            return EscalationDecision.GOOD
         if self._account.sends >= self._attempts_max:
-            return Verdict.SPENT
+            return EscalationDecision.NO_ATTEMPT
         if not model:
-            return Verdict.LATE
-        return Verdict.CLIMBS if self._spend() else Verdict.OVER_BUDGET
+            return EscalationDecision.NO_TIME
+        return (
+            EscalationDecision.ESCALATE
+            if self._spend()
+            else EscalationDecision.NO_BUDGET
+        )
 
     async def _read_whole(self, attempt: Attempt, head: AnswerHead) -> _Whole:
         parts = []
@@ -330,7 +334,7 @@
         if kind is not FailureKind.REFUSED:
             return Refused(503, RefusalReason.NO_ENDPOINT, RETRY_AFTER_S)
         full = Refused(503, RefusalReason.ENDPOINTS_FULL, RETRY_AFTER_S)
-        return self._chooser.waiting() or full
+        return self._chooser.retry_refusal() or full
 
     def _conclude(self, refused: Refused) -> None:
         """Give the final answer when no endpoint's answer is passed on."""
--- a/ashlatch/gateway/forecast.py
+++ b/ashlatch/gateway/forecast.py
@@ -23,18 +23,18 @@
 # What a kilobyte that crosses between halls is worth in time of an engine. Its
 # price is about that of 10 ms: a prompt that is read anew costs more than its
 # way to an engine that has kept it, a short one less.
-HALL_MS_PER_KB = 10.0
+CROSS_HALL_MS_PER_KB = 10.0
 # An engine that is not the home of a subject is taken only when that saves more
 # than this share of reading the prompt: who asks next finds it at its home.
-HOME_SHARE = 0.3
+NON_HOME_PENALTY_SHARE = 0.3
 # The time of engines is dearer the more work waits at them: at this mean of it
 # twice as dear as when they stand idle, and at most so many times.
-BUSY_MS = 200.0
-BUSY_MAX = 4.0
+BUSY_WORKLOAD_MS = 200.0
+BUSY_WEIGHT_MAX = 4.0
 # A request that would begin late costs as much as this, beyond its wait.
-LATE_MS = 1500.0
+LATE_PENALTY_MS = 1500.0
 # How much each request that runs at an engine delays another one's prompt.
-RUNNING_MS = 5.0
+RUNNING_REQUEST_MS = 5.0
 # Bytes of an answer, for each token that it may have at most: a token takes 15,
 # and answers are a quarter as long as they may be.
 ANSWER_BYTES_PER_TOKEN = 4.0
@@ -51,8 +51,8 @@
     """
 
     wait_ms: float
-    read_tokens: int
-    read_ms: float
+    prefill_tokens: int
+    prefill_ms: float
     cost_ms: float
 
 
@@ -64,10 +64,10 @@
     at an endpoint that crashed, and go other ways than those that ran there too.
     """
 
-    ask: Ask
+    request: Ask
     model: str
     slack_ms: float
-    apart: bool = False
+    isolated: bool = False
 
 
 class Forecaster:
@@ -75,39 +75,39 @@
 
     def __init__(
         self,
-        known: Knowledge,
+        context: Knowledge,
         service: str,
         states: Sequence[EndpointState],
         send: Send,
         now_ms: float,
     ) -> None:
-        self._known = known
-        self._ask = send.ask
+        self._context = context
+        self._request = send.request
         self._slack_ms = max(1.0, send.slack_ms)
         self._now_ms = now_ms
-        self._model = send.model or send.ask.model
-        self._token_ms = known.pace.token_ms(service, self._model)
-        self._held_ms = known.pace.held_ms(service)
-        self._home = _home(send.ask, states)
+        self._model = send.model or send.request.model
+        self._token_ms = context.pace.token_ms(service, self._model)
+        self._slot_time_ms = context.pace.slot_time_ms(service)
+        self._home = _home_engine(send.request, states)
         left_ms = sum(s.workload.left_ms(now_ms) for s in states) / len(states)
-        self._engine_weight = min(1.0 + left_ms / BUSY_MS, BUSY_MAX)
+        self._engine_weight = min(1.0 + left_ms / BUSY_WORKLOAD_MS, BUSY_WEIGHT_MAX)
 
     def forecast(self, state: EndpointState) -> Forecast:
         """What a send to an endpoint is expected to take."""
         # Adding up what is known of a load takes longer than all of the rest.
         requests = state.requests(self._now_ms)
         wait_ms = state.workload.left_ms(self._now_ms)
-        wait_ms += self._place_wait_ms(state, requests)
-        kept = self._known.kept.tokens(
-            state.endpoint.instance, self._model, self._ask.prompt_parts
+        wait_ms += self._slot_wait_ms(state, requests)
+        kept = self._context.kept.tokens(
+            state.endpoint.instance, self._model, self._request.prompt_parts
         )
-        tokens = max(0, self._ask.prompt_tokens - kept)
+        tokens = max(0, self._request.prompt_tokens - kept)
         read_ms = tokens * self._token_ms
         cost_ms = self._engine_weight * read_ms
         if state.endpoint.instance != self._home and self._home:
-            cost_ms *= 1.0 + HOME_SHARE
+            cost_ms *= 1.0 + NON_HOME_PENALTY_SHARE
         cost_ms += self._wait_cost_ms(wait_ms, read_ms)
-        cost_ms += self._place_ms(state, requests)
+        cost_ms += self._placement_cost_ms(state, requests)
         return Forecast(wait_ms, tokens, read_ms, cost_ms)
 
     def _wait_cost_ms(self, wait_ms: float, read_ms: float) -> float:
@@ -118,9 +118,9 @@
         used = (wait_ms + read_ms) / self._slack_ms
         if used <= 1.0:
             return wait_ms * used
-        return wait_ms + LATE_MS
+        return wait_ms + LATE_PENALTY_MS
 
-    def _place_wait_ms(self, state: EndpointState, requests: float) -> float:
+    def _slot_wait_ms(self, state: EndpointState, requests: float) -> float:
         """How long until a place is free at an engine, if all are believed taken.
 
         A send that goes there nevertheless waits for that, or is put before one
@@ -128,25 +128,25 @@
         """
         slots = state.endpoint.slots
         beyond = requests + 1.0 - slots
-        return max(0.0, beyond) * self._held_ms / slots
+        return max(0.0, beyond) * self._slot_time_ms / slots
 
-    def _place_ms(self, state: EndpointState, requests: float) -> float:
+    def _placement_cost_ms(self, state: EndpointState, requests: float) -> float:
         """What the way there and those that run there cost."""
-        cost_ms = RUNNING_MS * requests
-        if state.endpoint.hall != self._known.hall:
-            answer_bytes = ANSWER_BYTES_PER_TOKEN * self._ask.answer_tokens_max
-            crossing_bytes = len(self._ask.body) + answer_bytes
-            cost_ms += HALL_MS_PER_KB * crossing_bytes / KILO
+        cost_ms = RUNNING_REQUEST_MS * requests
+        if state.endpoint.hall != self._context.hall:
+            answer_bytes = ANSWER_BYTES_PER_TOKEN * self._request.answer_tokens_max
+            crossing_bytes = len(self._request.body) + answer_bytes
+            cost_ms += CROSS_HALL_MS_PER_KB * crossing_bytes / KILO
         return cost_ms
 
 
-def _home(ask: Ask, states: Sequence[EndpointState]) -> str:
+def _home_engine(request: Ask, states: Sequence[EndpointState]) -> str:
     """The endpoint where a subject's prompts are read by preference.
 
     The last part is the request's own or its session's; the one before it is
     what requests about one subject share.
     """
-    if len(ask.prompt_parts) < 2:
+    if len(request.prompt_parts) < 2:
         return ""
-    subject = ask.prompt_parts[-2].part_id
+    subject = request.prompt_parts[-2].part_id
     return rank(tuple(s.endpoint.instance for s in states), subject)[0]
--- a/ashlatch/gateway/hearing.py
+++ b/ashlatch/gateway/hearing.py
@@ -57,12 +57,12 @@
 @HEARD.on(SessionMoved)
 def _session_moved(known: Knowledge, news: SessionMoved, teller: Teller) -> None:
     known.metrics.count("sessions_heard")
-    known.versions.hear_move(news.service, news.session, news.version)
+    known.versions.apply_peer_move(news.service, news.session, news.version)
 
 
 @HEARD.on(SessionRuns)
 def _session_runs(known: Knowledge, news: SessionRuns, teller: Teller) -> None:
-    known.versions.hear_running(news.service, news.version, news.mark)
+    known.versions.apply_peer_running(news.service, news.version, news.mark)
 
 
 @HEARD.on(ContentCrashed)
--- a/ashlatch/gateway/knowledge.py
+++ b/ashlatch/gateway/knowledge.py
@@ -18,7 +18,7 @@
 from ashlatch.gateway.cold import ColdGate
 from ashlatch.gateway.directory import Directory, EndpointState
 from ashlatch.gateway.kept import KeptParts
-from ashlatch.gateway.latency_model import Pace
+from ashlatch.gateway.latency_model import LatencyModel
 from ashlatch.gateway.news import PeerNews
 from ashlatch.gateway.pool import ConnectionPool
 from ashlatch.gateway.routing import RouteTable
@@ -64,7 +64,7 @@
     table: RouteTable | None = None
     directory: Directory = field(default_factory=Directory)
     pool: ConnectionPool = field(default_factory=ConnectionPool)
-    pace: Pace = field(default_factory=Pace)
+    pace: LatencyModel = field(default_factory=LatencyModel)
     kept: KeptParts = field(default_factory=KeptParts)
     tallies: Tallies = field(default_factory=Tallies)
     metrics: Metrics = field(default_factory=Metrics)
--- a/ashlatch/gateway/latency_model.py
+++ b/ashlatch/gateway/latency_model.py
@@ -16,7 +16,7 @@
 
 from ashlatch.policy.reading import ReadingRate, ReadingRates
 
-__all__ = ["Pace"]
+__all__ = ["LatencyModel"]
 
 # Each answer moves the estimate of the wait by this part of the difference.
 GAIN = 0.15
@@ -27,20 +27,20 @@
 RATE_TOKENS_MIN = 1500
 # It is not taken from prompts that were to wait for more of the time than this,
 # unless they came so soon that the rate must be lower.
-FORESEEN_MAX = 0.2
+PREDICTED_WAIT_SHARE_MAX = 0.2
 # How much each send that is over moves the mean of how long they take, and the mean
 # before the first of them: answers of models take from half a second to several.
-HELD_GAIN = 0.05
-HELD_MS_PRIOR = 1000.0
+SLOT_TIME_GAIN = 0.05
+SLOT_TIME_MS_PRIOR = 1000.0
 # Rates that wait for the next report to the core; the oldest are dropped.
-UNTOLD_MAX = 64
+UNREPORTED_MAX = 64
 # Until a model has answered: between the largest models of slow engines (0.08)
 # and of fast ones (0.03).
 TOKEN_MS_PRIOR = 0.05
 
 
 @dataclass
-class _Estimate:
+class _WaitEstimate:
     """`wait_ms` is what comes on top of the reading and of what was foreseen."""
 
     at_ms: float
@@ -48,7 +48,7 @@
     deviation_ms: float = 0.0
     answers: int = 0
 
-    def take(self, waited_ms: float, now_ms: float) -> None:
+    def update(self, waited_ms: float, now_ms: float) -> None:
         gain = max(GAIN, 1.0 / (self.answers + 1))
         difference = waited_ms - self.wait_ms
         self.wait_ms += gain * difference
@@ -58,7 +58,7 @@
 
 
 @dataclass
-class Pace:
+class LatencyModel:
     """Recent times to the first event, by what they are made of, and for how long
     an answer holds its place::
 
@@ -67,20 +67,20 @@
     pace.expected_ms("chat", "small", tokens=8000, now_ms=100.0)
     """
 
-    _estimates: dict[tuple[str, str], _Estimate] = field(default_factory=dict)
-    _held: dict[str, float] = field(default_factory=dict)
-    _own: ReadingRates = field(default_factory=ReadingRates)
-    _told: dict[tuple[str, str], float] = field(default_factory=dict)
-    _untold: list[ReadingRate] = field(default_factory=list)
+    _estimates: dict[tuple[str, str], _WaitEstimate] = field(default_factory=dict)
+    _slot_times_ms: dict[str, float] = field(default_factory=dict)
+    _local_rates: ReadingRates = field(default_factory=ReadingRates)
+    _fleet_rates: dict[tuple[str, str], float] = field(default_factory=dict)
+    _unreported: list[ReadingRate] = field(default_factory=list)
 
-    def began(
+    def record_first_event(
         self,
         service: str,
         model: str,
         tokens: int,
         first_ms: float,
         now_ms: float,
-        foreseen_ms: float = 0.0,
+        predicted_ms: float = 0.0,
     ) -> None:
         """An answer has begun `first_ms` after it was asked for.
 
@@ -88,58 +88,65 @@
         foreseen.
         """
         if tokens >= RATE_TOKENS_MIN:
-            self._take_rate(service, model, tokens, first_ms, foreseen_ms)
-        reading_ms = max(0.0, first_ms - foreseen_ms)
+            self._record_rate(service, model, tokens, first_ms, predicted_ms)
+        reading_ms = max(0.0, first_ms - predicted_ms)
         waited_ms = max(0.0, reading_ms - tokens * self.token_ms(service, model))
-        estimate = self._estimates.setdefault((service, model), _Estimate(now_ms))
-        estimate.take(waited_ms, now_ms)
+        estimate = self._estimates.setdefault((service, model), _WaitEstimate(now_ms))
+        estimate.update(waited_ms, now_ms)
 
-    def _take_rate(
-        self, service: str, model: str, tokens: int, first_ms: float, foreseen_ms: float
+    def _record_rate(
+        self,
+        service: str,
+        model: str,
+        tokens: int,
+        first_ms: float,
+        predicted_ms: float,
     ) -> None:
         """Take an answer that hardly waited, or that shows a lower rate anyhow.
 
         Without the latter, a rate that is too high foresees waits that are too
         long, which would keep out the answers that correct it.
         """
-        waited = foreseen_ms >= FORESEEN_MAX * first_ms
+        waited = predicted_ms >= PREDICTED_WAIT_SHARE_MAX * first_ms
         if waited and first_ms >= tokens * self.token_ms(service, model):
             return
-        own_ms = first_ms if waited else first_ms - foreseen_ms
+        own_ms = first_ms if waited else first_ms - predicted_ms
         rate = ReadingRate(service, model, own_ms / tokens)
-        self._own.add([rate])
-        self._untold.append(rate)
-        del self._untold[:-UNTOLD_MAX]
+        self._local_rates.add([rate])
+        self._unreported.append(rate)
+        del self._unreported[:-UNREPORTED_MAX]
 
     def take_rates(self) -> tuple[ReadingRate, ...]:
         """The rates that were seen here and not told yet."""
-        rates, self._untold = self._untold, []
+        rates, self._unreported = self._unreported, []
         return tuple(rates)
 
-    def put_back(self, rates: tuple[ReadingRate, ...]) -> None:
+    def restore_rates(self, rates: tuple[ReadingRate, ...]) -> None:
         """Tell again what a lost report held."""
-        self._untold[:0] = rates
-        del self._untold[:-UNTOLD_MAX]
+        self._unreported[:0] = rates
+        del self._unreported[:-UNREPORTED_MAX]
 
-    def learn(self, rates: Iterable[ReadingRate]) -> None:
+    def apply_rates(self, rates: Iterable[ReadingRate]) -> None:
         """Take estimates that are made of what many gateways have seen."""
-        self._told.update({(r.service, r.model): r.token_ms for r in rates})
+        self._fleet_rates.update({(r.service, r.model): r.token_ms for r in rates})
 
-    def ended(self, service: str, took_ms: float) -> None:
+    def record_slot_time(self, service: str, took_ms: float) -> None:
         """A send is over, and has held a place at an endpoint for this long."""
-        before_ms = self.held_ms(service)
-        self._held[service] = before_ms + HELD_GAIN * (took_ms - before_ms)
+        before_ms = self.slot_time_ms(service)
+        self._slot_times_ms[service] = before_ms + SLOT_TIME_GAIN * (
+            took_ms - before_ms
+        )
 
-    def held_ms(self, service: str) -> float:
+    def slot_time_ms(self, service: str) -> float:
         """For how long a send holds its place, as a mean over all models."""
-        return self._held.get(service, HELD_MS_PRIOR)
+        return self._slot_times_ms.get(service, SLOT_TIME_MS_PRIOR)
 
     def token_ms(self, service: str, model: str) -> float:
         """The time to read a token, by many gateways' answers if they are known."""
-        told_ms = self._told.get((service, model))
+        told_ms = self._fleet_rates.get((service, model))
         if told_ms is not None:
             return told_ms
-        own_ms = self._own.token_ms(service, model)
+        own_ms = self._local_rates.token_ms(service, model)
         return own_ms if own_ms is not None else TOKEN_MS_PRIOR
 
     def expected_ms(
--- a/ashlatch/gateway/request_record.py
+++ b/ashlatch/gateway/request_record.py
@@ -15,7 +15,7 @@
 
 from ashlatch.gateway.admission import Admission
 from ashlatch.gateway.attempt import Attempt, AttemptFailed, FailureKind
-from ashlatch.gateway.choice import Choice, Verdict
+from ashlatch.gateway.choice import Choice, EscalationDecision
 from ashlatch.gateway.crash_detector import note_refusal
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.fingerprint import digest_text
@@ -100,11 +100,11 @@
             int(self._now_ms() - self._known.directory.listed_ms),
             admission.ask.prompt_tokens,
             *_foreseen(choice.forecast),
-            choice.barred.get(Barrier.LIMITED, 0),
+            choice.denied.get(Barrier.LIMITED, 0),
             choice.state.limit.per_s,
             self._limit_age_ms(choice.state),
-            choice.barred.get(Barrier.BACKOFF, 0),
-            choice.barred.get(Barrier.LEAVING, 0),
+            choice.denied.get(Barrier.BACKOFF, 0),
+            choice.denied.get(Barrier.LEAVING, 0),
         )
         emit(log, sent)
         record_limited_send(self._known, choice.state, self._now_ms())
@@ -128,8 +128,8 @@
         parts = self._admission.ask.prompt_parts
         engine = self._admission.service.engine
         memory_tokens = engine.memory_tokens if engine else 0
-        choice.state.workload.add(choice.forecast.read_ms, self._now_ms())
-        known.tell(PromptSent(endpoint.instance, round(choice.forecast.read_ms, 1)))
+        choice.state.workload.add(choice.forecast.prefill_ms, self._now_ms())
+        known.tell(PromptSent(endpoint.instance, round(choice.forecast.prefill_ms, 1)))
         known.kept.note(endpoint.instance, model, parts, self._now_ms())
         known.kept.read(endpoint.instance, model, parts, memory_tokens, self._now_ms())
 
@@ -140,7 +140,7 @@
         traffic.add(TrafficKind.REQUEST, hall, attempt.sent_bytes)
         traffic.add(TrafficKind.ANSWER, hall, attempt.received_bytes)
         service = attempt.state.endpoint.service
-        self._known.pace.ended(service, self._age_ms(attempt))
+        self._known.pace.record_slot_time(service, self._age_ms(attempt))
 
     def begun(self, attempt: Attempt, model: str) -> None:
         """The head of an answer has come."""
@@ -152,10 +152,10 @@
         service = self._admission.service.name
         forecast = attempt.forecast
         if forecast is not None:
-            self._known.pace.began(
+            self._known.pace.record_first_event(
                 service,
                 model,
-                forecast.read_tokens,
+                forecast.prefill_tokens,
                 first_ms,
                 self._now_ms(),
                 forecast.wait_ms,
@@ -192,7 +192,11 @@
         return int(age_ms) if math.isfinite(age_ms) else -1
 
     def weighed(
-        self, attempt: Attempt, model: str, expected_ms: float, verdict: Verdict
+        self,
+        attempt: Attempt,
+        model: str,
+        expected_ms: float,
+        verdict: EscalationDecision,
     ) -> None:
         """It was decided whether an answer that has begun is passed on."""
         assert attempt.head is not None
@@ -308,7 +312,7 @@
     def _note_version(self, attempt: Attempt) -> None:
         endpoint = attempt.state.endpoint
         session = self._admission.ask.session
-        self._known.versions.sessions.ended(
+        self._known.versions.sessions.record_end(
             endpoint.service, session, endpoint.version, self._now_ms()
         )
 
@@ -328,4 +332,4 @@
     """Tokens to read, wait and time to read, for the log."""
     if forecast is None:
         return 0, 0, 0
-    return forecast.read_tokens, int(forecast.wait_ms), int(forecast.read_ms)
+    return forecast.prefill_tokens, int(forecast.wait_ms), int(forecast.prefill_ms)
--- a/ashlatch/gateway/session_updates.py
+++ b/ashlatch/gateway/session_updates.py
@@ -23,14 +23,14 @@
 ) -> None:
     """A request of a session goes to an endpoint of a version."""
     versions = known.versions
-    mark = versions.note_running(service, session, version)
+    mark = versions.record_running(service, session, version)
     if mark is not None:
         awaited = versions.rollouts[service].version
         known.metrics.count("sessions_announced")
         for _ in range(COPIES):
             known.tell(SessionRuns(service, awaited, mark))
     alone = not known.peers_in_touch
-    if versions.note_move(service, session, version, now_ms, alone):
+    if versions.record_move(service, session, version, now_ms, alone):
         known.metrics.count("sessions_told")
         known.tell(SessionMoved(service, session, version))
-    versions.sessions.note(service, session, version, now_ms)
+    versions.sessions.record(service, session, version, now_ms)
--- a/ashlatch/gateway/sessions.py
+++ b/ashlatch/gateway/sessions.py
@@ -15,19 +15,19 @@
 from ashlatch.gateway.routing import fraction
 
 __all__ = [
-    "MARKS",
+    "HASH_RANGE",
     "MOVABLE_SHARE",
-    "RunningMarks",
+    "RunningSessions",
     "SessionMoves",
     "SessionVersions",
-    "session_mark",
+    "session_hash",
 ]
 
 # Sessions are forgotten this much after they have ended.
 SESSION_MARGIN_MS = 1000.0
 SESSIONS_MAX = 20_000
 # How many marks there are for sessions; they are told to all gateways.
-MARKS = 1 << 32
+HASH_RANGE = 1 << 32
 # Sessions beyond this part of the marks are never moved by a trial.
 MOVABLE_SHARE = 0.25
 # A load test moves what one endpoint answers in a few seconds: some hundreds.
@@ -35,7 +35,7 @@
 
 
 @dataclass
-class _Seen:
+class _LastRequest:
     version: str
     at_ms: float
 
@@ -45,26 +45,28 @@
     """The version that last answered each session at this gateway."""
 
     session_ms: float
-    _seen: dict[str, _Seen] = field(default_factory=dict)
+    _last_requests: dict[str, _LastRequest] = field(default_factory=dict)
 
-    def note(self, service: str, session: str, version: str, now_ms: float) -> None:
+    def record(self, service: str, session: str, version: str, now_ms: float) -> None:
         """A request of the session is at this version now, or was until now."""
         if not session:
             return
-        self._seen.pop(f"{service}/{session}", None)
-        self._seen[f"{service}/{session}"] = _Seen(version, now_ms)
-        while len(self._seen) > SESSIONS_MAX:
-            del self._seen[next(iter(self._seen))]
-
-    def ended(self, service: str, session: str, version: str, now_ms: float) -> None:
+        self._last_requests.pop(f"{service}/{session}", None)
+        self._last_requests[f"{service}/{session}"] = _LastRequest(version, now_ms)
+        while len(self._last_requests) > SESSIONS_MAX:
+            del self._last_requests[next(iter(self._last_requests))]
+
+    def record_end(
+        self, service: str, session: str, version: str, now_ms: float
+    ) -> None:
         """A request of the session has ended at this version.
 
         Another request may have moved the session since it began: an end only
         moves the time on.
         """
-        seen = self._seen.get(f"{service}/{session}")
+        seen = self._last_requests.get(f"{service}/{session}")
         if seen is None or seen.version == version:
-            self.note(service, session, version, now_ms)
+            self.record(service, session, version, now_ms)
 
     def running(self, service: str, now_ms: float) -> list[str]:
         """The sessions of a service that had a request lately."""
@@ -72,13 +74,13 @@
         oldest_ms = now_ms - self.session_ms - SESSION_MARGIN_MS
         return [
             key.removeprefix(begin)
-            for key, seen in self._seen.items()
+            for key, seen in self._last_requests.items()
             if seen.at_ms >= oldest_ms and key.startswith(begin)
         ]
 
     def version(self, service: str, session: str, now_ms: float) -> str:
         """The version of a session that still runs, or empty."""
-        seen = self._seen.get(f"{service}/{session}")
+        seen = self._last_requests.get(f"{service}/{session}")
         if seen is None or not session:
             return ""
         recent = now_ms - seen.at_ms < self.session_ms + SESSION_MARGIN_MS
@@ -86,13 +88,13 @@
 
     def age_ms(self, service: str, session: str, now_ms: float) -> float:
         """How long ago a session was last heard of; below 0 if it is not known."""
-        seen = self._seen.get(f"{service}/{session}")
+        seen = self._last_requests.get(f"{service}/{session}")
         return -1.0 if seen is None else now_ms - seen.at_ms
 
 
-def session_mark(version: str, session: str) -> int:
+def session_hash(version: str, session: str) -> int:
     """A number for a session that is the same on every VM."""
-    return int(fraction(f"{version}/{session}") * MARKS)
+    return int(fraction(f"{version}/{session}") * HASH_RANGE)
 
 
 @dataclass
@@ -104,28 +106,28 @@
     """
 
     version: str
-    marks: set[int] = field(default_factory=set)
-    untold: set[int] = field(default_factory=set)
+    hashes: set[int] = field(default_factory=set)
+    unreported: set[int] = field(default_factory=set)
 
-    def note(self, mark: int, here: bool) -> None:
+    def record(self, mark: int, here: bool) -> None:
         """A session was moved, at this gateway or at another one."""
-        if len(self.marks) >= MOVES_MAX:
+        if len(self.hashes) >= MOVES_MAX:
             return
-        self.marks.add(mark)
+        self.hashes.add(mark)
         if here:
-            self.untold.add(mark)
+            self.unreported.add(mark)
 
-    def learn(self, rollout: Rollout) -> None:
+    def apply(self, rollout: Rollout) -> None:
         """Take the sessions that a record of the roll-out names."""
-        self.marks.update(rollout.moved)
-        self.untold.difference_update(rollout.moved)
+        self.hashes.update(rollout.moved)
+        self.unreported.difference_update(rollout.moved)
         if rollout.stage in (RolloutStage.COMPLETED, RolloutStage.ROLLED_BACK):
             # No record will name those that are left.
-            self.untold.clear()
+            self.unreported.clear()
 
 
 @dataclass
-class RunningMarks:
+class RunningSessions:
     """The sessions that run on the version before, as a trial of a version is awaited.
 
     The record of the trial names those that the core has heard of by then. Sessions
@@ -133,12 +135,12 @@
     """
 
     version: str
-    marks: set[int] = field(default_factory=set)
+    hashes: set[int] = field(default_factory=set)
 
-    def note(self, mark: int) -> bool:
+    def record(self, mark: int) -> bool:
         """A session runs; whether that is new, and a trial could move it."""
-        movable = mark < MOVABLE_SHARE * MARKS
-        if not movable or mark in self.marks or len(self.marks) >= SESSIONS_MAX:
+        movable = mark < MOVABLE_SHARE * HASH_RANGE
+        if not movable or mark in self.hashes or len(self.hashes) >= SESSIONS_MAX:
             return False
-        self.marks.add(mark)
+        self.hashes.add(mark)
         return True
--- a/ashlatch/gateway/sync.py
+++ b/ashlatch/gateway/sync.py
@@ -108,7 +108,7 @@
         self._lost_since_ms: float | None = None
         self._refreshed_ms = float("-inf")
         self._urgent = asyncio.Event()
-        known.versions.moved = self._urgent.set
+        known.versions.session_moved = self._urgent.set
         known.crashes_found = self._urgent.set
 
     @property
@@ -166,7 +166,7 @@
             except TransportError as error:
                 self._known.tallies.add(tallies)
                 self._known.kept.put_back(reads)
-                self._known.pace.put_back(rates)
+                self._known.pace.restore_rates(rates)
                 if self._now_ms() > late_ms and not woken:
                     # The time ran out while this process stood still, which tells
                     # nothing of the core. Taken for a loss of the core, what was
@@ -264,7 +264,7 @@
             self._news.rollout_number,
             wait_ms,
             tallies,
-            self._known.versions.sessions_to_tell(self._now_ms()),
+            self._known.versions.sessions_to_report(self._now_ms()),
             reads,
             self._news.reads_known,
             gateways_digest(self._known.gateways),
--- a/ashlatch/gateway/versions.py
+++ b/ashlatch/gateway/versions.py
@@ -14,16 +14,16 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from ashlatch.catalog import Rollout, RolloutStage, SessionMarks
+from ashlatch.catalog import Rollout, RolloutStage, SessionHashes
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.routing import fraction
 from ashlatch.gateway.sessions import (
-    MARKS,
+    HASH_RANGE,
     MOVABLE_SHARE,
-    RunningMarks,
+    RunningSessions,
     SessionMoves,
     SessionVersions,
-    session_mark,
+    session_hash,
 )
 from ashlatch.policy.endpoint import rank
 from ashlatch.policy.permission import Barrier
@@ -37,7 +37,7 @@
 # How busy the one endpoint of a load test is made: nearly all of its places.
 LOAD_TEST_UTILISATION = 0.9
 # All gateways in touch have heard that a trial has begun after this time.
-TRIAL_HEARD_MS = 1000.0
+TRIAL_PROPAGATION_MS = 1000.0
 
 
 class VersionReason(enum.Enum):
@@ -76,7 +76,7 @@
     states: list[EndpointState]
     reason: VersionReason
     session_age_ms: float = -1.0
-    otherwise: "AllowedEndpoints | None" = None
+    fallback: "AllowedEndpoints | None" = None
 
     @property
     def evacuated(self) -> int:
@@ -90,7 +90,7 @@
     reason: VersionReason
 
 
-def _nothing_moved() -> None:
+def _ignore_move() -> None:
     """Nobody waits for moves yet."""
 
 
@@ -103,35 +103,39 @@
 
     sessions: SessionVersions
     rollouts: dict[str, Rollout] = field(default_factory=dict)
-    moved: Callable[[], None] = _nothing_moved
-    _held_marks: dict[str, tuple[int, frozenset[int]]] = field(default_factory=dict)
+    session_moved: Callable[[], None] = _ignore_move
+    _held_hashes: dict[str, tuple[int, frozenset[int]]] = field(default_factory=dict)
     _moves: dict[str, SessionMoves] = field(default_factory=dict)
-    _running: dict[str, RunningMarks] = field(default_factory=dict)
+    _running: dict[str, RunningSessions] = field(default_factory=dict)
     # When each service's trial was first heard to have begun.
-    _begun_ms: dict[str, float] = field(default_factory=dict)
+    _trial_begun_ms: dict[str, float] = field(default_factory=dict)
 
-    def learn(self, rollouts: Iterable[Rollout], now_ms: float = 0.0) -> list[Rollout]:
+    def apply_rollouts(
+        self, rollouts: Iterable[Rollout], now_ms: float = 0.0
+    ) -> list[Rollout]:
         """Take what is newer than known, and return it."""
         newer = [r for r in rollouts if r.number > self._number(r.service)]
         for rollout in newer:
             if self._awaits_trial(rollout.service):
-                self._begun_ms[rollout.service] = now_ms
+                self._trial_begun_ms[rollout.service] = now_ms
             self.rollouts[rollout.service] = rollout
-            self._moves_to(rollout.service, rollout.version).learn(rollout)
+            self._moves_to(rollout.service, rollout.version).apply(rollout)
         return newer
 
-    def hear_move(self, service: str, session: str, version: str) -> None:
+    def apply_peer_move(self, service: str, session: str, version: str) -> None:
         """Another gateway's load test has moved a session to the version."""
-        mark = session_mark(version, session)
-        self._moves_to(service, version).note(mark, here=False)
+        mark = session_hash(version, session)
+        self._moves_to(service, version).record(mark, here=False)
 
-    def hear_running(self, service: str, version: str, mark: int) -> None:
+    def apply_peer_running(
+        self, service: str, version: str, session_id_hash: int
+    ) -> None:
         """Another gateway has sent a session to the version before this one."""
         known = self.rollouts.get(service)
         if known is None or known.version == version:
-            self._running_beside(service, version).note(mark)
+            self._running_on_other(service, version).record(session_id_hash)
 
-    def note_running(self, service: str, session: str, version: str) -> int | None:
+    def record_running(self, service: str, session: str, version: str) -> int | None:
         """A request goes to a version; the mark of its session if others must hear.
 
         They must when a trial may begin at any moment: a session that runs by then
@@ -140,19 +144,19 @@
         rollout = self.rollouts.get(service)
         if not session or rollout is None or not self._awaits_trial(service):
             return None
-        mark = session_mark(rollout.version, session)
+        mark = session_hash(rollout.version, session)
         if version == rollout.version:
             return None
-        running = self._running_beside(service, rollout.version)
-        return mark if running.note(mark) else None
+        running = self._running_on_other(service, rollout.version)
+        return mark if running.record(mark) else None
 
-    def note_move(
+    def record_move(
         self,
         service: str,
         session: str,
         version: str,
         now_ms: float = 0.0,
-        alone: bool = False,
+        isolated: bool = False,
     ) -> bool:
         """A request goes to the version; whether others must hear of its session.
 
@@ -163,29 +167,29 @@
         rollout = self.rollouts.get(service)
         if not session or rollout is None or rollout.version != version:
             return False
-        mark = session_mark(version, session)
+        mark = session_hash(version, session)
         if rollout.stage is RolloutStage.TRIAL:
-            return self._begins_in_trial(rollout, mark, now_ms, alone)
+            return self._starts_in_trial(rollout, mark, now_ms, isolated)
         if rollout.stage is not RolloutStage.LOAD_TEST:
             return False
         moves = self._moves_to(service, version)
-        if mark < rollout.share * MARKS or mark in moves.marks:
+        if mark < rollout.share * HASH_RANGE or mark in moves.hashes:
             return False
-        moves.note(mark, here=True)
-        self.moved()
+        moves.record(mark, here=True)
+        self.session_moved()
         return True
 
-    def _begins_in_trial(
-        self, rollout: Rollout, mark: int, now_ms: float, alone: bool
+    def _starts_in_trial(
+        self, rollout: Rollout, mark: int, now_ms: float, isolated: bool
     ) -> bool:
         """Whether a session of the trial's share is new, and the trial is too."""
-        age_ms = now_ms - self._begun_ms.get(rollout.service, float("-inf"))
+        age_ms = now_ms - self._trial_begun_ms.get(rollout.service, float("-inf"))
         moves = self._moves_to(rollout.service, rollout.version)
-        if (age_ms > TRIAL_HEARD_MS and not alone) or mark in moves.marks:
+        if (age_ms > TRIAL_PROPAGATION_MS and not isolated) or mark in moves.hashes:
             return False
-        moves.note(mark, here=alone)
-        if alone:
-            self.moved()
+        moves.record(mark, here=isolated)
+        if isolated:
+            self.session_moved()
         return True
 
     def _awaits_trial(self, service: str) -> bool:
@@ -195,10 +199,10 @@
             return False
         return rollout.share == 0.0
 
-    def _running_beside(self, service: str, version: str) -> RunningMarks:
+    def _running_on_other(self, service: str, version: str) -> RunningSessions:
         running = self._running.get(service)
         if running is None or running.version != version:
-            running = self._running[service] = RunningMarks(version)
+            running = self._running[service] = RunningSessions(version)
         return running
 
     def _moves_to(self, service: str, version: str) -> SessionMoves:
@@ -234,7 +238,7 @@
         if rollout.stage is RolloutStage.ROLLED_BACK:
             return AllowedEndpoints(old, VersionReason.ROLLED_BACK, age_ms)
         if rollout.stage is RolloutStage.LOAD_TEST:
-            tested = _tested(rollout, new, now_ms)
+            tested = _endpoint_under_test(rollout, new, now_ms)
             if tested and tested[0].endpoint.instance not in tried:
                 return AllowedEndpoints(tested, VersionReason.LOAD_TEST, age_ms)
             # The tested endpoint is busy enough, or away: as in the trial.
@@ -258,19 +262,19 @@
         before = self.sessions.version(rollout.service, session, now_ms)
         if before == rollout.version:
             return _Preference(True, VersionReason.SESSION)
-        mark = session_mark(rollout.version, session)
-        if session and mark in self._moves_to(rollout.service, rollout.version).marks:
+        mark = session_hash(rollout.version, session)
+        if session and mark in self._moves_to(rollout.service, rollout.version).hashes:
             return _Preference(True, VersionReason.MOVED)
         if rollout.stage is RolloutStage.TRIAL and session:
             if before:
                 return _Preference(False, VersionReason.STAYS)
-            running = self._running_beside(rollout.service, rollout.version)
-            if mark in self._held(rollout) or mark in running.marks:
+            running = self._running_on_other(rollout.service, rollout.version)
+            if mark in self._held(rollout) or mark in running.hashes:
                 return _Preference(False, VersionReason.HELD)
         place = fraction(f"{rollout.version}/{session or request_id}")
         return _Preference(place < rollout.share, VersionReason.SHARE)
 
-    def sessions_to_tell(self, now_ms: float) -> tuple[SessionMarks, ...]:
+    def sessions_to_report(self, now_ms: float) -> tuple[SessionHashes, ...]:
         """The sessions that all gateways have to know of.
 
         Those that run here and that a trial which has not begun yet might move,
@@ -279,24 +283,24 @@
         found = []
         for rollout in self.rollouts.values():
             if rollout.stage is not RolloutStage.TRIAL or rollout.share > 0:
-                untold = self._moves_to(rollout.service, rollout.version).untold
+                untold = self._moves_to(rollout.service, rollout.version).unreported
                 if untold and rollout.share < 1.0:
                     moved = tuple(sorted(untold))
                     trial = rollout.stage is RolloutStage.TRIAL
                     version = rollout.version if trial else ""
-                    found.append(SessionMarks(rollout.service, (), moved, version))
+                    found.append(SessionHashes(rollout.service, (), moved, version))
                 continue
             sessions = self.sessions.running(rollout.service, now_ms)
-            marks = (session_mark(rollout.version, s) for s in sessions)
-            movable = tuple(m for m in marks if m < MOVABLE_SHARE * MARKS)
-            found.append(SessionMarks(rollout.service, movable))
+            marks = (session_hash(rollout.version, s) for s in sessions)
+            movable = tuple(m for m in marks if m < MOVABLE_SHARE * HASH_RANGE)
+            found.append(SessionHashes(rollout.service, movable))
         return tuple(found)
 
     def _held(self, rollout: Rollout) -> frozenset[int]:
-        known = self._held_marks.get(rollout.service)
+        known = self._held_hashes.get(rollout.service)
         if known is None or known[0] != rollout.number:
             known = (rollout.number, frozenset(rollout.held))
-            self._held_marks[rollout.service] = known
+            self._held_hashes[rollout.service] = known
         return known[1]
 
     def _number(self, service: str) -> int:
@@ -304,7 +308,7 @@
         return known.number if known else 0
 
 
-def _tested(
+def _endpoint_under_test(
     rollout: Rollout, new: list[EndpointState], now_ms: float
 ) -> list[EndpointState]:
     """The endpoint that is tested under load, while it is not busy enough.
--- a/tests/crash_play.py
+++ b/tests/crash_play.py
@@ -124,7 +124,9 @@
         known.table = table
         for n in range(20):
             tokens = SUBJECT_TOKENS
-            known.pace.began("app", MODEL, tokens, tokens * TOKEN_MS, float(n))
+            known.pace.record_first_event(
+                "app", MODEL, tokens, tokens * TOKEN_MS, float(n)
+            )
         return known
 
     def _start_engine(self) -> None:
--- a/tests/engines.py
+++ b/tests/engines.py
@@ -153,7 +153,9 @@
         known.gateways = vms
         known.directory.replace(listed, 0.0)
         for n in range(20):
-            known.pace.began("app", MODEL, 5000, 5000 * self.TOKEN_MS, float(n))
+            known.pace.record_first_event(
+                "app", MODEL, 5000, 5000 * self.TOKEN_MS, float(n)
+            )
         peers = GatewayPeers(known)
         peers._own = vm
         peers._transport = cast(Any, self)
@@ -255,7 +257,7 @@
             self.now_ms,
         )
         assert chosen is not None and chosen.forecast is not None
-        state, read_ms = chosen.state, chosen.forecast.read_ms
+        state, read_ms = chosen.state, chosen.forecast.prefill_ms
         state.breaker.sent(self.now_ms)
         if self.engines[state.endpoint.instance].crashed:
             self._meets_nobody(known, ask, load, state, tried)
@@ -315,7 +317,7 @@
         def end() -> None:
             engine.running -= 1
             state.load.finished(self.now_ms, None)
-            known.pace.ended("app", self.now_ms - came_ms)
+            known.pace.record_slot_time("app", self.now_ms - came_ms)
             if engine.waiting:
                 engine.waiting.popleft()()
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -288,15 +288,15 @@
     Mutant(
         "moves-by-datagram-only",
         "ashlatch/gateway/sessions.py",
-        "        self.marks.update(rollout.moved)\n",
+        "        self.hashes.update(rollout.moved)\n",
         "",
         SESSIONS,
     ),
     Mutant(
         "moves-wait-for-the-next-question",
         "ashlatch/gateway/versions.py",
-        "        moves.note(mark, here=True)\n        self.moved()\n",
-        "        moves.note(mark, here=True)\n",
+        "        moves.record(mark, here=True)\n        self.session_moved()\n",
+        "        moves.record(mark, here=True)\n",
         SYNC,
     ),
     Mutant(
@@ -311,8 +311,8 @@
         "end-of-answer-moves-session",
         "ashlatch/gateway/sessions.py",
         "        if seen is None or seen.version == version:\n"
-        "            self.note(service, session, version, now_ms)",
-        "        self.note(service, session, version, now_ms)",
+        "            self.record(service, session, version, now_ms)",
+        "        self.record(service, session, version, now_ms)",
         CHOOSING,
     ),
     Mutant(
@@ -332,7 +332,7 @@
     Mutant(
         "over-rollouts-are-told",
         "ashlatch/gateway/sessions.py",
-        "            self.untold.clear()\n",
+        "            self.unreported.clear()\n",
         "            pass\n",
         CHOOSING,
     ),
@@ -438,7 +438,7 @@
     Mutant(
         "suspects-go-together",
         "ashlatch/gateway/choice.py",
-        "    if apart:\n",
+        "    if isolated:\n",
         "    if False:\n",
         CRASH_LOAD,
     ),
@@ -522,7 +522,7 @@
     Mutant(
         "full-engines-cost-nothing",
         "ashlatch/gateway/forecast.py",
-        "        return max(0.0, beyond) * self._held_ms / slots\n",
+        "        return max(0.0, beyond) * self._slot_time_ms / slots\n",
         "        return 0.0 * beyond\n",
         ENGINES,
     ),
@@ -704,7 +704,7 @@
     Mutant(
         "silent-request-left-for-a-limited-endpoint",
         "ashlatch/gateway/exchange.py",
-        "if self._chooser.choose(self._model, unlimited=True) is None:",
+        "if self._chooser.choose(self._model, exclude_limited=True) is None:",
         "if self._chooser.choose(self._model) is None:",
         RATE_LIMITS,
     ),
@@ -886,7 +886,7 @@
     Mutant(
         "new-sessions-of-a-trial-untold",
         "ashlatch/gateway/versions.py",
-        "            return self._begins_in_trial(rollout, mark, now_ms, alone)\n",
+        "            return self._starts_in_trial(rollout, mark, now_ms, isolated)\n",
         "            return False\n",
         TRIAL_BEGINS,
     ),
--- a/tests/session_play.py
+++ b/tests/session_play.py
@@ -138,14 +138,14 @@
             self.at(heard_ms, partial(self._learn, known, rollout))
 
     def _learn(self, known: Knowledge, rollout: Rollout) -> None:
-        known.versions.learn([rollout], self.now_ms)
+        known.versions.apply_rollouts([rollout], self.now_ms)
 
     def _begin_trial(self) -> None:
         held: set[int] = set()
         for known in self.gateways:
             age_ms = self.random.uniform(0.0, QUESTION_MS)
             age_ms += self.random.uniform(0.0, FOLLOW_MS)
-            for told in known.versions.sessions_to_tell(self.now_ms):
+            for told in known.versions.sessions_to_report(self.now_ms):
                 begun = self._begun_before(known, self.now_ms - age_ms)
                 held.update(mark for mark in told.marks if mark in begun)
         self._record(
@@ -158,10 +158,10 @@
     def _begun_before(self, known: Knowledge, at_ms: float) -> set[int]:
         """The marks of the sessions that ran at a gateway when it last told of them."""
         versions = known.versions.sessions
-        kept = {k: s for k, s in versions._seen.items() if s.at_ms <= at_ms}
+        kept = {k: s for k, s in versions._last_requests.items() if s.at_ms <= at_ms}
         older = VersionChooser(SessionVersions(SESSION_MS, kept))
-        older.learn(known.versions.rollouts.values())
-        return {m for told in older.sessions_to_tell(at_ms) for m in told.marks}
+        older.apply_rollouts(known.versions.rollouts.values())
+        return {m for told in older.sessions_to_report(at_ms) for m in told.marks}
 
     def _request(self, session: _Session) -> None:
         known = self.random.choice(self.gateways)
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -176,7 +176,7 @@
             )
             self.known.directory.replace(EndpointList(1, 2, listed), 0.0)
             test = Rollout("app", "v2", RolloutStage.LOAD_TEST, 0.0, 1, 1000.0)
-            self.known.versions.learn([test])
+            self.known.versions.apply_rollouts([test])
             tested = rank(("i-0", "i-1"), "v2")[0]
             self.state(tested).backoff.request(5000.0, self.now_ms())
 
@@ -212,8 +212,8 @@
             )
             self.known.directory.replace(EndpointList(1, 2, listed), 0.0)
             trial = Rollout("app", "v2", RolloutStage.TRIAL, 0.1, 1, 1000.0)
-            self.known.versions.learn([trial])
-            self.known.versions.sessions.note("app", "s1", "v2", self.now_ms())
+            self.known.versions.apply_rollouts([trial])
+            self.known.versions.sessions.record("app", "s1", "v2", self.now_ms())
             self.state("i-0").backoff.request(3000.0, self.now_ms())
 
         ((status, text),) = self.play(
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -4,13 +4,13 @@
 
 import testtools
 
-from ashlatch.catalog import Endpoint, Rollout, RolloutStage, SessionMarks
+from ashlatch.catalog import Endpoint, Rollout, RolloutStage, SessionHashes
 from ashlatch.gateway.budget import BudgetTerms, RepeatBudget
 from ashlatch.gateway.directory import REPLACED_MS, EndpointState
 from ashlatch.gateway.events import EventSplitter
-from ashlatch.gateway.latency_model import Pace
+from ashlatch.gateway.latency_model import LatencyModel
 from ashlatch.gateway.routing import RouteTable
-from ashlatch.gateway.sessions import SessionVersions, session_mark
+from ashlatch.gateway.sessions import SessionVersions, session_hash
 from ashlatch.gateway.versions import VersionChooser, VersionReason
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES, Candidate
@@ -31,7 +31,9 @@
         )
 
     def learn(self, stage: RolloutStage, share: float, number: int) -> None:
-        self.chooser.learn([Rollout("app", "v2", stage, share, number, 1000.0)])
+        self.chooser.apply_rollouts(
+            [Rollout("app", "v2", stage, share, number, 1000.0)]
+        )
 
     def versions(self, session: str, at_ms: float = 0.0) -> set[str]:
         allowed = self.chooser.allowed("app", session, "r1", self.states, at_ms)
@@ -42,11 +44,11 @@
         self.learn(RolloutStage.SHIFT, 1.0, 1)
         states = self.states
         drawn = self.chooser.allowed("app", "", "r1", states, 0.0)
-        assert drawn.otherwise is not None
-        spared = {s.endpoint.version for s in drawn.otherwise.states}
+        assert drawn.fallback is not None
+        spared = {s.endpoint.version for s in drawn.fallback.states}
         self.assertEqual({"v1"}, spared)
         session = self.chooser.allowed("app", "s", "r1", states, 0.0)
-        self.assertIs(None, session.otherwise)
+        self.assertIs(None, session.fallback)
 
     def test_a_load_test_leaves_limited_endpoints_alone(self) -> None:
         self.learn(RolloutStage.LOAD_TEST, 1.0, 1)
@@ -71,7 +73,7 @@
 
     def test_running_sessions_stay_in_the_trial(self) -> None:
         self.learn(RolloutStage.TRIAL, 1.0, 1)
-        self.sessions.note("app", "old", "v1", 0.0)
+        self.sessions.record("app", "old", "v1", 0.0)
         self.assertEqual({"v1"}, self.versions("old", 4000.0))
         self.assertEqual({"v2"}, self.versions("old", 7000.0))
 
@@ -80,43 +82,43 @@
         self.learn(RolloutStage.TRIAL, 0.0, 1)
         sessions = [f"s{n}" for n in range(400)]
         for session in sessions:
-            self.sessions.note("app", session, "v1", 0.0)
-        self.sessions.note("other", "s", "v1", 0.0)
-        (told,) = self.chooser.sessions_to_tell(1000.0)
+            self.sessions.record("app", session, "v1", 0.0)
+        self.sessions.record("other", "s", "v1", 0.0)
+        (told,) = self.chooser.sessions_to_report(1000.0)
         self.assertTrue(60 < len(told.marks) < 140, len(told.marks))
-        self.assertEqual((), self.chooser.sessions_to_tell(20_000.0)[0].marks)
+        self.assertEqual((), self.chooser.sessions_to_report(20_000.0)[0].marks)
         elsewhere = VersionChooser(SessionVersions(5000.0))
         begun = Rollout(
             "app", "v2", RolloutStage.TRIAL, 0.25, 2, 1000.0, held=told.marks
         )
         for chooser in (elsewhere, self.chooser):
-            chooser.learn([begun])
+            chooser.apply_rollouts([begun])
             for session in sessions:
                 allowed = chooser.allowed("app", session, "r", self.states, 20_000.0)
                 self.assertEqual("v1", allowed.states[0].endpoint.version)
-        self.assertEqual((), elsewhere.sessions_to_tell(0.0))
+        self.assertEqual((), elsewhere.sessions_to_report(0.0))
 
     def test_sessions_do_not_come_back(self) -> None:
         self.learn(RolloutStage.SHIFT, 0.0, 1)
-        self.sessions.note("app", "new", "v2", 0.0)
+        self.sessions.record("app", "new", "v2", 0.0)
         self.assertEqual({"v2"}, self.versions("new", 1000.0))
         self.assertEqual({"v1"}, self.versions("other", 1000.0))
 
     def test_an_end_moves_no_session(self) -> None:
         """An answer of the old version ends behind the next request's beginning."""
-        self.sessions.note("app", "s", "v2", 0.0)
-        self.sessions.ended("app", "s", "v1", 1000.0)
+        self.sessions.record("app", "s", "v2", 0.0)
+        self.sessions.record_end("app", "s", "v1", 1000.0)
         self.assertEqual("v2", self.sessions.version("app", "s", 2000.0))
-        self.sessions.ended("app", "s", "v2", 4000.0)
+        self.sessions.record_end("app", "s", "v2", 4000.0)
         self.assertEqual("v2", self.sessions.version("app", "s", 9000.0))
-        self.sessions.ended("app", "other", "v1", 4000.0)
+        self.sessions.record_end("app", "other", "v1", 4000.0)
         self.assertEqual("v1", self.sessions.version("app", "other", 5000.0))
 
     def test_final(self) -> None:
         self.learn(RolloutStage.COMPLETED, 1.0, 1)
         self.assertEqual({"v2"}, self.versions("s"))
         self.learn(RolloutStage.ROLLED_BACK, 0.0, 2)
-        self.sessions.note("app", "s", "v2", 0.0)
+        self.sessions.record("app", "s", "v2", 0.0)
         self.assertEqual({"v1"}, self.versions("s"))
         self.states = [self.state("v2")]
         self.assertEqual(set(), self.versions("s"))
@@ -132,7 +134,7 @@
         for _ in range(8):
             tested.states[0].sent(0.0)
         self.assertEqual({"v1"}, self.versions("s"))
-        self.sessions.note("app", "s", "v2", 0.0)
+        self.sessions.record("app", "s", "v2", 0.0)
         self.assertEqual({"v2"}, self.versions("s"))
 
     def test_a_load_test_without_its_endpoint(self) -> None:
@@ -160,31 +162,31 @@
             expected = "v2" if session in moved else "v1"
             self.assertEqual({expected}, self.versions(session))
 
-    def moved_here(self) -> tuple[SessionMarks, ...]:
-        return self.chooser.sessions_to_tell(0.0)
+    def moved_here(self) -> tuple[SessionHashes, ...]:
+        return self.chooser.sessions_to_report(0.0)
 
     def test_moves_are_told_until_the_record_names_them(self) -> None:
         """A session of the share is none: all gateways know it by the share."""
         self.learn(RolloutStage.LOAD_TEST, 0.1, 1)
         sessions = [f"s{n}" for n in range(100)]
-        told = [s for s in sessions if self.chooser.note_move("app", s, "v2")]
+        told = [s for s in sessions if self.chooser.record_move("app", s, "v2")]
         self.assertTrue(80 <= len(told) < 100, len(told))
-        self.assertFalse(self.chooser.note_move("app", told[0], "v2"))
-        marks = tuple(sorted(session_mark("v2", s) for s in told))
-        self.assertEqual((SessionMarks("app", (), marks),), self.moved_here())
+        self.assertFalse(self.chooser.record_move("app", told[0], "v2"))
+        marks = tuple(sorted(session_hash("v2", s) for s in told))
+        self.assertEqual((SessionHashes("app", (), marks),), self.moved_here())
         record = Rollout(
             "app", "v2", RolloutStage.SETTLE, 0.1, 2, 1000.0, moved=marks[1:]
         )
-        self.chooser.learn([record])
-        self.assertEqual((SessionMarks("app", (), marks[:1]),), self.moved_here())
-        self.assertFalse(self.chooser.note_move("app", "later", "v2"))
+        self.chooser.apply_rollouts([record])
+        self.assertEqual((SessionHashes("app", (), marks[:1]),), self.moved_here())
+        self.assertFalse(self.chooser.record_move("app", "later", "v2"))
 
     def test_nothing_is_told_of_a_rollout_that_is_over(self) -> None:
         for number, stage in enumerate(
             (RolloutStage.ROLLED_BACK, RolloutStage.COMPLETED), 1
         ):
             self.learn(RolloutStage.LOAD_TEST, 0.0, 2 * number)
-            self.assertTrue(self.chooser.note_move("app", f"s{number}", "v2"))
+            self.assertTrue(self.chooser.record_move("app", f"s{number}", "v2"))
             self.learn(stage, 0.0, 2 * number + 1)
             self.assertEqual((), self.moved_here())
 
@@ -246,20 +248,22 @@
 
 class PaceTest(testtools.TestCase):
     def test_wait_follows_and_fades(self) -> None:
-        pace = Pace()
+        pace = LatencyModel()
         self.assertEqual(0.0, pace.expected_ms("app", "m", 10, 0.0))
         for at_ms in range(0, 3000, 100):
-            pace.began("app", "m", 10, 1000.0, float(at_ms))
+            pace.record_first_event("app", "m", 10, 1000.0, float(at_ms))
         self.assertTrue(950 < pace.expected_ms("app", "m", 10, 3000.0) < 1100)
         self.assertTrue(pace.expected_ms("app", "m", 10, 10_000.0) < 100)
 
     def test_long_prompts(self) -> None:
         """0.03 ms a token, and a wait that comes on top now and then."""
-        pace = Pace()
+        pace = LatencyModel()
         for n in range(200):
             wait_ms = 400.0 if n % 5 == 0 else 40.0
             tokens = 2000 + 100 * (n % 30)
-            pace.began("app", "m", tokens, 0.03 * tokens + wait_ms, n * 50.0)
+            pace.record_first_event(
+                "app", "m", tokens, 0.03 * tokens + wait_ms, n * 50.0
+            )
         expected_ms = pace.expected_ms("app", "m", 50_000, 10_000.0)
         self.assertTrue(1500 < expected_ms < 3500, expected_ms)
         self.assertTrue(pace.expected_ms("app", "m", 500, 10_000.0) < 500)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -315,7 +315,9 @@
 
     def test_a_load_test_leaves_cold_endpoints_alone(self) -> None:
         chooser = VersionChooser(SessionVersions(5000.0))
-        chooser.learn([Rollout("app", "v1", RolloutStage.LOAD_TEST, 1.0, 1, 1000.0)])
+        chooser.apply_rollouts(
+            [Rollout("app", "v1", RolloutStage.LOAD_TEST, 1.0, 1, 1000.0)]
+        )
         states = [EndpointState(endpoint(f"i{n}")) for n in range(4)]
         (tested,) = chooser.allowed("app", "s", "r", states, 0.0).states
         tested.warms_up(1000.0)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -237,7 +237,9 @@
         self.directory.replace(EndpointList(1, 2, (*listed, stays)), 0.0)
         self.directory.evacuate(Evacuations(1, ("b",)))
         chooser = VersionChooser(SessionVersions(5000.0))
-        chooser.learn([Rollout("app", "v2", RolloutStage.LOAD_TEST, 0.1, 1, 1000.0)])
+        chooser.apply_rollouts(
+            [Rollout("app", "v2", RolloutStage.LOAD_TEST, 0.1, 1, 1000.0)]
+        )
         states = self.directory.of_service("app")
         allowed = chooser.allowed("app", "s", "r", states, 0.0)
         self.assertEqual(["i4"], [s.endpoint.instance for s in allowed.states])
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -9,7 +9,7 @@
 from ashlatch.gateway.choice import Choice, choose_endpoint, engine_urgency
 from ashlatch.gateway.forecast import Forecast, Send
 from ashlatch.gateway.knowledge import Knowledge
-from ashlatch.gateway.latency_model import Pace
+from ashlatch.gateway.latency_model import LatencyModel
 from ashlatch.gateway.message import Ask, LoadFigures, PromptPart
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
@@ -68,8 +68,8 @@
     )
     known.directory.replace(EndpointList(1, 1, endpoints), 0.0)
     for n in range(20):
-        known.pace.began("app", "large", 5000, 400.0, float(n))
-        known.pace.began("app", "small", 5000, 40.0, float(n))
+        known.pace.record_first_event("app", "large", 5000, 400.0, float(n))
+        known.pace.record_first_event("app", "small", 5000, 40.0, float(n))
     return known
 
 
@@ -105,7 +105,7 @@
         chosen = self.choose(LONG, "large")
         self.assertEqual("i-far", chosen.state.endpoint.instance)
         assert chosen.forecast is not None
-        self.assertEqual(4000, chosen.forecast.read_tokens)
+        self.assertEqual(4000, chosen.forecast.prefill_tokens)
         # The small model reads it sooner than the body has crossed the halls.
         self.read("i-far", "small", SUBJECT)
         self.assertEqual("i-near", self.instance(LONG, "small"))
@@ -159,18 +159,20 @@
 class PaceRateTest(testtools.TestCase):
     def test_waits_do_not_make_reading_slow(self) -> None:
         """0.09 ms a token; three in four waited behind others, a few were kept."""
-        pace = Pace()
+        pace = LatencyModel()
         for n in range(60):
             wait_ms = (0.0, 300.0, 700.0, 1500.0)[n % 4]
             first_ms = 100.0 if n % 15 == 0 else 0.09 * 6000 + wait_ms
-            pace.began("app", "large", 6000, first_ms, n * 100.0)
+            pace.record_first_event("app", "large", 6000, first_ms, n * 100.0)
         self.assertTrue(0.08 < pace.token_ms("app", "large") < 0.11)
 
     def test_a_rate_that_is_too_high_is_corrected(self) -> None:
         """After a start the first answer waited long; then all waits look long."""
-        pace = Pace()
-        pace.began("app", "small", 6000, 2000.0, 0.0)
+        pace = LatencyModel()
+        pace.record_first_event("app", "small", 6000, 2000.0, 0.0)
         self.assertTrue(pace.token_ms("app", "small") > 0.3)
         for n in range(3):
-            pace.began("app", "small", 6000, 100.0, n * 100.0, foreseen_ms=2000.0)
+            pace.record_first_event(
+                "app", "small", 6000, 100.0, n * 100.0, predicted_ms=2000.0
+            )
         self.assertTrue(pace.token_ms("app", "small") < 0.02)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -366,7 +366,9 @@
             moved = Endpoint("i-0", "app", worker.address, "hall-1", "v2", 8, False)
             self.known.directory.replace(EndpointList(1, 2, (moved,)), 0.0)
             stage = RolloutStage.LOAD_TEST
-            self.known.versions.learn([Rollout("app", "v2", stage, 0.1, 1, 1000.0)])
+            self.known.versions.apply_rollouts(
+                [Rollout("app", "v2", stage, 0.1, 1, 1000.0)]
+            )
             for _ in range(2):
                 await self.call(ask("/stream/1", ASK_STREAM))
             moves = [n for n in told if isinstance(n, SessionMoved)]
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -8,7 +8,7 @@
     EndpointList,
     Rollout,
     RolloutStage,
-    SessionMarks,
+    SessionHashes,
 )
 from ashlatch.fleet.leader import RolloutKeeper
 from ashlatch.fleet.verdict import DEFAULT_PLAN
@@ -37,7 +37,7 @@
         order = Rollout("app", "v2", RolloutStage.TRIAL, 0.0, 1, 20_000.0)
         keeper.observe((order,), 0.0)
         self.assertEqual([], list(keeper.moves((order,), self.LISTED, 500.0)))
-        keeper.tell_sessions((SessionMarks("app", (7, 9)),))
+        keeper.tell_sessions((SessionHashes("app", (7, 9)),))
         (move,) = keeper.moves((order,), self.LISTED, 1600.0)
         self.assertEqual((0.1, (7, 9)), (move.share, move.held))
         begun = Rollout(
@@ -54,7 +54,7 @@
         keeper.observe((known,), 0.0)
         self.assertEqual([], list(keeper.moves((known,), self.LISTED, 50.0)))
         for told, expected in (((5,), (5,)), ((3, 5), (3, 5)), ((8,), (3, 5, 8))):
-            keeper.tell_sessions((SessionMarks("app", (), told),))
+            keeper.tell_sessions((SessionHashes("app", (), told),))
             (move,) = keeper.moves((known,), self.LISTED, 100.0)
             self.assertEqual(expected, move.moved)
             known = msgspec.structs.replace(known, moved=move.moved)
@@ -69,7 +69,7 @@
         keeper = RolloutKeeper()
         begun = Rollout("app", "v3", RolloutStage.TRIAL, 0.1, 9, 20_000.0, 2000.0)
         keeper.observe((begun,), 0.0)
-        keeper.tell_sessions((SessionMarks("app", (), (5,)),))
+        keeper.tell_sessions((SessionHashes("app", (), (5,)),))
         (move,) = keeper.moves((begun,), self.LISTED, 3000.0)
         self.assertEqual((), move.moved)
 
@@ -77,8 +77,8 @@
         keeper = RolloutKeeper()
         begun = Rollout("app", "v3", RolloutStage.TRIAL, 0.1, 9, 20_000.0, 2000.0)
         keeper.observe((begun,), 0.0)
-        told = tuple(SessionMarks("app", (), (n,), f"v{n}") for n in (2, 3))
-        keeper.tell_sessions((*told, SessionMarks("app", (), (5,))))
+        told = tuple(SessionHashes("app", (), (n,), f"v{n}") for n in (2, 3))
+        keeper.tell_sessions((*told, SessionHashes("app", (), (5,))))
         (move,) = keeper.moves((begun,), self.LISTED, 100.0)
         self.assertEqual((3,), move.moved)
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -109,7 +109,7 @@
         """The hearer keeps the session that was told, and no other, on its version."""
         versions = self.hearer.versions
         stage = RolloutStage.SETTLE
-        versions.learn([Rollout("app", "v2", stage, 0.0, 1, 1000.0)])
+        versions.apply_rollouts([Rollout("app", "v2", stage, 0.0, 1, 1000.0)])
         states = [
             EndpointState(Endpoint(f"i-{v}", "app", "a:1", "h", v, 8, False))
             for v in ("v1", "v2")
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -148,7 +148,7 @@
             )
             self.known.directory.replace(EndpointList(1, 2, listed), 0.0)
             trial = Rollout("app", "v2", RolloutStage.TRIAL, 0.5, 1, 1000.0)
-            self.known.versions.learn([trial])
+            self.known.versions.apply_rollouts([trial])
 
         self.prepare = prepare  # type: ignore[method-assign]
         one_id = ask("/get/1")
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -55,10 +55,10 @@
 from ashlatch.gateway.peers import GatewayPeers
 from ashlatch.gateway.session_updates import announce_session
 from ashlatch.gateway.sessions import (
-    MARKS,
+    HASH_RANGE,
     MOVABLE_SHARE,
     SessionVersions,
-    session_mark,
+    session_hash,
 )
 from ashlatch.gateway.tally import Tally, TallyKey
 from ashlatch.gateway.versions import VersionChooser
@@ -131,7 +131,7 @@
             seen = ""
             for record in good_rollout(3):
                 chooser = VersionChooser(SessionVersions(5000.0))
-                chooser.learn([record])
+                chooser.apply_rollouts([record])
                 allowed = chooser.allowed("app", session, "r", states, 0.0)
                 (state,) = allowed.states
                 self.assertNotEqual(("v2", "v1"), (seen, state.endpoint.version))
@@ -149,7 +149,7 @@
     )
     known.directory.replace(EndpointList(1, 1, (OLD, NEW)), 0.0)
     stage = RolloutStage.SETTLE
-    known.versions.learn([Rollout("app", "v2", stage, 0.1, 1, DURATION_MS)])
+    known.versions.apply_rollouts([Rollout("app", "v2", stage, 0.1, 1, DURATION_MS)])
     return known
 
 
@@ -181,9 +181,9 @@
     def test_a_gateway_that_missed_the_message_goes_by_the_record(self) -> None:
         known = gateway_knowledge()
         self.assertEqual("v1", chosen_version(known, "s1", 0.0))
-        mark = session_mark("v2", "s1")
+        mark = session_hash("v2", "s1")
         settled = Rollout("app", "v2", RolloutStage.SETTLE, 0.1, 2, DURATION_MS)
-        known.versions.learn([msgspec.structs.replace(settled, moved=(mark,))])
+        known.versions.apply_rollouts([msgspec.structs.replace(settled, moved=(mark,))])
         self.assertEqual("v2", chosen_version(known, "s1", 0.0))
 
     def test_an_answer_of_the_old_version_ends_after_the_move(self) -> None:
@@ -197,7 +197,7 @@
 
         async def work() -> None:
             running = Rollout("app", "v2", RolloutStage.SETTLE, 0.0, 1, DURATION_MS)
-            self.known.versions.learn([running])
+            self.known.versions.apply_rollouts([running])
             call = asyncio.ensure_future(self.call(ask("/stream/1", ASK_STREAM)))
             while not worker.seen:
                 await asyncio.sleep(0.01)
@@ -259,7 +259,7 @@
         """Have a gateway learn of a trial; what it tells from then on."""
         number = 2 if share == 0.0 else 3
         trial = Rollout("app", "v2", RolloutStage.TRIAL, share, number, DURATION_MS)
-        known.versions.learn([trial], now_ms)
+        known.versions.apply_rollouts([trial], now_ms)
         told: list[PeerNews] = []
         known.tell = told.append
         return told
@@ -271,7 +271,7 @@
         movable = next(
             s
             for s in (f"s{n}" for n in range(99))
-            if session_mark("v2", s) < MOVABLE_SHARE * MARKS
+            if session_hash("v2", s) < MOVABLE_SHARE * HASH_RANGE
         )
         for _ in range(3):
             announce_session(known, "app", movable, "v1", 100.0)
@@ -293,7 +293,7 @@
         known = gateway_knowledge()
         for number, share in ((2, 0.0), (3, 0.07)):
             trial = Rollout("app", "v2", RolloutStage.TRIAL, share, number, DURATION_MS)
-            known.versions.learn([trial], 1000.0 * number)
+            known.versions.apply_rollouts([trial], 1000.0 * number)
         told: list[PeerNews] = []
         known.tell = told.append
         for number in range(100):
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from ashlatch.catalog import CoreVm, EndpointList, GatewayVm, SessionMarks
+from ashlatch.catalog import CoreVm, EndpointList, GatewayVm, SessionHashes
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncReply, SyncRequest, gateways_digest
 from ashlatch.fleet.spread import GATEWAYS_SETTLE_MS, TOLD_MAX, Spread
@@ -19,7 +19,7 @@
     reads: tuple[PromptRead, ...] = (),
     reads_known: tuple[int, int] = (0, 0),
     gateways_known: int = 0,
-    sessions: tuple[SessionMarks, ...] = (),
+    sessions: tuple[SessionHashes, ...] = (),
 ) -> SyncRequest:
     return SyncRequest(
         "vm",
@@ -107,7 +107,7 @@
         self.assertEqual((ONE,), told.gateways)
 
     def test_moved_sessions_reach_the_leader(self) -> None:
-        moved = SessionMarks("app", (), (7,))
+        moved = SessionHashes("app", (), (7,))
         for spread in (self.follower, self.leader):
             self.assertFalse(spread.urgent.is_set())
             asked = request(ONE, sessions=(moved,))
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -12,7 +12,7 @@
     GatewayVm,
     Rollout,
     RolloutStage,
-    SessionMarks,
+    SessionHashes,
 )
 from ashlatch.errors import TransportError
 from ashlatch.fleet.following import LeaderLink
@@ -24,7 +24,7 @@
 from ashlatch.gateway import sync
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.knowledge import Knowledge
-from ashlatch.gateway.sessions import SessionVersions, session_mark
+from ashlatch.gateway.sessions import SessionVersions, session_hash
 from ashlatch.gateway.sync import FleetLink
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
@@ -111,15 +111,15 @@
             tasks.append(asyncio.create_task(link.tell_urgent()))
             await asyncio.sleep(0.1)
             stage = RolloutStage.LOAD_TEST
-            known.versions.learn([Rollout("app", "v2", stage, 0.0, 1, 1000.0)])
+            known.versions.apply_rollouts([Rollout("app", "v2", stage, 0.0, 1, 1000.0)])
             for session in ("s1", "s2"):
-                self.assertTrue(known.versions.note_move("app", session, "v2"))
+                self.assertTrue(known.versions.record_move("app", session, "v2"))
             await asyncio.sleep(self.TOLD_WITHIN_S)
             for task in tasks:
                 task.cancel()
             return book.moved
 
-        marks = tuple(sorted(session_mark("v2", s) for s in ("s1", "s2")))
+        marks = tuple(sorted(session_hash("v2", s) for s in ("s1", "s2")))
         self.assertEqual([(0.0, marks)], asyncio.run(run()))
 
     def test_a_core_vm_tells_the_leader(self) -> None:
@@ -133,7 +133,7 @@
             tasks = [asyncio.create_task(link.follow())]
             tasks.append(asyncio.create_task(link.pass_on()))
             await asyncio.sleep(0.1)
-            told = (SessionMarks("app", (), (7,)),)
+            told = (SessionHashes("app", (), (7,)),)
             spread.asked(SyncRequest("gw", (), 0, (0, 0), 0, 0.0, sessions=told))
             await asyncio.sleep(self.TOLD_WITHIN_S)
             for task in tasks:
