--- a/ashlatch/catalog.py
+++ b/ashlatch/catalog.py
@@ -32,7 +32,7 @@
     "Route",
     "Service",
     "ServiceShare",
-    "SessionMarks",
+    "SessionHashes",
 ]
 
 
@@ -255,7 +255,7 @@
     moved: tuple[int, ...] = ()
 
 
-class SessionMarks(msgspec.Struct, frozen=True):
+class SessionHashes(msgspec.Struct, frozen=True):
     """Sessions of a service that all gateways must know.
 
     `marks` are the hashes of running sessions that a trial might move, `moved` the
--- a/ashlatch/fleet/leader.py
+++ b/ashlatch/fleet/leader.py
@@ -15,23 +15,27 @@
 from dataclasses import dataclass, field
 
 import msgspec
+from ashlatch.fleet.evaluation import DEFAULT_PLAN, Decision, Evidence, decide
 
 from ashlatch.catalog import (
     Endpoint,
     EndpointList,
     Rollout,
     RolloutStage,
-    SessionMarks,
+    SessionHashes,
 )
 from ashlatch.fleet.discovery import ListReader, ListUnreadable
-from ashlatch.fleet.evaluation import DEFAULT_PLAN, Decision, Evidence, decide
 from ashlatch.fleet.exposure import ExposurePlan
 from ashlatch.fleet.logs import ListRead, ListReadFailed, RolloutDecided
 from ashlatch.fleet.machine import FINAL_STAGES, UpdateRollout
 from ashlatch.gateway.tally import Tally
 from ashlatch.log import emit
 
-__all__ = ["ListPoller", "RolloutController"]
+__all__ = [
+    "ListPoller",
+    "RolloutController",
+]
+
 
 log = logging.getLogger("ashlatch.fleet")
 
@@ -140,7 +144,7 @@
     _clocks: dict[str, _RolloutClock] = field(default_factory=dict)
     _newest: dict[str, Rollout] = field(default_factory=dict)
     # By service and the version in whose trial they began, empty for the others.
-    _sessions: dict[tuple[str, str], SessionMarks] = field(default_factory=dict)
+    _sessions: dict[tuple[str, str], SessionHashes] = field(default_factory=dict)
 
     def clear_evidence(self) -> None:
         """Clears the evidence when this VM is not the leader."""
@@ -166,7 +170,7 @@
             if service in self._evidence:
                 self._evidence[service].add(tuple(service_tallies), now_ms)
 
-    def set_sessions(self, sessions: tuple[SessionMarks, ...]) -> None:
+    def set_sessions(self, sessions: tuple[SessionHashes, ...]) -> None:
         """Sets the sessions running before a trial and those moved by a load test."""
         self._sessions = {(s.service, s.trial_version): s for s in sessions}
 
@@ -240,7 +244,7 @@
             rollout, elapsed_ms, evidence, now_ms, ready, plain, self.plan
         )
         changed = (decision.stage, decision.share) != (rollout.stage, rollout.share)
-        no_sessions = SessionMarks(rollout.service, ())
+        no_sessions = SessionHashes(rollout.service, ())
         reported = self._sessions.get((rollout.service, ""), no_sessions)
         begun = self._sessions.get((rollout.service, rollout.version), no_sessions)
         moved = _moved_sessions(rollout, decision, reported, begun)
@@ -270,7 +274,7 @@
 
 
 def _moved_sessions(
-    rollout: Rollout, decision: Decision, reported: SessionMarks, begun: SessionMarks
+    rollout: Rollout, decision: Decision, reported: SessionHashes, begun: SessionHashes
 ) -> tuple[int, ...]:
     """Returns the hashes of moved sessions that stay on the new version.
 
--- a/ashlatch/fleet/protocol.py
+++ b/ashlatch/fleet/protocol.py
@@ -18,7 +18,7 @@
     Evacuations,
     GatewayVm,
     Rollout,
-    SessionMarks,
+    SessionHashes,
 )
 from ashlatch.fleet.machine import Command, Outcome
 from ashlatch.gateway.kept import PromptRead
@@ -65,7 +65,7 @@
     rollout_number: int
     wait_ms: float
     tallies: tuple[Tally, ...] = ()
-    sessions: tuple[SessionMarks, ...] = ()
+    sessions: tuple[SessionHashes, ...] = ()
     prefills: tuple[PromptRead, ...] = ()
     prefills_known: tuple[int, int] = (0, 0)
     gateways_known: int = 0
--- a/ashlatch/fleet/soft_state.py
+++ b/ashlatch/fleet/soft_state.py
@@ -16,7 +16,7 @@
 from ashlatch.fleet.prefill_log import PrefillLog
 from ashlatch.policy.prefill_rate import PrefillRates
 
-from ashlatch.catalog import CoreVm, EndpointList, GatewayVm, SessionMarks
+from ashlatch.catalog import CoreVm, EndpointList, GatewayVm, SessionHashes
 from ashlatch.clock import monotonic_ms
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncReply, SyncRequest, gateways_digest
@@ -94,7 +94,7 @@
         """Returns core VMs by address, with their halls as far as known."""
         return tuple(CoreVm(a, self._halls.get(a, "")) for a in addresses)
 
-    def _apply_sessions(self, sessions: SessionMarks, now_ms: float) -> None:
+    def _apply_sessions(self, sessions: SessionHashes, now_ms: float) -> None:
         if sessions.trial_version:
             key = sessions.service, sessions.trial_version
             self._apply_moved(
@@ -107,7 +107,7 @@
         self._apply_moved(moved, sessions, now_ms)
 
     def _apply_moved(
-        self, moved: dict[int, float], sessions: SessionMarks, now_ms: float
+        self, moved: dict[int, float], sessions: SessionHashes, now_ms: float
     ) -> None:
         if not moved.keys() >= set(sessions.moved):
             self.urgent.set()
@@ -123,7 +123,7 @@
         pending, self._pending_prefills = self._pending_prefills, []
         return tuple(pending)
 
-    def recent_sessions(self) -> tuple[SessionMarks, ...]:
+    def recent_sessions(self) -> tuple[SessionHashes, ...]:
         """Returns the recently reported sessions by service."""
         oldest_ms = monotonic_ms() - SESSION_REPORT_MAX_AGE_MS
         found = []
@@ -139,7 +139,7 @@
                 self._running_sessions[service],
                 self._moved_sessions[service],
             )
-            found.append(SessionMarks(service, tuple(running), tuple(moved)))
+            found.append(SessionHashes(service, tuple(running), tuple(moved)))
         for (service, version), begun in list(self._begun_in_trial.items()):
             recent = tuple(
                 session_hash
@@ -147,7 +147,7 @@
                 if at_ms >= oldest_ms
             )
             if recent:
-                found.append(SessionMarks(service, (), recent, version))
+                found.append(SessionHashes(service, (), recent, version))
             else:
                 del self._begun_in_trial[service, version]
         return tuple(found)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -10,6 +10,7 @@
 
 import msgspec
 import testtools
+from ashlatch.fleet.soft_state import SoftState, has_updates
 from click.testing import CliRunner, Result
 
 from ashlatch.catalog import (
@@ -32,7 +33,6 @@
 )
 from ashlatch.fleet.operators import NoQuorum, OperatorApi
 from ashlatch.fleet.protocol import ReadReply, SyncRequest
-from ashlatch.fleet.soft_state import SoftState, has_updates
 from ashlatch.gateway.directory import Directory
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import VersionChooser
@@ -237,7 +237,9 @@
         self.directory.replace(EndpointList(1, 2, (*listed, stays)), 0.0)
         self.directory.evacuate(Evacuations(1, ("b",)))
         chooser = VersionChooser(SessionVersions(5000.0))
-        chooser.learn([Rollout("app", "v2", RolloutStage.LOAD_TEST, 0.1, 1, 1000.0)])
+        chooser.apply_rollouts(
+            [Rollout("app", "v2", RolloutStage.LOAD_TEST, 0.1, 1, 1000.0)]
+        )
         states = self.directory.of_service("app")
         allowed = chooser.allowed("app", "s", "r", states, 0.0)
         self.assertEqual(["i4"], [s.endpoint.instance for s in allowed.states])
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -4,17 +4,6 @@
 import socket
 import struct
 
-from ashlatch.catalog import Endpoint, EndpointList, Rollout, RolloutStage
-from ashlatch.gateway.news import EndpointReplaced, SessionMoved
-from tests import stub_server
-from tests.gateway import (
-    ASK_STREAM,
-    ASK_STREAMS,
-    KEY,
-    GatewayHarness,
-    ask,
-    hang,
-)
 from tests.stub_server import (
     LAST_CHUNK,
     ReceivedRequest,
@@ -24,6 +13,11 @@
     response_head,
 )
 
+from ashlatch.catalog import Endpoint, EndpointList, Rollout, RolloutStage
+from ashlatch.gateway.news import EndpointReplaced, SessionMoved
+from tests import stub_server
+from tests.gateway import ASK_STREAM, ASK_STREAMS, KEY, GatewayHarness, ask, hang
+
 
 async def reset(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     sock = writer.get_extra_info("socket")
@@ -392,7 +386,9 @@
             moved = Endpoint("i-0", "app", worker.address, "hall-1", "v2", 8, False)
             self.known.directory.replace(EndpointList(1, 2, (moved,)), 0.0)
             stage = RolloutStage.LOAD_TEST
-            self.known.versions.learn([Rollout("app", "v2", stage, 0.1, 1, 1000.0)])
+            self.known.versions.apply_rollouts(
+                [Rollout("app", "v2", stage, 0.1, 1, 1000.0)]
+            )
             for _ in range(2):
                 await self.call(ask("/stream/1", ASK_STREAM))
             moves = [n for n in told if isinstance(n, SessionMoved)]
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -2,15 +2,15 @@
 
 import msgspec
 import testtools
+from ashlatch.fleet.evaluation import DEFAULT_PLAN
 
 from ashlatch.catalog import (
     Endpoint,
     EndpointList,
     Rollout,
     RolloutStage,
-    SessionMarks,
+    SessionHashes,
 )
-from ashlatch.fleet.evaluation import DEFAULT_PLAN
 from ashlatch.fleet.leader import RolloutController
 from ashlatch.gateway.tally import Tally, TallyKey
 
@@ -39,7 +39,7 @@
         self.assertEqual(
             [], list(controller.due_updates((started,), self.LISTED, 500.0))
         )
-        controller.set_sessions((SessionMarks("app", (7, 9)),))
+        controller.set_sessions((SessionHashes("app", (7, 9)),))
         (update,) = controller.due_updates((started,), self.LISTED, 1600.0)
         self.assertEqual((0.1, (7, 9)), (update.share, update.held))
         begun = Rollout(
@@ -60,7 +60,7 @@
             [], list(controller.due_updates((rollout,), self.LISTED, 50.0))
         )
         for reported, expected in (((5,), (5,)), ((3, 5), (3, 5)), ((8,), (3, 5, 8))):
-            controller.set_sessions((SessionMarks("app", (), reported),))
+            controller.set_sessions((SessionHashes("app", (), reported),))
             (update,) = controller.due_updates((rollout,), self.LISTED, 100.0)
             self.assertEqual(expected, update.moved)
             rollout = msgspec.structs.replace(rollout, moved=update.moved)
@@ -77,7 +77,7 @@
         controller = RolloutController()
         begun = Rollout("app", "v3", RolloutStage.TRIAL, 0.1, 9, 20_000.0, 2000.0)
         controller.observe((begun,), 0.0)
-        controller.set_sessions((SessionMarks("app", (), (5,)),))
+        controller.set_sessions((SessionHashes("app", (), (5,)),))
         (update,) = controller.due_updates((begun,), self.LISTED, 3000.0)
         self.assertEqual((), update.moved)
 
@@ -85,8 +85,8 @@
         controller = RolloutController()
         begun = Rollout("app", "v3", RolloutStage.TRIAL, 0.1, 9, 20_000.0, 2000.0)
         controller.observe((begun,), 0.0)
-        reported = tuple(SessionMarks("app", (), (n,), f"v{n}") for n in (2, 3))
-        controller.set_sessions((*reported, SessionMarks("app", (), (5,))))
+        reported = tuple(SessionHashes("app", (), (n,), f"v{n}") for n in (2, 3))
+        controller.set_sessions((*reported, SessionHashes("app", (), (5,))))
         (update,) = controller.due_updates((begun,), self.LISTED, 100.0)
         self.assertEqual((3,), update.moved)
 
--- a/tests/test_prefill_rate.py
+++ b/tests/test_prefill_rate.py
@@ -9,7 +9,7 @@
 
 import testtools
 from ashlatch.fleet.soft_state import SoftState
-from ashlatch.gateway.latency_model import TOKEN_MS_PRIOR, UNTOLD_MAX, Pace
+from ashlatch.gateway.latency_model import TOKEN_MS_PRIOR, UNREPORTED_MAX, LatencyModel
 from ashlatch.policy.prefill_rate import RATES_MAX, PrefillRate, PrefillRates
 
 from ashlatch.catalog import CoreVm
@@ -26,40 +26,42 @@
 
 class SharedRatesTest(testtools.TestCase):
     def test_a_gateway_without_own_rates(self) -> None:
-        spread, newcomer = SoftState(CORE), Pace()
+        spread, newcomer = SoftState(CORE), LatencyModel()
         for n in range(10):
-            pace = Pace()
-            pace.began("app", "small", 6000, 6000 * SMALL_MS, float(n))
+            pace = LatencyModel()
+            pace.record_first_event("app", "small", 6000, 6000 * SMALL_MS, float(n))
             spread.apply_request(sync_request(pace.take_rates()))
             self.assertEqual((), pace.take_rates())
         self.assertEqual(TOKEN_MS_PRIOR, newcomer.token_ms("app", "small"))
-        newcomer.learn(spread.build_reply(sync_request(), True, (), FleetState()).rates)
+        newcomer.apply_rates(
+            spread.build_reply(sync_request(), True, (), FleetState()).rates
+        )
         self.assertAlmostEqual(SMALL_MS, newcomer.token_ms("app", "small"))
         self.assertEqual(TOKEN_MS_PRIOR, newcomer.token_ms("app", "large"))
 
     def test_slower_engines_change_the_estimate(self) -> None:
-        spread, pace = SoftState(CORE), Pace()
+        spread, pace = SoftState(CORE), LatencyModel()
         for token_ms in (SMALL_MS, 5 * SMALL_MS):
             for _ in range(RATES_MAX):
-                pace.began("app", "small", 6000, 6000 * token_ms, 0.0)
+                pace.record_first_event("app", "small", 6000, 6000 * token_ms, 0.0)
                 spread.apply_request(sync_request(pace.take_rates()))
-                pace.learn(
+                pace.apply_rates(
                     spread.build_reply(sync_request(), True, (), FleetState()).rates
                 )
             self.assertAlmostEqual(token_ms, pace.token_ms("app", "small"))
 
     def test_rates_of_a_lost_report_are_sent_again(self) -> None:
-        pace = Pace()
+        pace = LatencyModel()
         for _ in range(3):
-            pace.began("app", "small", 6000, 18.0, 0.0)
+            pace.record_first_event("app", "small", 6000, 18.0, 0.0)
         rates = pace.take_rates()
-        pace.began("app", "small", 6000, 24.0, 0.0)
-        pace.put_back(rates)
+        pace.record_first_event("app", "small", 6000, 24.0, 0.0)
+        pace.restore_rates(rates)
         self.assertEqual(
             (*rates, PrefillRate("app", "small", 0.004)), pace.take_rates()
         )
-        pace.put_back(rates * UNTOLD_MAX)
-        self.assertEqual(UNTOLD_MAX, len(pace.take_rates()))
+        pace.restore_rates(rates * UNREPORTED_MAX)
+        self.assertEqual(UNREPORTED_MAX, len(pace.take_rates()))
 
 
 class PrefillRatesTest(testtools.TestCase):
--- a/tests/test_soft_state.py
+++ b/tests/test_soft_state.py
@@ -1,15 +1,15 @@
 """Tests of the soft state that core VMs exchange."""
 
 import testtools
-
-from ashlatch.catalog import CoreVm, EndpointList, GatewayVm, SessionMarks
-from ashlatch.fleet.machine import FleetState
-from ashlatch.fleet.protocol import SyncReply, SyncRequest, gateways_digest
 from ashlatch.fleet.soft_state import (
     GATEWAYS_SETTLE_MS,
     PENDING_PREFILLS_MAX,
     SoftState,
 )
+
+from ashlatch.catalog import CoreVm, EndpointList, GatewayVm, SessionHashes
+from ashlatch.fleet.machine import FleetState
+from ashlatch.fleet.protocol import SyncReply, SyncRequest, gateways_digest
 from ashlatch.gateway.kept import PromptRead
 
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
@@ -23,7 +23,7 @@
     prefills: tuple[PromptRead, ...] = (),
     prefills_known: tuple[int, int] = (0, 0),
     gateways_known: int = 0,
-    sessions: tuple[SessionMarks, ...] = (),
+    sessions: tuple[SessionHashes, ...] = (),
 ) -> SyncRequest:
     return SyncRequest(
         "vm",
@@ -115,7 +115,7 @@
         self.assertEqual((ONE,), reply.gateways)
 
     def test_moved_sessions_reach_the_leader(self) -> None:
-        moved = SessionMarks("app", (), (7,))
+        moved = SessionHashes("app", (), (7,))
         for state in (self.follower, self.leader):
             self.assertFalse(state.urgent.is_set())
             sent = request(ONE, sessions=(moved,))
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -6,25 +6,19 @@
 from typing import Any
 
 import testtools
+from ashlatch.fleet.leader_link import LeaderLink
+from ashlatch.fleet.soft_state import SoftState
 
-from ashlatch.catalog import (
-    CoreVm,
-    GatewayVm,
-    Rollout,
-    RolloutStage,
-    SessionMarks,
-)
+from ashlatch.catalog import CoreVm, GatewayVm, Rollout, RolloutStage, SessionHashes
 from ashlatch.errors import TransportError
-from ashlatch.fleet.leader_link import LeaderLink
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.peers import PeerConnections
 from ashlatch.fleet.protocol import SyncReply, SyncRequest
 from ashlatch.fleet.seeds import Seeds
-from ashlatch.fleet.soft_state import SoftState
 from ashlatch.gateway import sync
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.knowledge import Knowledge
-from ashlatch.gateway.sessions import SessionVersions, session_mark
+from ashlatch.gateway.sessions import SessionVersions, session_hash
 from ashlatch.gateway.sync import FleetLink
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
@@ -111,15 +105,15 @@
             tasks.append(asyncio.create_task(link.tell_urgent()))
             await asyncio.sleep(0.1)
             stage = RolloutStage.LOAD_TEST
-            known.versions.learn([Rollout("app", "v2", stage, 0.0, 1, 1000.0)])
+            known.versions.apply_rollouts([Rollout("app", "v2", stage, 0.0, 1, 1000.0)])
             for session in ("s1", "s2"):
-                self.assertTrue(known.versions.note_move("app", session, "v2"))
+                self.assertTrue(known.versions.record_move("app", session, "v2"))
             await asyncio.sleep(self.TOLD_WITHIN_S)
             for task in tasks:
                 task.cancel()
             return book.moved
 
-        marks = tuple(sorted(session_mark("v2", s) for s in ("s1", "s2")))
+        marks = tuple(sorted(session_hash("v2", s) for s in ("s1", "s2")))
         self.assertEqual([(0.0, marks)], asyncio.run(run()))
 
     def test_a_core_vm_tells_the_leader(self) -> None:
@@ -135,7 +129,7 @@
             tasks = [asyncio.create_task(link.sync_with_leader())]
             tasks.append(asyncio.create_task(link.send_urgent_reports()))
             await asyncio.sleep(0.1)
-            told = (SessionMarks("app", (), (7,)),)
+            told = (SessionHashes("app", (), (7,)),)
             spread.apply_request(
                 SyncRequest("gw", (), 0, (0, 0), 0, 0.0, sessions=told)
             )
