--- a/ashlatch/gateway/admission.py
+++ b/ashlatch/gateway/admission.py
@@ -14,7 +14,7 @@
 
 from ashlatch.catalog import Organisation, Route, Service
 from ashlatch.clock import unix_ms
-from ashlatch.gateway.fingerprint import content_digest, digest_text
+from ashlatch.gateway.fingerprint import fingerprint_text, request_fingerprint
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.logs import RequestHeld
 from ashlatch.gateway.message import Ask, RefusalReason
@@ -22,7 +22,14 @@
 from ashlatch.log import emit
 from ashlatch.platform.headers import refusal_headers
 
-__all__ = ["RETRY_AFTER_S", "Admission", "Refused", "admit", "quarantined", "refuse"]
+__all__ = [
+    "RETRY_AFTER_S",
+    "Admission",
+    "Refused",
+    "admit",
+    "quarantine_refusal",
+    "refuse",
+]
 
 log = logging.getLogger("ashlatch.gateway")
 
@@ -37,13 +44,13 @@
     `content` is the digest of what it asks for.
     """
 
-    ask: Ask
+    request: Ask
     route: Route
     service: Service
     organisation: Organisation | None
     configuration: int
-    ends_s: float
-    content: int
+    deadline_s: float
+    fingerprint: int
 
     @property
     def urgency(self) -> int:
@@ -78,44 +85,44 @@
     retry_after_s: float | None = None
 
 
-def admit(known: Knowledge, ask: Ask) -> Admission | Refused:
+def admit(context: Knowledge, request: Ask) -> Admission | Refused:
     """Find route, organisation and service of a request."""
-    table = known.table
+    table = context.table
     if table is None:
         return Refused(503, RefusalReason.NO_CONFIGURATION, RETRY_AFTER_S)
-    route = table.route(ask.host, ask.path)
+    route = table.route(request.host, request.path)
     if route is None:
         return Refused(404, RefusalReason.NO_ROUTE)
     organisation = None
     if table.needs_keys and not route.anonymous:
-        organisation = table.holder(ask.key)
+        organisation = table.holder(request.key)
         if organisation is None:
             return Refused(401, RefusalReason.UNKNOWN_KEY)
     held_ms = route.held_max_ms
-    if ask.patience_ms is not None:
-        held_ms = min(held_ms, ask.patience_ms)
-    content = content_digest(ask, organisation.name if organisation else "")
-    held = quarantined(known, content)
+    if request.patience_ms is not None:
+        held_ms = min(held_ms, request.patience_ms)
+    content = request_fingerprint(request, organisation.name if organisation else "")
+    held = quarantine_refusal(context, content)
     if held is not None:
-        crashes = known.quarantine.crashes(content)
-        held_ms = int(known.quarantine.held_ms(content, unix_ms()))
-        text = digest_text(content)
-        emit(log, RequestHeld(ask.request_id, text, crashes, held_ms))
+        crashes = context.quarantine.crashes(content)
+        held_ms = int(context.quarantine.held_ms(content, unix_ms()))
+        text = fingerprint_text(content)
+        emit(log, RequestHeld(request.request_id, text, crashes, held_ms))
         return held
     return Admission(
-        ask,
+        request,
         route,
-        table.service(route, ask.request_id),
+        table.service(route, request.request_id),
         organisation,
         table.catalog.version,
-        ask.received_s + held_ms / 1000.0,
+        request.received_s + held_ms / 1000.0,
         content,
     )
 
 
-def quarantined(known: Knowledge, content: int) -> Refused | None:
+def quarantine_refusal(context: Knowledge, fingerprint: int) -> Refused | None:
     """The refusal of a content under which too many endpoints have ended."""
-    held_ms = known.quarantine.held_ms(content, unix_ms())
+    held_ms = context.quarantine.held_ms(fingerprint, unix_ms())
     if not held_ms:
         return None
     return Refused(503, RefusalReason.QUARANTINED, held_ms / 1000.0)
--- a/ashlatch/gateway/attempt.py
+++ b/ashlatch/gateway/attempt.py
@@ -21,7 +21,7 @@
 from ashlatch.gateway.forecast import Forecast
 from ashlatch.gateway.message import AnswerHead, Ask, Dispatch, LoadFigures
 from ashlatch.gateway.pool import ConnectionPool
-from ashlatch.gateway.timeouts import CONNECT_MAX_S, Patience
+from ashlatch.gateway.timeouts import CONNECT_MAX_S, AnswerTimeout
 from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
 from ashlatch.platform.headers import decode_answer, endpoint_headers
 
@@ -56,10 +56,10 @@
     @property
     def not_run(self) -> bool:
         """Whether the request has certainly not run."""
-        return self in _NOT_RUN
+        return self in _NOT_EXECUTED
 
 
-_NOT_RUN = frozenset(
+_NOT_EXECUTED = frozenset(
     {
         FailureKind.UNREACHABLE,
         FailureKind.REFUSED,
@@ -91,23 +91,23 @@
         self,
         state: EndpointState,
         pool: ConnectionPool,
-        ask: Ask,
+        request: Ask,
         dispatch: Dispatch,
         repeatable: bool,
         forecast: Forecast | None = None,
-        connect_s: float = CONNECT_MAX_S,
+        connect_timeout_s: float = CONNECT_MAX_S,
         connections_max: int = CONNECTIONS_MAX,
     ) -> None:
         self.state = state
-        self._connect_s = connect_s
+        self._connect_timeout_s = connect_timeout_s
         self._connections_max = connections_max
         self.forecast = forecast
         self.dispatch = dispatch
         self.head: AnswerHead | None = None
         self.load: LoadFigures | None = None
-        self.unread_head: AnswerHead | None = None
+        self.unapplied_head: AnswerHead | None = None
         self._pool = pool
-        self._ask = ask
+        self._request = request
         self._repeatable = repeatable
         self._connection: Upstream | None = None
         self._loop = asyncio.get_running_loop()
@@ -116,92 +116,92 @@
         self.sent_bytes = 0
         self.received_bytes = 0
 
-    async def begin(self, patience: Patience) -> AnswerHead:
+    async def begin(self, timeout: AnswerTimeout) -> AnswerHead:
         """Send, and wait for the head of the answer; raises `AttemptFailed`."""
         self.state.sent(self._now_ms())
         self._counted = True
         self.state.unanswered += 1
         try:
-            return await self._begin(patience)
+            return await self._begin(timeout)
         finally:
             self.state.unanswered -= 1
 
-    async def _begin(self, patience: Patience) -> AnswerHead:
+    async def _begin(self, timeout: AnswerTimeout) -> AnswerHead:
         connection = await self._connect()
-        self._check_open()
-        headers = endpoint_headers(self._ask, self.dispatch)
-        ask = self._ask
+        self._check_permitted()
+        headers = endpoint_headers(self._request, self.dispatch)
+        ask = self._request
         try:
             connection.send(ask.method, ask.target, headers, ask.body)
         except UpstreamBroken as error:
             raise AttemptFailed(FailureKind.BROKEN, error.reason) from error
-        head = decode_answer(await self._await(connection.head, patience, "no head"))
+        head = decode_answer(await self._receive(connection.head, timeout, "no head"))
         self.state.progressed(self._now_ms())
         if not head.backoff_ms:
             # An endpoint that sheds says that it is idle.
             self.load = head.load
         if self.load is not None:
             self.state.tell_load(self.load, self._now_ms())
-        if head.request_id in ("", self._ask.request_id) and not head.misdirected:
+        if head.request_id in ("", self._request.request_id) and not head.misdirected:
             # Anything else may come from another endpoint.
-            self.unread_head = head
-        self._check(head)
+            self.unapplied_head = head
+        self._check_answer(head)
         self.head = head
         return head
 
-    async def part(self, patience: Patience) -> bytes | None:
+    async def part(self, timeout: AnswerTimeout) -> bytes | None:
         """The next part of the body, none at its end; raises `AttemptFailed`."""
         assert self._connection is not None
-        part = await self._await(self._connection.part, patience, "no more of it")
+        part = await self._receive(self._connection.part, timeout, "no more of it")
         self.state.progressed(self._now_ms())
         return part
 
-    async def _await(
-        self, receive: Callable[[], Awaitable[R]], patience: Patience, what: str
+    async def _receive(
+        self, receive: Callable[[], Awaitable[R]], timeout: AnswerTimeout, detail: str
     ) -> R:
         """Receive something, for as long as the patience lasts."""
         try:
             try:
-                async with asyncio.timeout(patience.silence_s) as limit:
-                    return await self._limited(receive, limit, patience)
+                async with asyncio.timeout(timeout.silence_s) as limit:
+                    return await self._receive_before(receive, limit, timeout)
             except TimeoutError as error:
-                if patience.may_give_up():
-                    raise AttemptFailed(FailureKind.SILENT, what) from error
+                if timeout.may_give_up():
+                    raise AttemptFailed(FailureKind.SILENT, detail) from error
             return await receive()
         except UpstreamBroken as error:
             raise AttemptFailed(FailureKind.BROKEN, error.reason) from error
 
-    async def _limited(
+    async def _receive_before(
         self,
         receive: Callable[[], Awaitable[R]],
-        limit: asyncio.Timeout,
-        patience: Patience,
+        deadline: asyncio.Timeout,
+        timeout: AnswerTimeout,
     ) -> R:
         """Receive something; the limit may be moved if the endpoint has gone."""
-        if patience.silence_s is None:
+        if timeout.silence_s is None:
             return await receive()
-        self.state.awaited.add(limit)
+        self.state.awaited.add(deadline)
         try:
             return await receive()
         finally:
-            self.state.awaited.discard(limit)
+            self.state.awaited.discard(deadline)
 
     def finish(self) -> None:
         """The answer was whole: keep the connection if it may be kept."""
         assert self.head is not None
-        connection = self._leave_connection()
+        connection = self._detach_connection()
         if connection.release(self._loop.time()):
             kept_max = self._connections_max - self.state.load.in_flight + 1
             self._pool.keep(self.state.endpoint, connection, self.head.idle_s, kept_max)
-        self._uncount()
+        self._release_slot()
 
     def close(self) -> None:
         """End the attempt where it is; the endpoint drops the request."""
         if self._connection is not None:
-            self._leave_connection().abort()
-        self._uncount()
+            self._detach_connection().abort()
+        self._release_slot()
 
-    def _leave_connection(self) -> Upstream:
+    def _detach_connection(self) -> Upstream:
         """Give up the connection; what it has carried is known from now on."""
         connection, self._connection = self._connection, None
         assert connection is not None
@@ -209,7 +209,7 @@
         self.received_bytes = connection.received_bytes
         return connection
 
-    def _uncount(self) -> None:
+    def _release_slot(self) -> None:
         if self._counted:
             self._counted = False
             self.state.load.finished(self._now_ms(), None)
@@ -219,21 +219,23 @@
         connection = self._pool.take(endpoint, self._repeatable, self._loop.time())
         if connection is None:
             try:
-                connection = await Upstream.connect(endpoint.address, self._connect_s)
+                connection = await Upstream.connect(
+                    endpoint.address, self._connect_timeout_s
+                )
             except ConnectFailed as error:
                 raise AttemptFailed(FailureKind.UNREACHABLE, error.reason) from error
         self._connection = connection
         return connection
 
-    def _check_open(self) -> None:
+    def _check_permitted(self) -> None:
         """The last check before the send: a connection may have taken seconds."""
         barrier = self.state.permission(self._now_ms()).barrier
         if barrier is not None:
             raise AttemptFailed(FailureKind.CLOSED, barrier.value)
 
-    def _check(self, head: AnswerHead) -> None:
+    def _check_answer(self, head: AnswerHead) -> None:
         """Tell an answer to this request from anything else that may come."""
-        if head.request_id != self._ask.request_id:
+        if head.request_id != self._request.request_id:
             raise AttemptFailed(FailureKind.FOREIGN, "another request's answer")
         if head.misdirected:
             raise AttemptFailed(FailureKind.MISDIRECTED, f"status {head.status}")
--- a/ashlatch/gateway/budget.py
+++ b/ashlatch/gateway/budget.py
@@ -16,10 +16,10 @@
 __all__ = ["BudgetTerms", "RepeatBudget"]
 
 # The window moves on in steps of this part of it.
-STEPS = 10
+WINDOW_STEPS = 10
 # Requests and repeats fall into different steps at the two ends, so a part of
 # what is allowed is left unused.
-MARGIN = 0.85
+USABLE_SHARE = 0.85
 
 
 @dataclass(frozen=True)
@@ -50,7 +50,7 @@
     _requests: int = 0
     _repeats: int = 0
 
-    def request(self, now_ms: float) -> None:
+    def record_request(self, now_ms: float) -> None:
         """A caller's request for the service has come in."""
         self._step(now_ms).requests += 1
         self._requests += 1
@@ -59,7 +59,7 @@
         """Take one repeat, if there is one left in the window."""
         step = self._step(now_ms)
         extra = self.terms.extra / max(1, gateways)
-        allowed = MARGIN * (self.terms.ratio * self._requests + extra)
+        allowed = USABLE_SHARE * (self.terms.ratio * self._requests + extra)
         if self._repeats + 1 > allowed:
             return False
         step.repeats += 1
@@ -67,7 +67,7 @@
         return True
 
     def _step(self, now_ms: float) -> _Step:
-        width_ms = self.terms.window_ms / STEPS
+        width_ms = self.terms.window_ms / WINDOW_STEPS
         if not self._steps or now_ms - self._steps[-1].begun_ms >= width_ms:
             self._steps.append(_Step(now_ms))
         while now_ms - self._steps[0].begun_ms > self.terms.window_ms:
--- a/ashlatch/gateway/chooser.py
+++ b/ashlatch/gateway/chooser.py
@@ -18,7 +18,7 @@
 from ashlatch.gateway.forecast import Send
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import RefusalReason
-from ashlatch.gateway.retry_time import find_return
+from ashlatch.gateway.retry_time import find_retry_time
 from ashlatch.gateway.versions import AllowedEndpoints
 from ashlatch.policy.permission import Barrier
 
@@ -45,7 +45,7 @@
         self._context = context
         self._admission = admission
         self._route = admission.route
-        self._request = admission.ask
+        self._request = admission.request
         self._loop = asyncio.get_running_loop()
 
     def choose(self, model: str, exclude_limited: bool = False) -> Choice | None:
@@ -60,7 +60,7 @@
             states = [state for state in states if not state.limit.limited]
         tried = frozenset(self.tried)
         allowed = self._allowed(states, now_ms)
-        apart = self._context.quarantine.crashes(self._admission.content) > 0
+        apart = self._context.quarantine.crashes(self._admission.fingerprint) > 0
         send = Send(self._request, model, self.slack_ms(model), apart)
         return choose_endpoint(self._context, service, allowed, tried, send, now_ms)
 
@@ -143,10 +143,10 @@
         states = list(allowed.states)
         if allowed.fallback is not None:
             states += allowed.fallback.states
-        found = find_return(self._context, service, states, now_ms)
+        found = find_retry_time(self._context, service, states, now_ms)
         if found is None:
             return None
-        return Refused(503, _REFUSAL_REASONS[found.barrier], found.after_s)
+        return Refused(503, _REFUSAL_REASONS[found.reason], found.after_s)
 
     def _now_ms(self) -> float:
         return self._loop.time() * 1000.0
--- a/ashlatch/gateway/cold.py
+++ b/ashlatch/gateway/cold.py
@@ -14,7 +14,7 @@
 from ashlatch.policy.cold import ColdEndpoint, pause_ms
 from ashlatch.policy.permission import NEVER_MS
 
-__all__ = ["ColdGate", "warm_up_returned"]
+__all__ = ["ColdSendLimiter", "mark_returned_cold"]
 
 
 # When all VMs start together each gateway hears of a few others first, and takes itself
@@ -22,27 +22,27 @@
 GATEWAYS_KNOWN_MS = 2000.0
 
 
-class ColdGate:
+class ColdSendLimiter:
     """Keeps this gateway's shares, worked out once while the gateways are the same.
 
     `own` is this gateway as the others know it. It sends to no cold endpoint before it
     has heard of the others.
     """
 
-    def __init__(self, own: GatewayVm | None = None) -> None:
-        self.own = own
-        self._opens_ms = float("inf")
+    def __init__(self, local: GatewayVm | None = None) -> None:
+        self.local = local
+        self._gateways_known_ms = float("inf")
         self._gateways: tuple[GatewayVm, ...] = ()
         self._pauses_ms: dict[str, float | None] = {}
 
-    def heard_core(self, now_ms: float) -> None:
+    def gateways_received(self, now_ms: float) -> None:
         """The core has told which gateways there are."""
-        if self._opens_ms == float("inf"):
-            self._opens_ms = now_ms + GATEWAYS_KNOWN_MS
+        if self._gateways_known_ms == float("inf"):
+            self._gateways_known_ms = now_ms + GATEWAYS_KNOWN_MS
 
     def knows_gateways(self, now_ms: float) -> bool:
         """Whether this gateway has heard of the others; one by itself has none."""
-        return self.own is None or now_ms >= self._opens_ms
+        return self.local is None or now_ms >= self._gateways_known_ms
 
     def wait_ms(
         self,
@@ -70,7 +70,7 @@
         service: Service,
         gateways: tuple[GatewayVm, ...],
     ) -> float | None:
-        if self.own is None:
+        if self.local is None:
             return None
         if gateways is not self._gateways:
             self._gateways = gateways
@@ -80,14 +80,14 @@
             cold = ColdEndpoint(
                 endpoint.instance, endpoint.hall, service.cold_requests_per_s
             )
-            self._pauses_ms[endpoint.instance] = pause_ms(cold, self.own, gateways)
+            self._pauses_ms[endpoint.instance] = pause_ms(cold, self.local, gateways)
         return self._pauses_ms[endpoint.instance]
 
 
-def warm_up_returned(
+def mark_returned_cold(
     directory: Directory,
     table: RouteTable | None,
-    before: int,
+    number_before: int,
     evacuations: Evacuations,
     now_ms: float,
 ) -> int:
@@ -96,7 +96,9 @@
     They may have started again while nothing was sent there, and the list tells that
     a second or two later. `before` is the number of the evacuations known before.
     """
-    returned = {h for h, number in evacuations.returned.items() if number > before}
+    returned = {
+        h for h, number in evacuations.returned.items() if number > number_before
+    }
     found = 0
     for state in directory.all():
         service = table.services.get(state.endpoint.service) if table else None
--- a/ashlatch/gateway/corenews.py
+++ b/ashlatch/gateway/corenews.py
@@ -16,8 +16,8 @@
 
 from ashlatch.catalog import EndpointList, Evacuations, GatewayVm, Rollout
 from ashlatch.fleet.protocol import SyncReply
-from ashlatch.gateway.cold import warm_up_returned
-from ashlatch.gateway.crash_detector import learn_crashes
+from ashlatch.gateway.cold import mark_returned_cold
+from ashlatch.gateway.crash_detector import apply_peer_crashes
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.logs import (
     ConfigurationApplied,
@@ -69,7 +69,7 @@
     def _take_current(self, reply: SyncReply) -> None:
         """Take what only a core VM in touch with its leader can tell."""
         now_ms = _now_ms()
-        self._known.cold.heard_core(now_ms)
+        self._known.cold.gateways_received(now_ms)
         if reply.gateways is not None:
             self._learn_gateways(reply.gateways)
         self._known.directory.listed_ms = now_ms - reply.list_age_ms
@@ -93,7 +93,7 @@
     def _learn_crashes(self, address: str, reply: SyncReply) -> None:
         """Take which requests crash endpoints, by what other gateways have found."""
         for record in reply.crashes:
-            learn_crashes(self._known, record, address)
+            apply_peer_crashes(self._known, record, address)
             self._known.quarantine.confirm(record)
         self.crashes_known = max(self.crashes_known, reply.crashes_known)
 
@@ -138,7 +138,7 @@
             return
         cold = 0
         if before:
-            cold = warm_up_returned(
+            cold = mark_returned_cold(
                 directory, self._known.table, before, evacuations, _now_ms()
             )
         endpoints = sum(state.evacuated for state in directory.all())
--- a/ashlatch/gateway/crash_detector.py
+++ b/ashlatch/gateway/crash_detector.py
@@ -16,7 +16,7 @@
 from ashlatch.clock import unix_ms
 from ashlatch.gateway.attempt import AttemptFailed, FailureKind
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.fingerprint import digest_text
+from ashlatch.gateway.fingerprint import fingerprint_text
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.logs import (
     ContentHeld,
@@ -29,7 +29,7 @@
 from ashlatch.log import emit
 from ashlatch.policy.quarantine import CrashRecord
 
-__all__ = ["CrashFinder", "learn_crashes", "note_refusal"]
+__all__ = ["CrashDetector", "apply_peer_crashes", "record_refusal"]
 
 log = logging.getLogger("ashlatch.gateway")
 
@@ -38,17 +38,17 @@
 PROBE_TIMEOUT_S = 0.1
 # A process that ends closes its connections one after the other, the listening socket
 # perhaps last: who still gets a connection asks again after this.
-AGAIN_S = 0.02
+SECOND_PROBE_DELAY_S = 0.02
 # What a probe has found holds for requests that break this soon after it was begun:
 # all of them break within milliseconds.
-FOUND_S = 0.3
+PROBE_RESULT_VALID_S = 0.3
 # One crash concerns few gateways; from the second on, a content may be the cause.
-TELL_FROM = 2
+BROADCAST_CRASHES_MIN = 2
 
 Connect = Callable[[str, float], Awaitable[Upstream]]
 
 
-def note_refusal(known: Knowledge, state: EndpointState, now_ms: float) -> None:
+def record_refusal(context: Knowledge, state: EndpointState, now_ms: float) -> None:
     """Nobody listens at an endpoint's address: leave it, and tell all.
 
     Each gateway would find that out by itself, one request after another: an
@@ -58,37 +58,37 @@
         endpoint = state.endpoint
         silent = EndpointNotListening(endpoint.instance, endpoint.service)
         emit(log, silent, logging.WARNING)
-        known.forget_life(endpoint.instance)
-        known.tell(EndpointRefuses(endpoint.instance))
+        context.forget_life(endpoint.instance)
+        context.tell(EndpointRefuses(endpoint.instance))
 
 
-def learn_crashes(known: Knowledge, record: CrashRecord, source: str) -> None:
+def apply_peer_crashes(context: Knowledge, record: CrashRecord, source: str) -> None:
     """Take what another gateway has found of a content."""
-    quarantine = known.quarantine
+    quarantine = context.quarantine
     content = record.content
     held_before_ms = quarantine.held_ms(content, unix_ms())
     quarantine.learn(record)
     held_ms = quarantine.held_ms(content, unix_ms())
     if held_ms > held_before_ms:
         crashes = quarantine.crashes(content)
-        held = ContentHeld(digest_text(content), crashes, int(held_ms), source)
+        held = ContentHeld(fingerprint_text(content), crashes, int(held_ms), source)
         emit(log, held, logging.WARNING)
-        known.metrics.count("contents_held")
+        context.metrics.count("contents_held")
 
 
-class CrashFinder:
+class CrashDetector:
     """Asks what has become of endpoints at which requests have broken.
 
     Requests that break together ask once: `Knowledge.probes` holds the probes that
     run or have just ended.
     """
 
-    def __init__(self, known: Knowledge, connect: Connect = Upstream.connect) -> None:
-        self._known = known
+    def __init__(self, context: Knowledge, connect: Connect = Upstream.connect) -> None:
+        self._context = context
         self._connect = connect
         self._loop = asyncio.get_running_loop()
 
-    async def ended(self, state: EndpointState, failed: AttemptFailed) -> bool:
+    async def has_crashed(self, state: EndpointState, failed: AttemptFailed) -> bool:
         """Whether an endpoint's process has ended under a request."""
         if state.ended_lately(self._now_ms()):
             return True
@@ -98,55 +98,61 @@
 
     def _probe(self, state: EndpointState) -> asyncio.Task[bool]:
         instance = state.endpoint.instance
-        probes = self._known.probes
+        probes = self._context.probes
         probe = probes.get(instance)
         if probe is None:
-            probe = probes[instance] = self._loop.create_task(self._has_ended(state))
-            self._loop.call_later(FOUND_S, probes.pop, instance, None)
+            probe = probes[instance] = self._loop.create_task(self._probe_twice(state))
+            self._loop.call_later(PROBE_RESULT_VALID_S, probes.pop, instance, None)
         return probe
 
-    async def _has_ended(self, state: EndpointState) -> bool:
-        if await self._refuses(state):
+    async def _probe_twice(self, state: EndpointState) -> bool:
+        if await self._refuses_connections(state):
             return True
-        await asyncio.sleep(AGAIN_S)
-        return await self._refuses(state)
+        await asyncio.sleep(SECOND_PROBE_DELAY_S)
+        return await self._refuses_connections(state)
 
-    async def _refuses(self, state: EndpointState) -> bool:
+    async def _refuses_connections(self, state: EndpointState) -> bool:
         """Whether nobody listens at an endpoint's address."""
         try:
             connection = await self._connect(state.endpoint.address, PROBE_TIMEOUT_S)
         except ConnectFailed as failure:
             if failure.reason != CONNECT_REFUSED:
                 return False
-            note_refusal(self._known, state, self._now_ms())
+            record_refusal(self._context, state, self._now_ms())
             return True
         connection.abort()
         return False
 
-    def crashed(self, request: str, content: int, state: EndpointState) -> None:
+    def record_crash(
+        self, request_id: str, fingerprint: int, state: EndpointState
+    ) -> None:
         """Hold the end of an endpoint against a request that was running there."""
-        known = self._known
+        known = self._context
         endpoint = state.endpoint
         now_unix_ms = unix_ms()
         record = known.quarantine.crashed(
-            content, endpoint.instance, endpoint.started_unix_ms, now_unix_ms
+            fingerprint, endpoint.instance, endpoint.started_unix_ms, now_unix_ms
         )
         crashes = len(record.unsurvived)
-        held_ms = known.quarantine.held_ms(content, now_unix_ms)
+        held_ms = known.quarantine.held_ms(fingerprint, now_unix_ms)
         noted = CrashNoted(
-            request, digest_text(content), endpoint.instance, crashes, int(held_ms)
+            request_id,
+            fingerprint_text(fingerprint),
+            endpoint.instance,
+            crashes,
+            int(held_ms),
         )
         emit(log, noted, logging.WARNING)
         known.metrics.count("crashes_noted")
         known.crashes_found()
-        if crashes >= TELL_FROM:
+        if crashes >= BROADCAST_CRASHES_MIN:
             known.tell(ContentCrashed(record))
 
-    def survived(self, request: str, content: int) -> None:
+    def record_completion(self, request_id: str, fingerprint: int) -> None:
         """A request has run to its end: it crashes nothing."""
-        if self._known.quarantine.survived(content):
-            emit(log, ContentSurvived(request, digest_text(content)))
-            self._known.crashes_found()
+        if self._context.quarantine.survived(fingerprint):
+            emit(log, ContentSurvived(request_id, fingerprint_text(fingerprint)))
+            self._context.crashes_found()
 
     def _now_ms(self) -> float:
         return self._loop.time() * 1000.0
--- a/ashlatch/gateway/daemon.py
+++ b/ashlatch/gateway/daemon.py
@@ -19,7 +19,7 @@
 from ashlatch.fleet.seeds import Seeds
 from ashlatch.gateway.admission import Refused, admit, refuse
 from ashlatch.gateway.budget import BudgetTerms
-from ashlatch.gateway.cold import ColdGate
+from ashlatch.gateway.cold import ColdSendLimiter
 from ashlatch.gateway.exchange import Exchange
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.logs import (
@@ -132,7 +132,7 @@
         )
         peers = GatewayPeers(self.known)
         await peers.start(own)
-        self.known.cold = ColdGate(own)
+        self.known.cold = ColdSendLimiter(own)
         self.known.tell = peers.tell
         for listener, text, early in (
             (self.front, self.settings.listen, self._early),
--- a/ashlatch/gateway/exchange.py
+++ b/ashlatch/gateway/exchange.py
@@ -17,7 +17,7 @@
     RETRY_AFTER_S,
     Admission,
     Refused,
-    quarantined,
+    quarantine_refusal,
     refuse,
 )
 from ashlatch.gateway.attempt import Attempt, AttemptFailed, FailureKind
@@ -29,16 +29,16 @@
     larger_models,
 )
 from ashlatch.gateway.chooser import EndpointChooser
-from ashlatch.gateway.crash_detector import CrashFinder
+from ashlatch.gateway.crash_detector import CrashDetector
 from ashlatch.gateway.events import EventSplitter, StreamEvent
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import AnswerHead, Dispatch, RefusalReason
-from ashlatch.gateway.request_record import Account
+from ashlatch.gateway.request_record import RequestRecord
 from ashlatch.gateway.timeouts import (
-    Patience,
-    answer_patience,
-    connect_patience_s,
-    event_patience,
+    AnswerTimeout,
+    answer_timeout,
+    connect_timeout_s,
+    event_timeout,
 )
 from ashlatch.http.connection import CallerGone, Headers, Responder
 
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True)
-class _Whole:
+class _CompleteAnswer:
     """An answer that has been read to its end."""
 
     head: AnswerHead
@@ -64,35 +64,37 @@
     """Serves one admitted request. `run` returns when it has its answer."""
 
     def __init__(
-        self, known: Knowledge, admission: Admission, responder: Responder
+        self, context: Knowledge, admission: Admission, responder: Responder
     ) -> None:
-        self._known = known
+        self._context = context
         self._admission = admission
         self._route = admission.route
-        self._ask = admission.ask
+        self._request = admission.request
         self._responder = responder
         self._loop = asyncio.get_running_loop()
         self._may_have_run = False
-        self._model = first_model(admission.route, admission.ask)
+        self._model = first_model(admission.route, admission.request)
         self._last_event = ""
-        self._account = Account(known, admission)
-        self._chooser = EndpointChooser(known, admission)
-        self._crashes = CrashFinder(known)
-        self._error: _Whole | None = None
-        self._repeat_taken = False
-        self._why = "first"
+        self._record = RequestRecord(context, admission)
+        self._chooser = EndpointChooser(context, admission)
+        self._crash_detector = CrashDetector(context)
+        self._error_answer: _CompleteAnswer | None = None
+        self._repeat_reserved = False
+        self._send_reason = "first"
         self._expected_first_ms = 0.0
 
     async def run(self) -> None:
         """Send, and pass the answer on; never raises but for a lost caller."""
-        self._known.budget(self._admission.service.name).request(self._now_ms())
+        self._context.budget(self._admission.service.name).record_request(
+            self._now_ms()
+        )
         try:
-            async with asyncio.timeout_at(self._admission.ends_s):
+            async with asyncio.timeout_at(self._admission.deadline_s):
                 refused = await self._serve()
         except TimeoutError:
             refused = Refused(504, RefusalReason.TIMED_OUT)
         except (asyncio.CancelledError, CallerGone):
-            self._account.ended(0, "caller_left")
+            self._record.record_end(0, "caller_left")
             raise
         if refused is not None:
             self._conclude(refused)
@@ -100,7 +102,7 @@
     async def _serve(self) -> Refused | None:
         while True:
             # It may have crashed endpoints at other gateways since the last send.
-            held = self._held()
+            held = self._quarantine_refusal()
             if held is not None:
                 return held
             choice = self._chooser.choose(self._model)
@@ -108,75 +110,75 @@
                 if self._may_have_run:
                     return Refused(502, RefusalReason.OUTCOME_UNKNOWN)
                 return self._chooser.refusal()
-            attempt = self._attempt(choice)
+            attempt = self._new_attempt(choice)
             try:
                 if await self._run_attempt(attempt):
                     return None
             except AttemptFailed as failed:
-                self._account.failed(attempt, failed)
+                self._record.record_failure(attempt, failed)
                 self._may_have_run |= not failed.kind.not_run
-                await self._suspect(attempt, failed)
-                if not self._may_send_again(failed.kind):
-                    return self._spent(failed.kind)
-                self._why = failed.kind.value
+                await self._record_if_crashed(attempt, failed)
+                if not self._may_repeat(failed.kind):
+                    return self._final_refusal(failed.kind)
+                self._send_reason = failed.kind.value
             finally:
                 attempt.close()
-                self._account.carried(attempt)
+                self._record.record_traffic(attempt)
 
     # One send.
 
-    def _attempt(self, choice: Choice) -> Attempt:
+    def _new_attempt(self, choice: Choice) -> Attempt:
         endpoint = choice.state.endpoint
         organisation = self._admission.organisation
         self._chooser.tried.add(endpoint.instance)
         dispatch = Dispatch(
             organisation.name if organisation else "",
             endpoint.instance,
-            (self._admission.ends_s - self._loop.time()) * 1000.0,
+            (self._admission.deadline_s - self._loop.time()) * 1000.0,
             self._model,
             engine_urgency(choice.forecast, self._admission.urgency),
             self._last_event,
         )
         self._expected_first_ms = self._chooser.expected_ms(choice, self._model)
-        self._account.sent(choice, self._model, self._why)
+        self._record.record_send(choice, self._model, self._send_reason)
         choice.state.breaker.sent(self._now_ms())
         repeatable = self._route.repeat is not Repeat.NEVER
-        pool = self._known.pool
+        pool = self._context.pool
         return Attempt(
             choice.state,
             pool,
-            self._ask,
+            self._request,
             dispatch,
             repeatable,
             choice.forecast,
-            connect_patience_s(self._route),
-            self._known.connections_max(self._admission.service),
+            connect_timeout_s(self._route),
+            self._context.connections_max(self._admission.service),
         )
 
-    def _patience(self) -> Patience:
+    def _answer_timeout(self) -> AnswerTimeout:
         """How long a send may stay without the beginning of an answer."""
-        return answer_patience(
-            self._route, self._expected_first_ms, self._can_go_elsewhere
+        return answer_timeout(
+            self._route, self._expected_first_ms, self._reserve_repeat
         )
 
-    def _event_patience(self) -> Patience:
+    def _event_timeout(self) -> AnswerTimeout:
         """The same between the events of a stream."""
-        if not self._account.events:
-            return self._patience()
-        return event_patience(self._route, self._can_go_elsewhere)
+        if not self._record.events:
+            return self._answer_timeout()
+        return event_timeout(self._route, self._reserve_repeat)
 
-    def _can_go_elsewhere(self) -> bool:
+    def _reserve_repeat(self) -> bool:
         """Whether a silent endpoint is left; takes the repeat for it.
 
         Not for a limited one: the room there may be gone before the send, and then
         the request would have nothing.
         """
-        if self._account.sends >= self._attempts_max:
+        if self._record.sends >= self._attempts_max:
             return False
         if self._chooser.choose(self._model, exclude_limited=True) is None:
             return False
-        self._repeat_taken = self._spend()
-        return self._repeat_taken
+        self._repeat_reserved = self._spend_repeat()
+        return self._repeat_reserved
 
     @property
     def _attempts_max(self) -> int:
@@ -186,99 +188,105 @@
 
     async def _run_attempt(self, attempt: Attempt) -> bool:
         """Whether the request has its answer; else it is to be sent again."""
-        head = await attempt.begin(self._patience())
-        self._account.begun(attempt, self._model)
+        head = await attempt.begin(self._answer_timeout())
+        self._record.record_answer_begin(attempt, self._model)
         if self._route.streams and head.status < 300:
-            if self._climbs(attempt, head):
+            if self._escalates(attempt, head):
                 return False
-            await self._pass_stream(attempt, head)
+            await self._forward_stream(attempt, head)
         else:
-            whole = await self._read_whole(attempt, head)
+            whole = await self._read_complete(attempt, head)
             if head.status >= SERVER_ERROR or self._responder.begun:
-                self._error = whole
+                self._error_answer = whole
                 raise AttemptFailed(FailureKind.ERROR, f"status {head.status}")
-            self._answer(whole)
-        self._account.answered(attempt)
+            self._forward_answer(whole)
+        self._record.record_success(attempt)
         return True
 
-    def _climbs(self, attempt: Attempt, head: AnswerHead) -> bool:
+    def _escalates(self, attempt: Attempt, head: AnswerHead) -> bool:
         """Whether a larger model is asked instead of passing this answer on."""
-        if not self._model or self._account.events:
+        if not self._model or self._record.events:
             return False
         larger = larger_models(self._route, self._model, head.confidence)
         # A larger model may be asked at the same endpoint.
         self._chooser.tried.discard(attempt.state.endpoint.instance)
         model, expected_ms = self._chooser.first_model_in_time(larger)
-        verdict = self._weigh(larger, model)
-        self._account.weighed(attempt, self._model, expected_ms, verdict)
+        verdict = self._decide_escalation(larger, model)
+        self._record.record_escalation_decision(
+            attempt, self._model, expected_ms, verdict
+        )
         if verdict is not EscalationDecision.ESCALATE:
             self._chooser.tried.add(attempt.state.endpoint.instance)
             return False
-        self._account.answered(attempt)
+        self._record.record_success(attempt)
         # What is dropped here has run: no later answer may say that nothing has.
         self._may_have_run = True
         self._model = model
-        self._why = "confidence"
+        self._send_reason = "confidence"
         return True
 
-    def _weigh(self, larger: tuple[str, ...], model: str) -> EscalationDecision:
+    def _decide_escalation(
+        self, larger: tuple[str, ...], model: str
+    ) -> EscalationDecision:
         """Whether a larger model is asked; takes the repeat for it."""
         if not larger:
             return EscalationDecision.GOOD
-        if self._account.sends >= self._attempts_max:
+        if self._record.sends >= self._attempts_max:
             return EscalationDecision.NO_ATTEMPT
         if not model:
             return EscalationDecision.NO_TIME
         return (
             EscalationDecision.ESCALATE
-            if self._spend()
+            if self._spend_repeat()
             else EscalationDecision.NO_BUDGET
         )
 
-    async def _read_whole(self, attempt: Attempt, head: AnswerHead) -> _Whole:
+    async def _read_complete(
+        self, attempt: Attempt, head: AnswerHead
+    ) -> _CompleteAnswer:
         parts = []
-        while (part := await attempt.part(self._patience())) is not None:
+        while (part := await attempt.part(self._answer_timeout())) is not None:
             parts.append(part)
         attempt.finish()
-        self._survived()
-        return _Whole(head, b"".join(parts))
+        self._record_completion()
+        return _CompleteAnswer(head, b"".join(parts))
 
-    async def _pass_stream(self, attempt: Attempt, head: AnswerHead) -> None:
+    async def _forward_stream(self, attempt: Attempt, head: AnswerHead) -> None:
         splitter = EventSplitter()
-        while (part := await attempt.part(self._event_patience())) is not None:
+        while (part := await attempt.part(self._event_timeout())) is not None:
             for event in splitter.feed(part):
-                self._pass_event(head, event)
+                self._forward_event(head, event)
             await self._responder.drain()
         if splitter.rest.strip():
             raise AttemptFailed(FailureKind.BROKEN, "ended within an event")
         if not self._responder.begun:
             self._responder.begin(head.status, _body_headers(head))
         attempt.finish()
-        self._survived()
+        self._record_completion()
         self._responder.end()
-        self._account.ended(head.status, "")
+        self._record.record_end(head.status, "")
 
-    def _pass_event(self, head: AnswerHead, event: StreamEvent) -> None:
-        if _is_behind(event.event_id, self._last_event):
+    def _forward_event(self, head: AnswerHead, event: StreamEvent) -> None:
+        if _is_already_forwarded(event.event_id, self._last_event):
             # An endpoint that began the stream anew; the caller has this one.
             return
-        self._account.passing()
+        self._record.record_forwarding()
         if not self._responder.begun:
             self._responder.begin(head.status, _body_headers(head))
         self._responder.send(event.data)
-        self._account.events += 1
+        self._record.events += 1
         self._last_event = event.event_id or self._last_event
 
-    def _answer(self, whole: _Whole) -> None:
-        self._account.passing()
+    def _forward_answer(self, whole: _CompleteAnswer) -> None:
+        self._record.record_forwarding()
         self._responder.respond(
             whole.head.status, _body_headers(whole.head), whole.body
         )
-        self._account.ended(whole.head.status, "")
+        self._record.record_end(whole.head.status, "")
 
     # After a failure.
 
-    async def _suspect(self, attempt: Attempt, failed: AttemptFailed) -> None:
+    async def _record_if_crashed(self, attempt: Attempt, failed: AttemptFailed) -> None:
         """Hold the end of the endpoint against the request, if that is what it was.
 
         An endpoint's breaker does not do: what crashed it is sent to the next one,
@@ -286,47 +294,51 @@
         """
         if failed.kind.not_run or failed.kind is FailureKind.ERROR:
             return
-        if await self._crashes.ended(attempt.state, failed):
-            content = self._admission.content
-            self._crashes.crashed(self._ask.request_id, content, attempt.state)
-
-    def _survived(self) -> None:
-        self._crashes.survived(self._ask.request_id, self._admission.content)
+        if await self._crash_detector.has_crashed(attempt.state, failed):
+            content = self._admission.fingerprint
+            self._crash_detector.record_crash(
+                self._request.request_id, content, attempt.state
+            )
+
+    def _record_completion(self) -> None:
+        self._crash_detector.record_completion(
+            self._request.request_id, self._admission.fingerprint
+        )
 
-    def _held(self) -> Refused | None:
+    def _quarantine_refusal(self) -> Refused | None:
         """The final answer if the request crashes its endpoints."""
-        held = quarantined(self._known, self._admission.content)
+        held = quarantine_refusal(self._context, self._admission.fingerprint)
         if held is not None and self._may_have_run:
             return Refused(502, RefusalReason.QUARANTINED)
         return held
 
-    def _may_send_again(self, kind: FailureKind) -> bool:
-        if self._held() is not None:
+    def _may_repeat(self, kind: FailureKind) -> bool:
+        if self._quarantine_refusal() is not None:
             return False
         if not kind.not_run and self._route.repeat is Repeat.NEVER:
             return False
-        if self._account.events and self._route.repeat is not Repeat.RESUME:
+        if self._record.events and self._route.repeat is not Repeat.RESUME:
             return False
-        if self._account.events and not self._last_event:
+        if self._record.events and not self._last_event:
             return False
         if kind in (FailureKind.UNREACHABLE, FailureKind.CLOSED):
-            return self._account.unreachable < UNREACHABLE_MAX
+            return self._record.unreachable < UNREACHABLE_MAX
         if kind is FailureKind.MISDIRECTED:
-            return self._account.unreachable < UNREACHABLE_MAX and self._spend()
-        if self._repeat_taken:
-            self._repeat_taken = False
+            return self._record.unreachable < UNREACHABLE_MAX and self._spend_repeat()
+        if self._repeat_reserved:
+            self._repeat_reserved = False
             return True
-        return self._account.sends < self._attempts_max and self._spend()
+        return self._record.sends < self._attempts_max and self._spend_repeat()
 
-    def _spend(self) -> bool:
-        budget = self._known.budget(self._admission.service.name)
-        granted = budget.spend(self._now_ms(), len(self._known.gateways))
+    def _spend_repeat(self) -> bool:
+        budget = self._context.budget(self._admission.service.name)
+        granted = budget.spend(self._now_ms(), len(self._context.gateways))
         if not granted:
-            self._known.metrics.count("repeats_over_budget")
+            self._context.metrics.count("repeats_over_budget")
         return granted
 
-    def _spent(self, kind: FailureKind) -> Refused:
-        held = self._held()
+    def _final_refusal(self, kind: FailureKind) -> Refused:
+        held = self._quarantine_refusal()
         if held is not None:
             return held
         if self._may_have_run:
@@ -340,12 +352,12 @@
         """Give the final answer when no endpoint's answer is passed on."""
         if self._responder.begun:
             self._responder.abort()
-            self._account.ended(0, refused.reason.value)
-        elif self._error is not None:
-            self._answer(self._error)
+            self._record.record_end(0, refused.reason.value)
+        elif self._error_answer is not None:
+            self._forward_answer(self._error_answer)
         else:
-            refuse(self._responder, self._ask.request_id, refused)
-            self._account.ended(refused.status, refused.reason.value)
+            refuse(self._responder, self._request.request_id, refused)
+            self._record.record_end(refused.status, refused.reason.value)
 
     def _now_ms(self) -> float:
         return self._loop.time() * 1000.0
@@ -356,7 +368,7 @@
     return [pair for pair in head.headers if pair[0].lower() != b"content-length"]
 
 
-def _is_behind(event_id: str, last: str) -> bool:
+def _is_already_forwarded(event_id: str, last: str) -> bool:
     """Whether an event is one that was passed on; ids rise within a stream."""
     numbers = event_id.isdigit() and last.isdigit()
     return numbers and int(event_id) <= int(last)
--- a/ashlatch/gateway/fingerprint.py
+++ b/ashlatch/gateway/fingerprint.py
@@ -13,10 +13,10 @@
 
 from ashlatch.gateway.message import Ask
 
-__all__ = ["content_digest", "digest_text"]
+__all__ = ["request_fingerprint", "fingerprint_text"]
 
 
-def content_digest(ask: Ask, organisation: str) -> int:
+def request_fingerprint(request: Ask, organisation: str) -> int:
     """A number that requests share which ask for the same, at every gateway.
 
     They come from the same organisation, or caller's key where there is none, and
@@ -25,14 +25,19 @@
         content_digest(first, "acme") == content_digest(repeated, "acme")
     """
     hasher = xxhash.xxh3_64()
-    for part in (ask.method, ask.host, ask.target, organisation or ask.key):
+    for part in (
+        request.method,
+        request.host,
+        request.target,
+        organisation or request.key,
+    ):
         text = part.encode()
         hasher.update(len(text).to_bytes(4, "big"))
         hasher.update(text)
-    hasher.update(ask.body)
+    hasher.update(request.body)
     return hasher.intdigest()
 
 
-def digest_text(digest: int) -> str:
+def fingerprint_text(fingerprint: int) -> str:
     """A digest as logs show it."""
-    return f"{digest:016x}"
+    return f"{fingerprint:016x}"
--- a/ashlatch/gateway/hearing.py
+++ b/ashlatch/gateway/hearing.py
@@ -12,7 +12,7 @@
 import logging
 from dataclasses import dataclass
 
-from ashlatch.gateway.crash_detector import learn_crashes
+from ashlatch.gateway.crash_detector import apply_peer_crashes
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.limits import apply_peer_limit, apply_peer_send
 from ashlatch.gateway.logs import (
@@ -67,7 +67,7 @@
 
 @HEARD.on(ContentCrashed)
 def _content_crashed(known: Knowledge, news: ContentCrashed, teller: Teller) -> None:
-    learn_crashes(known, news.record, teller.address)
+    apply_peer_crashes(known, news.record, teller.address)
 
 
 @HEARD.on(EndpointReplaced)
--- a/ashlatch/gateway/knowledge.py
+++ b/ashlatch/gateway/knowledge.py
@@ -15,7 +15,7 @@
 
 from ashlatch.catalog import GatewayVm, Service
 from ashlatch.gateway.budget import BudgetTerms, RepeatBudget
-from ashlatch.gateway.cold import ColdGate
+from ashlatch.gateway.cold import ColdSendLimiter
 from ashlatch.gateway.directory import Directory, EndpointState
 from ashlatch.gateway.kept import KeptParts
 from ashlatch.gateway.latency_model import LatencyModel
@@ -75,7 +75,7 @@
     probes: dict[str, asyncio.Task[bool]] = field(default_factory=dict)
     tell: Callable[[PeerNews], None] = _tell_nobody
     crashes_found: Callable[[], None] = _tell_no_core
-    cold: ColdGate = field(default_factory=ColdGate)
+    cold: ColdSendLimiter = field(default_factory=ColdSendLimiter)
     core_in_touch: bool = True
     peers_in_touch: bool = True
     returns_ms: dict[str, float] = field(default_factory=dict)
--- a/ashlatch/gateway/limits.py
+++ b/ashlatch/gateway/limits.py
@@ -25,7 +25,7 @@
     "apply_answer_limit",
     "apply_peer_limit",
     "apply_peer_send",
-    "limit_step_ms",
+    "limit_interval_ms",
     "limit_wait_ms",
     "record_limited_send",
 ]
@@ -34,7 +34,7 @@
 
 # How long a gateway that does not know the others yet leaves a limited endpoint alone;
 # it asks again before.
-UNKNOWN_SHARERS_MS = 5000.0
+UNKNOWN_GATEWAYS_WAIT_MS = 5000.0
 
 
 @dataclass(frozen=True)
@@ -45,13 +45,13 @@
     leave the limit out.
     """
 
-    request: str
+    request_id: str
     limit_per_s: float
     sent_ms: float
-    run: bool
+    executed: bool
 
 
-def limit_wait_ms(known: Knowledge, state: EndpointState, now_ms: float) -> float:
+def limit_wait_ms(context: Knowledge, state: EndpointState, now_ms: float) -> float:
     """The time until a request may be sent to an endpoint, for its rate limit.
 
     A gateway that does not know the others yet waits: when many start together, each
@@ -59,22 +59,24 @@
     """
     if not state.limit.limited:
         return 0.0
-    if not known.cold.knows_gateways(now_ms):
-        return UNKNOWN_SHARERS_MS
-    return state.limit.wait_ms(_sharers(known), now_ms)
+    if not context.cold.knows_gateways(now_ms):
+        return UNKNOWN_GATEWAYS_WAIT_MS
+    return state.limit.wait_ms(_sharers(context), now_ms)
 
 
-def record_limited_send(known: Knowledge, state: EndpointState, now_ms: float) -> None:
+def record_limited_send(
+    context: Knowledge, state: EndpointState, now_ms: float
+) -> None:
     """A request goes to an endpoint; the others hear of it, if it is limited."""
     if not state.limit.limited:
         return
-    state.limit.sent(_sharers(known), known.generator.random(), now_ms)
-    known.metrics.count("sends_limited")
-    known.tell(LimitedSend(state.endpoint.instance))
+    state.limit.sent(_sharers(context), context.generator.random(), now_ms)
+    context.metrics.count("sends_limited")
+    context.tell(LimitedSend(state.endpoint.instance))
 
 
 def apply_answer_limit(
-    known: Knowledge, state: EndpointState, report: LimitReport, now_ms: float
+    context: Knowledge, state: EndpointState, report: LimitReport, now_ms: float
 ) -> None:
     """Learn from an answer, and tell the other gateways if it is news to them.
 
@@ -82,46 +84,50 @@
     endpoint would not know for long.
     """
     per_s = report.limit_per_s
-    if per_s == NO_LIMIT and not (report.run and state.limit.limited):
+    if per_s == NO_LIMIT and not (report.executed and state.limit.limited):
         return
     if not state.limit.accepts(per_s, report.sent_ms):
         return
     if state.limit.is_news(per_s, now_ms):
         age_ms = now_ms - report.sent_ms
-        known.tell(LimitNamed(state.endpoint.instance, per_s, round(age_ms, 1)))
+        context.tell(LimitNamed(state.endpoint.instance, per_s, round(age_ms, 1)))
         state.limit.told_ms = now_ms
-    _learn(known, state, per_s, report.request, now_ms)
+    _apply_limit(context, state, per_s, report.request_id, now_ms)
 
 
 def apply_peer_limit(
-    known: Knowledge, state: EndpointState, news: LimitNamed, source: str, now_ms: float
+    context: Knowledge,
+    state: EndpointState,
+    update: LimitNamed,
+    source: str,
+    now_ms: float,
 ) -> None:
     """Take the limit that another gateway has heard of, unless a newer one is known.
 
     It may have stood still, and report a limit of seconds ago.
     """
-    if not state.limit.accepts(news.limit_per_s, now_ms - news.age_ms):
+    if not state.limit.accepts(update.limit_per_s, now_ms - update.age_ms):
         return
     state.limit.told_ms = now_ms
-    _learn(known, state, news.limit_per_s, source, now_ms)
+    _apply_limit(context, state, update.limit_per_s, source, now_ms)
 
 
-def apply_peer_send(known: Knowledge, state: EndpointState, now_ms: float) -> None:
+def apply_peer_send(context: Knowledge, state: EndpointState, now_ms: float) -> None:
     """Another gateway sends to an endpoint that it knows to be limited."""
-    state.limit.sent_elsewhere(_sharers(known), known.generator.random(), now_ms)
+    state.limit.sent_elsewhere(_sharers(context), context.generator.random(), now_ms)
 
 
-def _learn(
-    known: Knowledge, state: EndpointState, per_s: float, source: str, now_ms: float
+def _apply_limit(
+    context: Knowledge, state: EndpointState, per_s: float, source: str, now_ms: float
 ) -> None:
     limit = state.limit
     before_per_s = limit.per_s
     if per_s == NO_LIMIT:
         limit.clear()
     else:
-        limit.set_rate(per_s, _sharers(known), known.generator.random(), now_ms)
+        limit.set_rate(per_s, _sharers(context), context.generator.random(), now_ms)
     if per_s != before_per_s:
-        known.metrics.count("limits_learnt")
+        context.metrics.count("limits_learnt")
         endpoint = state.endpoint
         learnt = EndpointLimited(
             endpoint.instance, endpoint.service, per_s, before_per_s, source
@@ -129,12 +135,12 @@
         emit(log, learnt)
 
 
-def limit_step_ms(known: Knowledge, limited: Iterable[EndpointState]) -> float:
+def limit_interval_ms(context: Knowledge, limited: Iterable[EndpointState]) -> float:
     """The time between two sends of this gateway's part of several limits."""
     rate_per_s = sum(max(s.limit.per_s, RATE_MIN_PER_S) for s in limited)
-    return SECOND_MS * _sharers(known).gateways / rate_per_s
+    return SECOND_MS * _sharers(context).gateways / rate_per_s
 
 
-def _sharers(known: Knowledge) -> Sharers:
-    in_touch = known.core_in_touch and known.peers_in_touch
-    return Sharers(max(1, len(known.gateways)), in_touch)
+def _sharers(context: Knowledge) -> Sharers:
+    in_touch = context.core_in_touch and context.peers_in_touch
+    return Sharers(max(1, len(context.gateways)), in_touch)
--- a/ashlatch/gateway/permission.py
+++ b/ashlatch/gateway/permission.py
@@ -19,15 +19,15 @@
 
 
 def send_permission(
-    known: Knowledge, service: Service, state: EndpointState, now_ms: float
+    context: Knowledge, service: Service, state: EndpointState, now_ms: float
 ) -> Permission:
     """Whether a request may be sent to an endpoint of a service, and if not, why."""
     own = state.permission(now_ms)
     may_be_cold = service.cold_requests_per_s > 0.0 and state.cold(now_ms)
     if own is ALLOWED and not state.limit.limited and not may_be_cold:
         return ALLOWED
-    limit_ms = limit_wait_ms(known, state, now_ms)
-    cold_ms = known.cold.wait_ms(state, service, known.gateways, now_ms)
+    limit_ms = limit_wait_ms(context, state, now_ms)
+    cold_ms = context.cold.wait_ms(state, service, context.gateways, now_ms)
     waits = [(Barrier.LIMITED, limit_ms), (Barrier.COLD, cold_ms)]
     if own.barrier is not None:
         waits.insert(0, (own.barrier, own.wait_ms))
--- a/ashlatch/gateway/request_record.py
+++ b/ashlatch/gateway/request_record.py
@@ -16,9 +16,9 @@
 from ashlatch.gateway.admission import Admission
 from ashlatch.gateway.attempt import Attempt, AttemptFailed, FailureKind
 from ashlatch.gateway.choice import Choice, EscalationDecision
-from ashlatch.gateway.crash_detector import note_refusal
+from ashlatch.gateway.crash_detector import record_refusal
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.fingerprint import digest_text
+from ashlatch.gateway.fingerprint import fingerprint_text
 from ashlatch.gateway.forecast import Forecast
 from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.limits import LimitReport, apply_answer_limit, record_limited_send
@@ -44,44 +44,44 @@
 from ashlatch.log import emit
 from ashlatch.policy.permission import Barrier
 
-__all__ = ["Account"]
+__all__ = ["RequestRecord"]
 
 log = logging.getLogger("ashlatch.gateway")
 
 # The request has not reached the endpoint that was meant.
-_NOT_THERE = frozenset(
+_NOT_REACHED = frozenset(
     {FailureKind.UNREACHABLE, FailureKind.MISDIRECTED, FailureKind.CLOSED}
 )
 
 
-class Account:
+class RequestRecord:
     """The counts of one request.
 
     `sends` are those that reached an endpoint, `unreachable` those that did
     not; `first_s` is when the answer began to be passed on.
     """
 
-    def __init__(self, known: Knowledge, admission: Admission) -> None:
+    def __init__(self, context: Knowledge, admission: Admission) -> None:
         self.sends = 0
         self.unreachable = 0
         self.events = 0
         self.first_s: float | None = None
         self._last_s = 0.0
         self._gap_s = 0.0
-        self._known = known
+        self._context = context
         self._admission = admission
         self._loop = asyncio.get_running_loop()
 
-    def sent(self, choice: Choice, model: str, reason: str) -> None:
+    def record_send(self, choice: Choice, model: str, reason: str) -> None:
         """A request goes to an endpoint, for a reason."""
         self.sends += 1
         endpoint = choice.state.endpoint
         admission = self._admission
         organisation = admission.organisation
         sent = RequestSent(
-            admission.ask.request_id,
-            digest_text(admission.content),
-            admission.ask.session,
+            admission.request.request_id,
+            fingerprint_text(admission.fingerprint),
+            admission.request.session,
             admission.route.name,
             organisation.name if organisation else "",
             admission.configuration,
@@ -97,9 +97,9 @@
             choice.candidates,
             choice.allowed.evacuated,
             choice.utilisation,
-            int(self._now_ms() - self._known.directory.listed_ms),
-            admission.ask.prompt_tokens,
-            *_foreseen(choice.forecast),
+            int(self._now_ms() - self._context.directory.listed_ms),
+            admission.request.prompt_tokens,
+            *_forecast_figures(choice.forecast),
             choice.denied.get(Barrier.LIMITED, 0),
             choice.state.limit.per_s,
             self._limit_age_ms(choice.state),
@@ -107,25 +107,25 @@
             choice.denied.get(Barrier.LEAVING, 0),
         )
         emit(log, sent)
-        record_limited_send(self._known, choice.state, self._now_ms())
-        self._known.metrics.count(f"versions_by_{choice.allowed.reason.value}")
-        session = admission.ask.session
+        record_limited_send(self._context, choice.state, self._now_ms())
+        self._context.metrics.count(f"versions_by_{choice.allowed.reason.value}")
+        session = admission.request.session
         announce_session(
-            self._known, endpoint.service, session, endpoint.version, self._now_ms()
+            self._context, endpoint.service, session, endpoint.version, self._now_ms()
         )
         if choice.forecast is not None:
-            self._note_read(choice, model or admission.ask.model)
+            self._record_prefill(choice, model or admission.request.model)
 
-    def _note_read(self, choice: Choice, model: str) -> None:
+    def _record_prefill(self, choice: Choice, model: str) -> None:
         """An engine is about to read the prompt, and keeps it then.
 
         This is told as soon as it is sent: requests that share parts of it
         follow within the second that a long prompt takes.
         """
         assert choice.forecast is not None
-        known = self._known
+        known = self._context
         endpoint = choice.state.endpoint
-        parts = self._admission.ask.prompt_parts
+        parts = self._admission.request.prompt_parts
         engine = self._admission.service.engine
         memory_tokens = engine.memory_tokens if engine else 0
         choice.state.workload.add(choice.forecast.prefill_ms, self._now_ms())
@@ -133,26 +133,26 @@
         known.kept.note(endpoint.instance, model, parts, self._now_ms())
         known.kept.read(endpoint.instance, model, parts, memory_tokens, self._now_ms())
 
-    def carried(self, attempt: Attempt) -> None:
+    def record_traffic(self, attempt: Attempt) -> None:
         """An attempt is over, and its connection has carried all of it."""
         hall = attempt.state.endpoint.hall
-        traffic = self._known.traffic
+        traffic = self._context.traffic
         traffic.add(TrafficKind.REQUEST, hall, attempt.sent_bytes)
         traffic.add(TrafficKind.ANSWER, hall, attempt.received_bytes)
         service = attempt.state.endpoint.service
-        self._known.pace.record_slot_time(service, self._age_ms(attempt))
+        self._context.pace.record_slot_time(service, self._elapsed_ms(attempt))
 
-    def begun(self, attempt: Attempt, model: str) -> None:
+    def record_answer_begin(self, attempt: Attempt, model: str) -> None:
         """The head of an answer has come."""
-        self._tell_load(attempt)
-        self._read_notice(attempt)
-        first_ms = self._age_ms(attempt)
-        self._known.tallies.begun(self._key(attempt), first_ms)
+        self._broadcast_load(attempt)
+        self._apply_answer_head(attempt)
+        first_ms = self._elapsed_ms(attempt)
+        self._context.tallies.begun(self._tally_key(attempt), first_ms)
         attempt.state.proved(self._admission.service.cold_ms, self._now_ms())
         service = self._admission.service.name
         forecast = attempt.forecast
         if forecast is not None:
-            self._known.pace.record_first_event(
+            self._context.pace.record_first_event(
                 service,
                 model,
                 forecast.prefill_tokens,
@@ -161,61 +161,61 @@
                 forecast.wait_ms,
             )
 
-    def _tell_load(self, attempt: Attempt) -> None:
+    def _broadcast_load(self, attempt: Attempt) -> None:
         """Pass on an engine's load that came with an answer, once.
 
         A plain service answers in some ms: its load is another before it is heard.
         """
         load, attempt.load = attempt.load, None
         if load is not None and attempt.forecast is not None:
-            pass_on_load(self._known, attempt.state, load, self._now_ms())
+            pass_on_load(self._context, attempt.state, load, self._now_ms())
 
-    def _read_notice(self, attempt: Attempt) -> None:
+    def _apply_answer_head(self, attempt: Attempt) -> None:
         """Take what an answer says of its endpoint, once."""
-        head, attempt.unread_head = attempt.unread_head, None
+        head, attempt.unapplied_head = attempt.unapplied_head, None
         if head is None:
             return
         sent_ms = attempt.sent_s * 1000.0
-        apply_notice(self._known, attempt.state, head, sent_ms, self._now_ms())
+        apply_notice(self._context, attempt.state, head, sent_ms, self._now_ms())
         if head.limit_per_s is None:
             return
         answered = LimitReport(
-            self._admission.ask.request_id,
+            self._admission.request.request_id,
             head.limit_per_s,
             sent_ms,
             attempt.head is not None,
         )
-        apply_answer_limit(self._known, attempt.state, answered, self._now_ms())
+        apply_answer_limit(self._context, attempt.state, answered, self._now_ms())
 
     def _limit_age_ms(self, state: EndpointState) -> int:
         age_ms = self._now_ms() - state.limit.heard_ms
         return int(age_ms) if math.isfinite(age_ms) else -1
 
-    def weighed(
+    def record_escalation_decision(
         self,
         attempt: Attempt,
         model: str,
         expected_ms: float,
-        verdict: EscalationDecision,
+        decision: EscalationDecision,
     ) -> None:
         """It was decided whether an answer that has begun is passed on."""
         assert attempt.head is not None
         load = attempt.head.load
         weighed = AnswerWeighed(
-            self._admission.ask.request_id,
+            self._admission.request.request_id,
             self.sends,
             model,
             attempt.head.confidence,
-            int(self._age_ms(attempt)),
+            int(self._elapsed_ms(attempt)),
             int(expected_ms),
-            verdict.value,
+            decision.value,
             load.running if load else -1,
             load.waiting if load else -1,
         )
         emit(log, weighed)
-        self._known.metrics.count(f"answers_{verdict.value}")
+        self._context.metrics.count(f"answers_{decision.value}")
 
-    def passing(self) -> None:
+    def record_forwarding(self) -> None:
         """A part of the answer goes to the caller."""
         now_s = self._loop.time()
         if self.first_s is None:
@@ -224,55 +224,57 @@
             self._gap_s = max(self._gap_s, now_s - self._last_s)
         self._last_s = now_s
 
-    def answered(self, attempt: Attempt) -> None:
+    def record_success(self, attempt: Attempt) -> None:
         """An answer was whole, or good enough to be judged."""
         state = attempt.state
         if state.breaker.open:
             emit(log, EndpointResumed(state.endpoint.instance, state.endpoint.service))
         state.succeeded()
-        self._note_version(attempt)
-        self._known.tallies.answered(self._key(attempt))
+        self._record_session_end(attempt)
+        self._context.tallies.answered(self._tally_key(attempt))
 
-    def failed(self, attempt: Attempt, failed: AttemptFailed) -> None:
+    def record_failure(self, attempt: Attempt, failed: AttemptFailed) -> None:
         """A send brought no answer."""
-        self._tell_load(attempt)
-        self._read_notice(attempt)
+        self._broadcast_load(attempt)
+        self._apply_answer_head(attempt)
         kind = failed.kind
         state = attempt.state
-        if kind in _NOT_THERE:
+        if kind in _NOT_REACHED:
             self.sends -= 1
             self.unreachable += 1
         if kind is FailureKind.ERROR:
-            self._known.tallies.failed(self._key(attempt))
+            self._context.tallies.failed(self._tally_key(attempt))
         if kind is FailureKind.SILENT and not self.events:
-            self._known.tallies.begun(self._key(attempt), self._age_ms(attempt))
+            self._context.tallies.begun(
+                self._tally_key(attempt), self._elapsed_ms(attempt)
+            )
         if kind is FailureKind.MISDIRECTED:
-            self._replaced(state)
+            self._record_replacement(state)
         elif kind not in (FailureKind.REFUSED, FailureKind.CLOSED):
-            self._failed_at(state, kind)
+            self._count_against_endpoint(state, kind)
         if kind is FailureKind.UNREACHABLE and failed.detail == CONNECT_REFUSED:
-            note_refusal(self._known, state, self._now_ms())
+            record_refusal(self._context, state, self._now_ms())
         ended = AttemptEnded(
-            self._admission.ask.request_id,
+            self._admission.request.request_id,
             self.sends,
             state.endpoint.instance,
             kind.value,
             failed.detail,
-            int(self._age_ms(attempt)),
+            int(self._elapsed_ms(attempt)),
         )
         emit(log, ended)
-        self._known.metrics.count(f"attempts_{kind.value}")
+        self._context.metrics.count(f"attempts_{kind.value}")
 
-    def _replaced(self, state: EndpointState) -> None:
+    def _record_replacement(self, state: EndpointState) -> None:
         """Leave an endpoint whose address another one has, everywhere at once."""
         instance = state.endpoint.instance
         if not state.replaced(self._now_ms()):
-            self._known.tell(EndpointReplaced(instance))
+            self._context.tell(EndpointReplaced(instance))
             gone = EndpointMisdirected(instance, state.endpoint.service)
             emit(log, gone, logging.WARNING)
         state.replaced_ms = self._now_ms()
 
-    def _failed_at(self, state: EndpointState, kind: FailureKind) -> None:
+    def _count_against_endpoint(self, state: EndpointState, kind: FailureKind) -> None:
         """Hold a failure against its endpoint."""
         unreachable = kind in (FailureKind.UNREACHABLE, FailureKind.BROKEN)
         was_open = state.breaker.open
@@ -288,13 +290,13 @@
             )
             emit(log, suspended, logging.WARNING)
 
-    def ended(self, status: int, reason: str) -> None:
+    def record_end(self, status: int, reason: str) -> None:
         """The request has its final answer; `reason` if it is the gateway's."""
         now_s = self._loop.time()
-        received_s = self._admission.ask.received_s
+        received_s = self._admission.request.received_s
         took_ms = (now_s - received_s) * 1000
         ended = RequestEnded(
-            self._admission.ask.request_id,
+            self._admission.request.request_id,
             self._admission.route.name,
             self._admission.configuration,
             status,
@@ -306,29 +308,29 @@
             int(took_ms),
         )
         emit(log, ended)
-        self._known.metrics.count(f"requests_{reason or 'answered'}")
-        self._known.metrics.record_ms("request", took_ms)
+        self._context.metrics.count(f"requests_{reason or 'answered'}")
+        self._context.metrics.record_ms("request", took_ms)
 
-    def _note_version(self, attempt: Attempt) -> None:
+    def _record_session_end(self, attempt: Attempt) -> None:
         endpoint = attempt.state.endpoint
-        session = self._admission.ask.session
-        self._known.versions.sessions.record_end(
+        session = self._admission.request.session
+        self._context.versions.sessions.record_end(
             endpoint.service, session, endpoint.version, self._now_ms()
         )
 
-    def _key(self, attempt: Attempt) -> TallyKey:
+    def _tally_key(self, attempt: Attempt) -> TallyKey:
         endpoint = attempt.state.endpoint
         route = self._admission.route.name
         return TallyKey(endpoint.service, endpoint.version, route)
 
-    def _age_ms(self, attempt: Attempt) -> float:
+    def _elapsed_ms(self, attempt: Attempt) -> float:
         return (self._loop.time() - attempt.sent_s) * 1000.0
 
     def _now_ms(self) -> float:
         return self._loop.time() * 1000.0
 
 
-def _foreseen(forecast: Forecast | None) -> tuple[int, int, int]:
+def _forecast_figures(forecast: Forecast | None) -> tuple[int, int, int]:
     """Tokens to read, wait and time to read, for the log."""
     if forecast is None:
         return 0, 0, 0
--- a/ashlatch/gateway/routing.py
+++ b/ashlatch/gateway/routing.py
@@ -12,12 +12,12 @@
 
 from ashlatch.catalog import Catalog, Organisation, Route, Service
 
-__all__ = ["RouteTable", "fraction"]
+__all__ = ["RouteTable", "hash_fraction"]
 
 _FRACTION_STEPS = 1 << 32
 
 
-def fraction(text: str) -> float:
+def hash_fraction(text: str) -> float:
     """A number in [0, 1) that is the same for equal texts on every VM."""
     return (xxhash.xxh3_64_intdigest(text.encode()) % _FRACTION_STEPS) / _FRACTION_STEPS
 
@@ -34,7 +34,7 @@
     def __init__(self, catalog: Catalog) -> None:
         self.catalog = catalog
         self.services: dict[str, Service] = {s.name: s for s in catalog.services}
-        self._by_place = {(r.host, r.path_prefix): r for r in catalog.routes}
+        self._by_prefix = {(r.host, r.path_prefix): r for r in catalog.routes}
         self._holders = {
             key: organisation
             for organisation in catalog.organisations
@@ -50,7 +50,7 @@
         """The route of a host and path, or none."""
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
-            found = self._by_place.get((host, path[: end + 1]))
+            found = self._by_prefix.get((host, path[: end + 1]))
             if found is not None:
                 return found
         return None
@@ -65,7 +65,7 @@
         The draw depends on the request alone, so all attempts agree.
         """
         total = sum(share.weight for share in route.shares)
-        place = fraction(f"{route.name}/{request_id}") * total
+        place = hash_fraction(f"{route.name}/{request_id}") * total
         for share in route.shares:
             place -= share.weight
             if place < 0:
--- a/ashlatch/gateway/session_updates.py
+++ b/ashlatch/gateway/session_updates.py
@@ -19,18 +19,18 @@
 
 
 def announce_session(
-    known: Knowledge, service: str, session: str, version: str, now_ms: float
+    context: Knowledge, service: str, session: str, version: str, now_ms: float
 ) -> None:
     """A request of a session goes to an endpoint of a version."""
-    versions = known.versions
+    versions = context.versions
     mark = versions.record_running(service, session, version)
     if mark is not None:
         awaited = versions.rollouts[service].version
-        known.metrics.count("sessions_announced")
+        context.metrics.count("sessions_announced")
         for _ in range(COPIES):
-            known.tell(SessionRuns(service, awaited, mark))
-    alone = not known.peers_in_touch
+            context.tell(SessionRuns(service, awaited, mark))
+    alone = not context.peers_in_touch
     if versions.record_move(service, session, version, now_ms, alone):
-        known.metrics.count("sessions_told")
-        known.tell(SessionMoved(service, session, version))
+        context.metrics.count("sessions_told")
+        context.tell(SessionMoved(service, session, version))
     versions.sessions.record(service, session, version, now_ms)
--- a/ashlatch/gateway/sessions.py
+++ b/ashlatch/gateway/sessions.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from ashlatch.catalog import Rollout, RolloutStage
-from ashlatch.gateway.routing import fraction
+from ashlatch.gateway.routing import hash_fraction
 
 __all__ = [
     "HASH_RANGE",
@@ -94,7 +94,7 @@
 
 def session_hash(version: str, session: str) -> int:
     """A number for a session that is the same on every VM."""
-    return int(fraction(f"{version}/{session}") * HASH_RANGE)
+    return int(hash_fraction(f"{version}/{session}") * HASH_RANGE)
 
 
 @dataclass
@@ -109,13 +109,13 @@
     hashes: set[int] = field(default_factory=set)
     unreported: set[int] = field(default_factory=set)
 
-    def record(self, mark: int, here: bool) -> None:
+    def record(self, hash_value: int, here: bool) -> None:
         """A session was moved, at this gateway or at another one."""
         if len(self.hashes) >= MOVES_MAX:
             return
-        self.hashes.add(mark)
+        self.hashes.add(hash_value)
         if here:
-            self.unreported.add(mark)
+            self.unreported.add(hash_value)
 
     def apply(self, rollout: Rollout) -> None:
         """Take the sessions that a record of the roll-out names."""
@@ -137,10 +137,10 @@
     version: str
     hashes: set[int] = field(default_factory=set)
 
-    def record(self, mark: int) -> bool:
+    def record(self, hash_value: int) -> bool:
         """A session runs; whether that is new, and a trial could move it."""
-        movable = mark < MOVABLE_SHARE * HASH_RANGE
-        if not movable or mark in self.hashes or len(self.hashes) >= SESSIONS_MAX:
+        movable = hash_value < MOVABLE_SHARE * HASH_RANGE
+        if not movable or hash_value in self.hashes or len(self.hashes) >= SESSIONS_MAX:
             return False
-        self.hashes.add(mark)
+        self.hashes.add(hash_value)
         return True
--- a/ashlatch/gateway/timeouts.py
+++ b/ashlatch/gateway/timeouts.py
@@ -15,10 +15,10 @@
 
 __all__ = [
     "CONNECT_MAX_S",
-    "Patience",
-    "answer_patience",
-    "connect_patience_s",
-    "event_patience",
+    "AnswerTimeout",
+    "answer_timeout",
+    "connect_timeout_s",
+    "event_timeout",
 ]
 
 # A send that may be repeated is given up when nothing has come for this many
@@ -27,7 +27,7 @@
 SILENCE_MIN_S = 0.3
 # Nor is it given up before this many times the expected time to an answer: when
 # all endpoints are slow, sending again makes them slower.
-SILENCE_USUAL_RATIO = 3.0
+SILENCE_EXPECTED_RATIO = 3.0
 # Between two events a resumable stream may be silent for this many times the
 # longest pause that the route allows.
 EVENT_SILENCE_RATIO = 1.5
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True)
-class Patience:
+class AnswerTimeout:
     """How long an endpoint may be silent, and whether it is given up then.
 
     Silence alone is no reason to end an answer: `may_give_up` says whether the
@@ -52,19 +52,19 @@
     may_give_up: Callable[[], bool]
 
 
-def answer_patience(
+def answer_timeout(
     route: Route, expected_ms: float, may_give_up: Callable[[], bool]
-) -> Patience:
+) -> AnswerTimeout:
     """Until the beginning of an answer that is expected after some time."""
     if route.repeat is Repeat.NEVER:
-        return Patience(None, _never)
+        return AnswerTimeout(None, _never)
     aimed_ms = SILENCE_RATIO * route.target_ms
-    usual_ms = SILENCE_USUAL_RATIO * expected_ms
+    usual_ms = SILENCE_EXPECTED_RATIO * expected_ms
     silence_s = max(SILENCE_MIN_S, aimed_ms / 1000.0, usual_ms / 1000.0)
-    return Patience(silence_s, may_give_up)
+    return AnswerTimeout(silence_s, may_give_up)
 
 
-def connect_patience_s(route: Route) -> float:
+def connect_timeout_s(route: Route) -> float:
     """How long an endpoint may take to accept a connection.
 
     No longer than the route aims to answer in: a request that found its endpoint dark
@@ -74,12 +74,12 @@
     return min(CONNECT_MAX_S, max(CONNECT_MIN_S, aimed_s))
 
 
-def event_patience(route: Route, may_give_up: Callable[[], bool]) -> Patience:
+def event_timeout(route: Route, may_give_up: Callable[[], bool]) -> AnswerTimeout:
     """Between two events of a stream that has begun."""
     if route.repeat is not Repeat.RESUME or not route.event_gap_max_ms:
-        return Patience(None, _never)
+        return AnswerTimeout(None, _never)
     silence_s = EVENT_SILENCE_RATIO * route.event_gap_max_ms / 1000.0
-    return Patience(silence_s, may_give_up)
+    return AnswerTimeout(silence_s, may_give_up)
 
 
 def _never() -> bool:
--- a/ashlatch/gateway/versions.py
+++ b/ashlatch/gateway/versions.py
@@ -16,7 +16,7 @@
 
 from ashlatch.catalog import Rollout, RolloutStage, SessionHashes
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.routing import fraction
+from ashlatch.gateway.routing import hash_fraction
 from ashlatch.gateway.sessions import (
     HASH_RANGE,
     MOVABLE_SHARE,
@@ -127,13 +127,11 @@
         mark = session_hash(version, session)
         self._moves_to(service, version).record(mark, here=False)
 
-    def apply_peer_running(
-        self, service: str, version: str, session_id_hash: int
-    ) -> None:
+    def apply_peer_running(self, service: str, version: str, hash_value: int) -> None:
         """Another gateway has sent a session to the version before this one."""
         known = self.rollouts.get(service)
         if known is None or known.version == version:
-            self._running_on_other(service, version).record(session_id_hash)
+            self._running_on_other(service, version).record(hash_value)
 
     def record_running(self, service: str, session: str, version: str) -> int | None:
         """A request goes to a version; the mark of its session if others must hear.
@@ -180,14 +178,16 @@
         return True
 
     def _starts_in_trial(
-        self, rollout: Rollout, mark: int, now_ms: float, isolated: bool
+        self, rollout: Rollout, hash_value: int, now_ms: float, isolated: bool
     ) -> bool:
         """Whether a session of the trial's share is new, and the trial is too."""
         age_ms = now_ms - self._trial_begun_ms.get(rollout.service, float("-inf"))
         moves = self._moves_to(rollout.service, rollout.version)
-        if (age_ms > TRIAL_PROPAGATION_MS and not isolated) or mark in moves.hashes:
+        if (
+            age_ms > TRIAL_PROPAGATION_MS and not isolated
+        ) or hash_value in moves.hashes:
             return False
-        moves.record(mark, here=isolated)
+        moves.record(hash_value, here=isolated)
         if isolated:
             self.session_moved()
         return True
@@ -271,7 +271,7 @@
             running = self._running_on_other(rollout.service, rollout.version)
             if mark in self._held(rollout) or mark in running.hashes:
                 return _Preference(False, VersionReason.HELD)
-        place = fraction(f"{rollout.version}/{session or request_id}")
+        place = hash_fraction(f"{rollout.version}/{session or request_id}")
         return _Preference(place < rollout.share, VersionReason.SHARE)
 
     def sessions_to_report(self, now_ms: float) -> tuple[SessionHashes, ...]:
--- a/tests/limit_play.py
+++ b/tests/limit_play.py
@@ -18,7 +18,7 @@
 from ashlatch.catalog import Endpoint, EndpointList, GatewayVm
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.choice import choose_endpoint
-from ashlatch.gateway.cold import GATEWAYS_KNOWN_MS, ColdGate
+from ashlatch.gateway.cold import GATEWAYS_KNOWN_MS, ColdSendLimiter
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Send
 from ashlatch.gateway.knowledge import Knowledge
@@ -29,7 +29,7 @@
 )
 from ashlatch.gateway.message import Ask
 from ashlatch.gateway.peers import GatewayPeers
-from ashlatch.gateway.retry_time import find_return
+from ashlatch.gateway.retry_time import find_retry_time
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import AllowedEndpoints, VersionChooser, VersionReason
@@ -124,8 +124,8 @@
         )
         known.table = self._table
         known.gateways = self._vms
-        known.cold = ColdGate(vm)
-        known.cold.heard_core(heard_core_ms)
+        known.cold = ColdSendLimiter(vm)
+        known.cold.gateways_received(heard_core_ms)
         known.directory.replace(EndpointList(1, 1, self._listed), self.now_ms)
         peers = GatewayPeers(known)
         peers._own = vm
@@ -222,7 +222,7 @@
         )
         if chosen is None:
             service = self._table.services["app"]
-            found = find_return(known, service, states, self.now_ms)
+            found = find_retry_time(known, service, states, self.now_ms)
             assert found is not None
             self.refusals.append(Refusal(self.now_ms / 1000.0, found.after_s))
             return
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -410,7 +410,7 @@
     Mutant(
         "crash-not-held-against-the-request",
         "ashlatch/gateway/exchange.py",
-        "        if await self._crashes.ended(attempt.state, failed):\n",
+        "        if await self._crash_detector.has_crashed(attempt.state, failed):\n",
         "        if False:\n",
         CRASHING,
     ),
@@ -424,7 +424,7 @@
     Mutant(
         "good-run-clears-nothing",
         "ashlatch/gateway/crash_detector.py",
-        "        if self._known.quarantine.survived(content):\n",
+        "        if self._context.quarantine.survived(fingerprint):\n",
         "        if False:\n",
         CRASHING,
     ),
@@ -585,21 +585,21 @@
     Mutant(
         "limits-not-asked-for",
         "ashlatch/gateway/permission.py",
-        "limit_ms = limit_wait_ms(known, state, now_ms)",
+        "limit_ms = limit_wait_ms(context, state, now_ms)",
         "limit_ms = 0.0",
         RATE_LIMITS,
     ),
     Mutant(
         "limited-sends-untold",
         "ashlatch/gateway/limits.py",
-        "known.tell(LimitedSend(state.endpoint.instance))",
+        "context.tell(LimitedSend(state.endpoint.instance))",
         "pass",
         LIMITS,
     ),
     Mutant(
         "limits-untold",
         "ashlatch/gateway/limits.py",
-        "known.tell(LimitNamed(state.endpoint.instance, per_s, round(age_ms, 1)))",
+        "context.tell(LimitNamed(state.endpoint.instance, per_s, round(age_ms, 1)))",
         "pass",
         LIMITS,
     ),
@@ -613,21 +613,21 @@
     Mutant(
         "word-of-a-gateway-that-stood-still",
         "ashlatch/gateway/limits.py",
-        "if not state.limit.accepts(news.limit_per_s, now_ms - news.age_ms):",
+        "if not state.limit.accepts(update.limit_per_s, now_ms - update.age_ms):",
         "if False:",
         LIMITS,
     ),
     Mutant(
         "limit-ended-by-a-refusal",
         "ashlatch/gateway/limits.py",
-        "if per_s == NO_LIMIT and not (report.run and state.limit.limited):",
+        "if per_s == NO_LIMIT and not (report.executed and state.limit.limited):",
         "if per_s == NO_LIMIT and not state.limit.limited:",
         LIMITS,
     ),
     Mutant(
         "limits-before-gateways-are-known",
         "ashlatch/gateway/limits.py",
-        "if not known.cold.knows_gateways(now_ms):",
+        "if not context.cold.knows_gateways(now_ms):",
         "if False:",
         LIMITS,
     ),
@@ -683,7 +683,7 @@
     Mutant(
         "all-told-the-same-moment",
         "ashlatch/gateway/retry_time.py",
-        "min(returns_ms + step_ms, now_ms + RETURN_MAX_MS)",
+        "min(returns_ms + step_ms, now_ms + RETRY_MAX_MS)",
         "opens_ms",
         LIMITS,
     ),
@@ -767,7 +767,7 @@
     Mutant(
         "no-check-of-backoff-at-send",
         "ashlatch/gateway/attempt.py",
-        "        self._check_open()\n        headers",
+        "        self._check_permitted()\n        headers",
         "        headers",
         BACKOFF,
     ),
@@ -830,8 +830,8 @@
     Mutant(
         "return-without-the-backoff",
         "ashlatch/gateway/retry_time.py",
-        "_TIMED = frozenset({Barrier.BACKOFF, Barrier.LIMITED})",
-        "_TIMED = frozenset({Barrier.LIMITED})",
+        "_TIMED_REASONS = frozenset({Barrier.BACKOFF, Barrier.LIMITED})",
+        "_TIMED_REASONS = frozenset({Barrier.LIMITED})",
         BACKOFF,
     ),
     Mutant(
@@ -872,7 +872,7 @@
     Mutant(
         "running-sessions-untold",
         "ashlatch/gateway/session_updates.py",
-        "known.tell(SessionRuns(service, awaited, mark))",
+        "context.tell(SessionRuns(service, awaited, mark))",
         "pass",
         TRIAL_BEGINS,
     ),
--- a/tests/shed_play.py
+++ b/tests/shed_play.py
@@ -70,7 +70,7 @@
             self.frozen[number].append(partial(self._arrive, number))
             return
         known = self.gateways[number]
-        known.budget("app").request(self.now_ms)
+        known.budget("app").record_request(self.now_ms)
         self._send(_Ask(number, known))
 
     def _send(self, asked: _Ask) -> None:
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -200,7 +200,7 @@
     def test_window(self) -> None:
         budget = RepeatBudget(BudgetTerms(0.5, 0.0, 10_000.0))
         for at_ms in range(0, 10_000, 100):
-            budget.request(float(at_ms))
+            budget.record_request(float(at_ms))
         spent = sum(budget.spend(10_000.0, 1) for _ in range(200))
         self.assertTrue(30 <= spent <= 50, spent)
         self.assertFalse(budget.spend(15_000.0, 1))
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -22,7 +22,7 @@
     Service,
 )
 from ashlatch.fleet.leader import ListKeeper, RolloutKeeper
-from ashlatch.gateway.cold import ColdGate, warm_up_returned
+from ashlatch.gateway.cold import ColdSendLimiter, mark_returned_cold
 from ashlatch.gateway.directory import UNPROVEN_MS, Directory, EndpointState
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
@@ -139,8 +139,8 @@
     def setUp(self) -> None:
         super().setUp()
         self.gateways = gateways(3)
-        self.gate = ColdGate(self.gateways[0])
-        self.gate.heard_core(-10_000.0)
+        self.gate = ColdSendLimiter(self.gateways[0])
+        self.gate.gateways_received(-10_000.0)
         self.state = EndpointState(endpoint())
 
     def allows(self, now_ms: float, service: Service = SERVICE) -> bool:
@@ -171,17 +171,17 @@
         self.state.warms_up(5000.0)
         self.gateways = ()
         self.assertFalse(self.allows(0.0))
-        self.gate.own = None
+        self.gate.local = None
         self.gateways = gateways(3)
         self.assertFalse(self.allows(0.0))
 
     def test_all_start_together(self) -> None:
         """The first gateways that are heard of are not all that there are."""
-        self.gate = ColdGate(self.gateways[0])
+        self.gate = ColdSendLimiter(self.gateways[0])
         self.state.warms_up(60_000.0)
         self.assertFalse(self.allows(50_000.0))
-        self.gate.heard_core(0.0)
-        self.gate.heard_core(1500.0)
+        self.gate.gateways_received(0.0)
+        self.gate.gateways_received(1500.0)
         self.assertFalse(self.allows(1999.0))
         self.assertTrue(self.allows(2000.0))
 
@@ -265,7 +265,7 @@
         self.table = RouteTable(decode_catalog(standin.encoded(document)))
 
     def cold(self, evacuations: Evacuations, before: int) -> list[str]:
-        warm_up_returned(self.directory, self.table, before, evacuations, 0.0)
+        mark_returned_cold(self.directory, self.table, before, evacuations, 0.0)
         return [s.endpoint.instance for s in self.directory.all() if s.cold(2999.0)]
 
     def test_its_endpoints_are_taken_for_cold(self) -> None:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -29,7 +29,7 @@
 
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.clock import unix_ms
-from ashlatch.gateway.fingerprint import content_digest
+from ashlatch.gateway.fingerprint import request_fingerprint
 from ashlatch.http.connection import HttpRequest
 from ashlatch.platform.headers import decode_ask
 from ashlatch.policy.quarantine import HOLD_MS
@@ -113,7 +113,7 @@
         async def work() -> None:
             headers = [(b"Host", b"shop.example"), (b"X-Attempt-Id", b"r1")]
             asked = decode_ask(HttpRequest("GET", "/get/1", headers, b"", 0.0, ""))
-            content = content_digest(asked, "acme")
+            content = request_fingerprint(asked, "acme")
             for number in range(ENDS_MAX):
                 at_ms = unix_ms() - 5000 * number
                 self.known.quarantine.crashed(content, f"i-{number}", 0, at_ms)
--- a/tests/test_limit_load.py
+++ b/tests/test_limit_load.py
@@ -12,7 +12,7 @@
 
 import testtools
 
-from ashlatch.gateway.cold import GATEWAYS_KNOWN_MS, ColdGate
+from ashlatch.gateway.cold import GATEWAYS_KNOWN_MS, ColdSendLimiter
 from ashlatch.gateway.limits import (
     LimitReport,
     apply_answer_limit,
@@ -285,9 +285,9 @@
 
     def test_before_the_others_are_known(self) -> None:
         """A gateway that has just started may be one of any number."""
-        self.known.cold = ColdGate(self.known.gateways[0])
+        self.known.cold = ColdSendLimiter(self.known.gateways[0])
         self.assertTrue(limit_wait_ms(self.known, self.state, 60_000.0) > 0.0)
-        self.known.cold.heard_core(60_000.0)
+        self.known.cold.gateways_received(60_000.0)
         soon_ms = 60_000.0 + GATEWAYS_KNOWN_MS - 1.0
         self.assertTrue(limit_wait_ms(self.known, self.state, soon_ms) > 0.0)
         self.assertEqual(0.0, limit_wait_ms(self.known, self.state, soon_ms + 1.0))
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -18,7 +18,7 @@
 from ashlatch.codec import encode
 from ashlatch.fleet.protocol import SyncReply
 from ashlatch.gateway.corenews import CoreNews
-from ashlatch.gateway.crash_detector import note_refusal
+from ashlatch.gateway.crash_detector import record_refusal
 from ashlatch.gateway.directory import Directory, EndpointState
 from ashlatch.gateway.kept import PromptRead
 from ashlatch.gateway.knowledge import Knowledge
@@ -128,7 +128,7 @@
 
     def test_seen_here(self) -> None:
         def end(known: Knowledge, state: EndpointState) -> None:
-            note_refusal(known, state, asyncio.get_running_loop().time() * 1000.0)
+            record_refusal(known, state, asyncio.get_running_loop().time() * 1000.0)
 
         self.play(end)
 
@@ -150,7 +150,7 @@
             known.memory_tokens = lambda instance: 400_000  # type: ignore[method-assign]
             news.learn_reads(reply)
             self.assertEqual(4000, known.kept.tokens("i-0", "small", PARTS))
-            note_refusal(known, state, now_ms)
+            record_refusal(known, state, now_ms)
             news.learn_reads(reply)
 
         self.play(end)
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -11,7 +11,7 @@
 
 from ashlatch.catalog import Endpoint, EndpointList, Route
 from ashlatch.gateway.routing import RouteTable
-from ashlatch.gateway.timeouts import connect_patience_s
+from ashlatch.gateway.timeouts import connect_timeout_s
 from ashlatch.http.upstream import CONNECT_TIMED_OUT, ConnectFailed, Upstream
 from ashlatch.platform.document import decode_catalog
 from tests import standin
@@ -28,7 +28,7 @@
 
 class ConnectPatienceTest(testtools.TestCase):
     def test_by_what_the_route_aims_at(self) -> None:
-        found = [connect_patience_s(route(ms)) for ms in (0.0, 20.0, 162.0, 2000.0)]
+        found = [connect_timeout_s(route(ms)) for ms in (0.0, 20.0, 162.0, 2000.0)]
         self.assertEqual([0.5, 0.1, 0.162, 0.5], found)
 
 
