--- a/ashlatch/gateway/permission.py
+++ b/ashlatch/gateway/permission.py
@@ -15,19 +15,21 @@
 from ashlatch.gateway.limits import limit_wait_ms
 from ashlatch.policy.permission import ALLOWED, DenialReason, Permission, combine
 
-__all__ = ["send_permission"]
+__all__ = [
+    "send_permission",
+]
 
 
 def send_permission(
-    known: Knowledge, service: Service, state: EndpointState, now_ms: float
+    context: Knowledge, service: Service, state: EndpointState, now_ms: float
 ) -> Permission:
     """Whether a request may be sent to an endpoint of a service, and if not, why."""
     own = state.permission(now_ms)
     may_be_cold = service.cold_requests_per_s > 0.0 and state.cold(now_ms)
     if own is ALLOWED and not state.limit.limited and not may_be_cold:
         return ALLOWED
-    limit_ms = limit_wait_ms(known, state, now_ms)
-    cold_ms = known.cold.wait_ms(state, service, known.gateways, now_ms)
+    limit_ms = limit_wait_ms(context, state, now_ms)
+    cold_ms = context.cold.wait_ms(state, service, context.gateways, now_ms)
     waits = [(DenialReason.LIMITED, limit_ms), (DenialReason.COLD, cold_ms)]
     if own.denial_reason is not None:
         waits.insert(0, (own.denial_reason, own.wait_ms))
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -26,7 +26,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 import testtools
-from ashlatch.gateway.fingerprint import content_digest
+from ashlatch.gateway.fingerprint import request_fingerprint
 from tests.stub_server import LAST_CHUNK, ReceivedRequest, StubServer
 
 from ashlatch.catalog import Endpoint, EndpointList
@@ -113,7 +113,7 @@
         async def work() -> None:
             headers = [(b"Host", b"shop.example"), (b"X-Attempt-Id", b"r1")]
             asked = decode_ask(HttpRequest("GET", "/get/1", headers, b"", 0.0, ""))
-            content = content_digest(asked, "acme")
+            content = request_fingerprint(asked, "acme")
             for number in range(ENDS_MAX):
                 at_ms = unix_ms() - 5000 * number
                 self.known.quarantine.record_crash(content, f"i-{number}", 0, at_ms)
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -11,7 +11,7 @@
 
 import msgspec
 import testtools
-from ashlatch.gateway.crash_detector import note_refusal
+from ashlatch.gateway.crash_detector import record_refusal
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from tests.stub_server import StubServer, answer_with
@@ -128,7 +128,7 @@
 
     def test_seen_here(self) -> None:
         def end(known: Knowledge, state: EndpointState) -> None:
-            note_refusal(known, state, asyncio.get_running_loop().time() * 1000.0)
+            record_refusal(known, state, asyncio.get_running_loop().time() * 1000.0)
 
         self.play(end)
 
@@ -150,7 +150,7 @@
             known.memory_tokens = lambda instance: 400_000  # type: ignore[method-assign]
             news.learn_reads(reply)
             self.assertEqual(4000, known.kept.tokens("i-0", "small", PARTS))
-            note_refusal(known, state, now_ms)
+            record_refusal(known, state, now_ms)
             news.learn_reads(reply)
 
         self.play(end)
