--- a/ashlatch/gateway/choice.py
+++ b/ashlatch/gateway/choice.py
@@ -2,7 +2,7 @@
 ashlatch.gateway.choice
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-Which endpoint and which model a send goes to.
+Chooses the endpoint and the model of a send.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -32,28 +32,29 @@
     "larger_models",
 ]
 
-# An answer whose model gives it less confidence than this is asked again of
-# the largest model.
+# An answer with a lower confidence is asked again of the largest model.
 CONFIDENCE_MIN = 50.0
-# Prompts of up to these times to read go before longer ones at an engine, and
-# within a step by the urgency of route or organisation: behind a long prompt a short
-# one would wait for many times its own reading.
+# Engines serve prompts in classes by their prefill time, bounded by these values,
+# shorter ones first; within a class the priority of the route or organisation decides.
+# Behind a long prompt a short one would wait for many times its own prefill time.
 PREFILL_STEPS_MS = (150.0, 500.0)
 URGENCIES_PER_STEP = 3
-# Requests that ran at an endpoint that crashed go to any of the cheaper half of the
-# endpoints, and of this many at least. To the cheapest, which has kept their subject,
-# they would go on with the one that crashes it, and be held for its doing.
+# Requests that ran at an endpoint that crashed are isolated: they go to any of the
+# cheaper half of the endpoints, and to any of at least this many. The cheapest one has
+# their subject's prompt cached: there they would keep running beside the request that
+# crashes endpoints, and be quarantined because of it.
 ISOLATED_CANDIDATES_MIN = 4
-# Endpoints that failed this share of their latest attempts are left to others.
+# Endpoints that failed at least this share of their latest attempts are avoided.
 FAILURE_SHARE_MAX = 0.3
 
 
 class EscalationDecision(enum.Enum):
-    """What becomes of an answer that has begun at a chosen model.
+    """The decision about an answer that has begun at a chosen model.
 
-    `GOOD` ones and the largest model's are passed on. The others are asked
-    again of the largest model that would answer in time, unless none would, no
-    attempt is left, or no budget.
+    `GOOD` answers and those of the largest model are forwarded. Other answers are asked
+    again of the largest model that would answer in time (`ESCALATE`), unless none would
+    (`NO_TIME`), no attempt is left (`NO_ATTEMPT`) or no repeat is left in the budget
+    (`NO_BUDGET`).
     """
 
     GOOD = "good"
@@ -65,11 +66,11 @@
 
 @dataclass(frozen=True)
 class Choice:
-    """The endpoint, out of how many, and how busy it is believed to be.
+    """The chosen endpoint, the number of candidates and its estimated utilisation.
 
-    `forecast` is what the send is expected to take, at an engine. `allowed` says
-    what its version was chosen by, `barred` how many endpoints were left out for each
-    barrier.
+    `forecast` is the predicted cost of the send at an engine, or none at a plain
+    service. `allowed` holds the reason for its version, and `denied` the number of
+    endpoints that were left out for each reason.
     """
 
     state: EndpointState
@@ -88,39 +89,39 @@
     send: Send,
     now_ms: float,
 ) -> Choice | None:
-    """The endpoint for the next send of a request, or none.
+    """Returns the endpoint for the next send of a request, or none.
 
-    An engine is chosen by what the send is expected to cost there, an endpoint
-    of a plain service by how busy it is.
+    An engine is chosen by the predicted cost of the send, an endpoint of a plain
+    service by its utilisation.
     """
-    open_now, barred = _permitted(context, service, allowed.states, now_ms)
-    among = _healthy(open_now, tried, now_ms)
-    if not among:
-        otherwise = allowed.fallback
-        if otherwise is None:
+    permitted, denied = _permitted(context, service, allowed.states, now_ms)
+    healthy = _healthy(permitted, tried, now_ms)
+    if not healthy:
+        fallback = allowed.fallback
+        if fallback is None:
             return None
-        return choose_endpoint(context, service, otherwise, tried, send, now_ms)
+        return choose_endpoint(context, service, fallback, tried, send, now_ms)
     if service.engine is None and send.isolated:
-        state = context.generator.choice(among)
+        state = context.generator.choice(healthy)
         utilisation = state.utilisation(now_ms)
-        return Choice(state, len(among), utilisation, None, allowed, barred)
+        return Choice(state, len(healthy), utilisation, None, allowed, denied)
     if service.engine is None:
-        candidates = tuple(_candidate(context, s, now_ms) for s in among)
+        candidates = tuple(_candidate(context, s, now_ms) for s in healthy)
         chosen = context.policy.choose(candidates, "", context.generator)
-        state = next(s for s in among if s.endpoint.instance == chosen.endpoint)
+        state = next(s for s in healthy if s.endpoint.instance == chosen.endpoint)
         utilisation = chosen.utilisation
-        return Choice(state, len(among), utilisation, None, allowed, barred)
-    forecaster = Forecaster(context, service.name, among, send, now_ms)
-    forecasts = [(forecaster.forecast(s), s) for s in among]
+        return Choice(state, len(healthy), utilisation, None, allowed, denied)
+    forecaster = Forecaster(context, service.name, healthy, send, now_ms)
+    forecasts = [(forecaster.forecast(s), s) for s in healthy]
     forecast, state = context.generator.choice(_cheapest(forecasts, send.isolated))
     utilisation = state.utilisation(now_ms)
-    return Choice(state, len(among), utilisation, forecast, allowed, barred)
+    return Choice(state, len(healthy), utilisation, forecast, allowed, denied)
 
 
 def _cheapest(
     forecasts: list[tuple[Forecast, EndpointState]], isolated: bool
 ) -> list[tuple[Forecast, EndpointState]]:
-    """The engines that a send may go to by its cost."""
+    """Returns the engines that a send may go to, by its cost."""
     ranked = sorted(forecasts, key=lambda pair: pair[0].cost_ms)
     if isolated:
         return ranked[: max(ISOLATED_CANDIDATES_MIN, len(ranked) // 2)]
@@ -134,36 +135,36 @@
     states: Iterable[EndpointState],
     now_ms: float,
 ) -> tuple[list[EndpointState], Counter[Barrier]]:
-    """The endpoints that may be sent to from here now, and what bars the others."""
-    open_now = []
-    barred: Counter[Barrier] = Counter()
+    """Returns the endpoints that may be sent to now, and why the others may not."""
+    permitted = []
+    denied: Counter[Barrier] = Counter()
     for state in states:
-        barrier = send_permission(context, service, state, now_ms).barrier
-        if barrier is None:
-            open_now.append(state)
+        reason = send_permission(context, service, state, now_ms).barrier
+        if reason is None:
+            permitted.append(state)
         else:
-            barred[barrier] += 1
-    return open_now, barred
+            denied[reason] += 1
+    return permitted, denied
 
 
 def _healthy(
     states: Iterable[EndpointState], tried: frozenset[str], now_ms: float
 ) -> list[EndpointState]:
-    """The endpoints that a request may go to, without those that do badly."""
-    fresh = [s for s in states if s.endpoint.instance not in tried]
-    sound = [s for s in fresh if _likely_answers(s, now_ms)]
-    well = [s for s in sound if s.failing < FAILURE_SHARE_MAX]
-    moving = [s for s in well if not s.stalled(now_ms)]
-    return moving or well or sound or fresh
+    """Returns the endpoints that were not tried, without unhealthy ones if possible."""
+    untried = [s for s in states if s.endpoint.instance not in tried]
+    responsive = [s for s in untried if _likely_answers(s, now_ms)]
+    reliable = [s for s in responsive if s.failing < FAILURE_SHARE_MAX]
+    progressing = [s for s in reliable if not s.stalled(now_ms)]
+    return progressing or reliable or responsive or untried
 
 
 def _likely_answers(state: EndpointState, now_ms: float) -> bool:
-    """Whether nothing speaks for it that the endpoint fails or sheds still."""
+    """Checks that the endpoint is neither failing nor likely to shed the request."""
     return state.breaker.allows(now_ms) and not state.backoff.may_shed(now_ms)
 
 
 def first_model(route: Route, request: Ask) -> str:
-    """The model that a request is sent to first; empty for the caller's own."""
+    """Returns the first model for a request, or empty to keep the caller's."""
     if not route.models or request.model or not request.names_model:
         return ""
     return route.models[0]
@@ -172,7 +173,7 @@
 def larger_models(
     route: Route, model: str, confidence: float | None
 ) -> tuple[str, ...]:
-    """The models to ask instead, the largest first; none for a good answer."""
+    """Returns the models to escalate to, the largest first; none for a good answer."""
     if model not in route.models or confidence is None:
         return ()
     if confidence >= CONFIDENCE_MIN:
@@ -181,10 +182,10 @@
 
 
 def engine_urgency(forecast: Forecast | None, urgency: int) -> int | None:
-    """The urgency of a send at an engine, 0 first; none at a plain service.
+    """Returns the urgency of a send at an engine, 0 first; none at a plain service.
 
-    A long prompt delays every other that waits behind it, a short one hardly
-    any: short ones go first, whatever their route.
+    A long prompt delays every request that waits behind it, a short one hardly any:
+    short prompts go first, whatever their route.
     """
     if forecast is None:
         return None
--- a/ashlatch/gateway/chooser.py
+++ b/ashlatch/gateway/chooser.py
@@ -2,8 +2,8 @@
 ashlatch.gateway.chooser
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-What one request may be sent to: the endpoints of its service, regions and version that
-it has not tried, and which model would begin in time.
+Chooses what one request may be sent to: the endpoints of its service, regions and
+version that it has not tried, and the model that would begin to answer in time.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -24,13 +24,14 @@
 
 __all__ = ["EndpointChooser"]
 
-# When what is left of a service is in evacuated halls: operators take them back after
-# seconds to hours, and a caller that has seconds should find out once more.
+# The retry time when only endpoints in evacuated halls are left. Operators end an
+# evacuation after seconds to hours, and a caller with seconds left should try once
+# more.
 EVACUATED_RETRY_AFTER_S = 2.0
-# The part of the target in which a smaller model should begin its answer, since
-# half of these are asked again of the largest.
+# The share of the target in which a smaller model should begin its answer, since half
+# of these answers are asked again of the largest model.
 SMALLER_MODEL_TARGET_SHARE = 0.35
-# Why a request is refused, by what keeps it from the endpoint that opens first.
+# The reason of a refusal, by the reason why the endpoint that opens first is denied.
 _REFUSAL_REASONS = {
     Barrier.BACKOFF: RefusalReason.ENDPOINTS_BACKOFF,
     Barrier.LIMITED: RefusalReason.ENDPOINTS_LIMITED,
@@ -38,7 +39,10 @@
 
 
 class EndpointChooser:
-    """Chooses endpoints for the sends of one request; `tried` are left out by id."""
+    """Chooses endpoints for the sends of one request.
+
+    `tried` holds the ids of the endpoints to leave out.
+    """
 
     def __init__(self, context: Knowledge, admission: Admission) -> None:
         self.tried: set[str] = set()
@@ -49,9 +53,9 @@
         self._loop = asyncio.get_running_loop()
 
     def choose(self, model: str, exclude_limited: bool = False) -> Choice | None:
-        """The endpoint for a send that asks a model, empty for the caller's.
+        """Returns the endpoint for a send to a model, empty for the caller's model.
 
-        With `unlimited`, one that names no rate limit.
+        With `exclude_limited`, endpoints with a rate limit are left out.
         """
         now_ms = self._now_ms()
         service = self._admission.service
@@ -60,14 +64,14 @@
             states = [state for state in states if not state.limit.limited]
         tried = frozenset(self.tried)
         allowed = self._allowed(states, now_ms)
-        apart = self._context.quarantine.crashes(self._admission.fingerprint) > 0
-        send = Send(self._request, model, self.slack_ms(model), apart)
+        isolated = self._context.quarantine.crashes(self._admission.fingerprint) > 0
+        send = Send(self._request, model, self.slack_ms(model), isolated)
         return choose_endpoint(self._context, service, allowed, tried, send, now_ms)
 
     def _allowed(
         self, states: Iterable[EndpointState], now_ms: float
     ) -> AllowedEndpoints:
-        """Those of the endpoints whose version the request may run on."""
+        """Returns the endpoints whose version the request may run on."""
         return self._context.versions.allowed(
             self._admission.service.name,
             self._request.session,
@@ -78,7 +82,7 @@
         )
 
     def _states(self) -> list[EndpointState]:
-        """The endpoints of the service in those regions in which it may run."""
+        """Returns the endpoints of the service in the regions where it may run."""
         states = self._context.directory.of_service(self._admission.service.name)
         if not self._admission.region_bound:
             return list(states)
@@ -90,45 +94,48 @@
         ]
 
     def slack_ms(self, model: str) -> float:
-        """The time in which an answer of the model should begin."""
+        """Returns the time left in which an answer of the model should begin."""
         elapsed_ms = self._now_ms() - self._request.received_s * 1000.0
-        aim_ms = self._route.target_ms
+        target_ms = self._route.target_ms
         if model and self._route.models and model != self._route.models[-1]:
-            aim_ms *= SMALLER_MODEL_TARGET_SHARE
-        return aim_ms - elapsed_ms
+            target_ms *= SMALLER_MODEL_TARGET_SHARE
+        return target_ms - elapsed_ms
 
     def first_model_in_time(self, models: tuple[str, ...]) -> tuple[str, float]:
-        """The first of the models that would begin in time, and when it would.
+        """Returns the first of the models that would begin in time, and its latency.
 
-        Empty when none would, with the time of the one that would first.
+        If none would, returns an empty name and the latency of the last model that has
+        an endpoint.
         """
-        soonest_ms = 0.0
+        latency_ms = 0.0
         for model in models:
             choice = self.choose(model)
             if choice is None:
                 continue
-            soonest_ms = self.expected_ms(choice, model)
-            if soonest_ms <= self.slack_ms(self._route.models[-1]):
-                return model, soonest_ms
-        return "", soonest_ms
+            latency_ms = self.expected_ms(choice, model)
+            if latency_ms <= self.slack_ms(self._route.models[-1]):
+                return model, latency_ms
+        return "", latency_ms
 
     def expected_ms(self, choice: Choice, model: str) -> float:
-        """A cautious guess of the time to the first event."""
+        """Returns a cautious estimate of the time to the first event."""
         forecast = choice.forecast
         if forecast is None:
             wait_ms, tokens = 0.0, self._request.prompt_tokens
         else:
             wait_ms, tokens = forecast.wait_ms, forecast.prefill_tokens
         service = self._admission.service.name
-        pace = self._context.pace
-        return wait_ms + pace.expected_ms(service, model, tokens, self._now_ms())
+        latency_model = self._context.pace
+        return wait_ms + latency_model.expected_ms(
+            service, model, tokens, self._now_ms()
+        )
 
     def refusal(self) -> Refused:
-        """The refusal of a request that has not run and can be sent to no endpoint."""
+        """Returns the refusal of a request that has not run and has no endpoint."""
         states = self._states()
-        waiting = self.retry_refusal()
-        if waiting is not None:
-            return waiting
+        retry_refusal = self.retry_refusal()
+        if retry_refusal is not None:
+            return retry_refusal
         if any(state.evacuated for state in states):
             return Refused(503, RefusalReason.EVACUATED, EVACUATED_RETRY_AFTER_S)
         reason = RefusalReason.NO_ENDPOINT
@@ -137,16 +144,16 @@
         return Refused(503, reason, RETRY_AFTER_S)
 
     def retry_refusal(self) -> Refused | None:
-        """The refusal where no endpoint is open, but one will be at a known time."""
+        """Returns the refusal when every endpoint is denied until a known time."""
         service, now_ms = self._admission.service, self._now_ms()
         allowed = self._allowed(self._states(), now_ms)
         states = list(allowed.states)
         if allowed.fallback is not None:
             states += allowed.fallback.states
-        found = find_retry_time(self._context, service, states, now_ms)
-        if found is None:
+        retry_time = find_retry_time(self._context, service, states, now_ms)
+        if retry_time is None:
             return None
-        return Refused(503, _REFUSAL_REASONS[found.reason], found.after_s)
+        return Refused(503, _REFUSAL_REASONS[retry_time.reason], retry_time.after_s)
 
     def _now_ms(self) -> float:
         return self._loop.time() * 1000.0
--- a/ashlatch/gateway/exchange.py
+++ b/ashlatch/gateway/exchange.py
@@ -2,8 +2,8 @@
 ashlatch.gateway.exchange
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-One request's life at a gateway: admitted or refused, sent to one endpoint
-after another as far as that is allowed, and its answer passed on.
+Handles one admitted request: sends it to one endpoint after another as far as that is
+allowed, and forwards the answer to the caller.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -44,10 +44,10 @@
 
 __all__ = ["Exchange"]
 
-# Endpoints that cannot be reached, or that have gone from their address, have not
-# run anything, so they do not count as attempts; but a request does not try the
-# whole fleet. Where nearly half of the endpoints have crashed and are still listed, few
-# requests meet so many of them, and each refused connection costs milliseconds.
+# Endpoints that cannot be reached, or that have gone from their address, have not run
+# the request, so they do not count as attempts. The limit keeps a request from trying
+# the whole fleet: where nearly half of the endpoints have crashed and are still listed,
+# few requests meet so many of them, and each refused connection costs milliseconds.
 UNREACHABLE_MAX = 12
 SERVER_ERROR = 500
 
@@ -61,7 +61,7 @@
 
 
 class Exchange:
-    """Serves one admitted request. `run` returns when it has its answer."""
+    """Serves one admitted request; `run` returns when the caller has the answer."""
 
     def __init__(
         self, context: Knowledge, admission: Admission, responder: Responder
@@ -84,7 +84,10 @@
         self._expected_first_ms = 0.0
 
     async def run(self) -> None:
-        """Send, and pass the answer on; never raises but for a lost caller."""
+        """Sends the request and forwards the answer.
+
+        Raises only when the caller disconnects or the task is cancelled.
+        """
         self._context.budget(self._admission.service.name).record_request(
             self._now_ms()
         )
@@ -101,10 +104,11 @@
 
     async def _serve(self) -> Refused | None:
         while True:
-            # It may have crashed endpoints at other gateways since the last send.
-            held = self._quarantine_refusal()
-            if held is not None:
-                return held
+            # The request may have crashed endpoints at other gateways since the last
+            # send.
+            refusal = self._quarantine_refusal()
+            if refusal is not None:
+                return refusal
             choice = self._chooser.choose(self._model)
             if choice is None:
                 if self._may_have_run:
@@ -125,7 +129,7 @@
                 attempt.close()
                 self._record.record_traffic(attempt)
 
-    # One send.
+    # Sending.
 
     def _new_attempt(self, choice: Choice) -> Attempt:
         endpoint = choice.state.endpoint
@@ -156,22 +160,24 @@
         )
 
     def _answer_timeout(self) -> AnswerTimeout:
-        """How long a send may stay without the beginning of an answer."""
+        """Returns how long a send may wait for the beginning of an answer."""
         return answer_timeout(
             self._route, self._expected_first_ms, self._reserve_repeat
         )
 
     def _event_timeout(self) -> AnswerTimeout:
-        """The same between the events of a stream."""
+        """Returns how long a stream may be silent between two events."""
         if not self._record.events:
             return self._answer_timeout()
         return event_timeout(self._route, self._reserve_repeat)
 
     def _reserve_repeat(self) -> bool:
-        """Whether a silent endpoint is left; takes the repeat for it.
+        """Checks whether a silent endpoint may be abandoned; reserves the repeat for
+        it.
 
-        Not for a limited one: the room there may be gone before the send, and then
-        the request would have nothing.
+        Requires another endpoint without a rate limit: the capacity of a limited
+        endpoint may be used up before the send, which would leave the request without
+        any endpoint.
         """
         if self._record.sends >= self._attempts_max:
             return False
@@ -184,10 +190,12 @@
     def _attempts_max(self) -> int:
         return self._route.attempts_max
 
-    # One attempt.
+    # Running an attempt.
 
     async def _run_attempt(self, attempt: Attempt) -> bool:
-        """Whether the request has its answer; else it is to be sent again."""
+        """Returns whether the answer was forwarded; otherwise the request is sent
+        again.
+        """
         head = await attempt.begin(self._answer_timeout())
         self._record.record_answer_begin(attempt, self._model)
         if self._route.streams and head.status < 300:
@@ -195,31 +203,32 @@
                 return False
             await self._forward_stream(attempt, head)
         else:
-            whole = await self._read_complete(attempt, head)
+            answer = await self._read_complete(attempt, head)
             if head.status >= SERVER_ERROR or self._responder.begun:
-                self._error_answer = whole
+                self._error_answer = answer
                 raise AttemptFailed(FailureKind.ERROR, f"status {head.status}")
-            self._forward_answer(whole)
+            self._forward_answer(answer)
         self._record.record_success(attempt)
         return True
 
     def _escalates(self, attempt: Attempt, head: AnswerHead) -> bool:
-        """Whether a larger model is asked instead of passing this answer on."""
+        """Decides whether to ask a larger model instead of forwarding this answer."""
         if not self._model or self._record.events:
             return False
         larger = larger_models(self._route, self._model, head.confidence)
         # A larger model may be asked at the same endpoint.
         self._chooser.tried.discard(attempt.state.endpoint.instance)
         model, expected_ms = self._chooser.first_model_in_time(larger)
-        verdict = self._decide_escalation(larger, model)
+        decision = self._decide_escalation(larger, model)
         self._record.record_escalation_decision(
-            attempt, self._model, expected_ms, verdict
+            attempt, self._model, expected_ms, decision
         )
-        if verdict is not EscalationDecision.ESCALATE:
+        if decision is not EscalationDecision.ESCALATE:
             self._chooser.tried.add(attempt.state.endpoint.instance)
             return False
         self._record.record_success(attempt)
-        # What is dropped here has run: no later answer may say that nothing has.
+        # The dropped answer was produced, so no later refusal may claim that the
+        # request has not run.
         self._may_have_run = True
         self._model = model
         self._send_reason = "confidence"
@@ -228,7 +237,7 @@
     def _decide_escalation(
         self, larger: tuple[str, ...], model: str
     ) -> EscalationDecision:
-        """Whether a larger model is asked; takes the repeat for it."""
+        """Decides whether to ask a larger model; spends the repeat for it."""
         if not larger:
             return EscalationDecision.GOOD
         if self._record.sends >= self._attempts_max:
@@ -268,7 +277,7 @@
 
     def _forward_event(self, head: AnswerHead, event: StreamEvent) -> None:
         if _is_already_forwarded(event.event_id, self._last_event):
-            # An endpoint that began the stream anew; the caller has this one.
+            # The endpoint restarted the stream; the caller already has this event.
             return
         self._record.record_forwarding()
         if not self._responder.begun:
@@ -277,27 +286,29 @@
         self._record.events += 1
         self._last_event = event.event_id or self._last_event
 
-    def _forward_answer(self, whole: _CompleteAnswer) -> None:
+    def _forward_answer(self, answer: _CompleteAnswer) -> None:
         self._record.record_forwarding()
         self._responder.respond(
-            whole.head.status, _body_headers(whole.head), whole.body
+            answer.head.status, _body_headers(answer.head), answer.body
         )
-        self._record.record_end(whole.head.status, "")
+        self._record.record_end(answer.head.status, "")
 
-    # After a failure.
+    # Handling failures.
 
     async def _record_if_crashed(self, attempt: Attempt, failed: AttemptFailed) -> None:
-        """Hold the end of the endpoint against the request, if that is what it was.
+        """Attributes a crash of the endpoint to the request, if the endpoint has
+        crashed.
 
-        An endpoint's breaker does not do: what crashed it is sent to the next one,
-        and comes back to each that has started again.
+        The endpoint's circuit breaker is not enough: a request that crashes its
+        endpoint is sent on to the next one, and returns to each endpoint that has
+        restarted.
         """
         if failed.kind.not_run or failed.kind is FailureKind.ERROR:
             return
         if await self._crash_detector.has_crashed(attempt.state, failed):
-            content = self._admission.fingerprint
+            fingerprint = self._admission.fingerprint
             self._crash_detector.record_crash(
-                self._request.request_id, content, attempt.state
+                self._request.request_id, fingerprint, attempt.state
             )
 
     def _record_completion(self) -> None:
@@ -306,11 +317,13 @@
         )
 
     def _quarantine_refusal(self) -> Refused | None:
-        """The final answer if the request crashes its endpoints."""
-        held = quarantine_refusal(self._context, self._admission.fingerprint)
-        if held is not None and self._may_have_run:
+        """Returns the final answer if the request is quarantined for crashing
+        endpoints.
+        """
+        refusal = quarantine_refusal(self._context, self._admission.fingerprint)
+        if refusal is not None and self._may_have_run:
             return Refused(502, RefusalReason.QUARANTINED)
-        return held
+        return refusal
 
     def _may_repeat(self, kind: FailureKind) -> bool:
         if self._quarantine_refusal() is not None:
@@ -338,18 +351,18 @@
         return granted
 
     def _final_refusal(self, kind: FailureKind) -> Refused:
-        held = self._quarantine_refusal()
-        if held is not None:
-            return held
+        refusal = self._quarantine_refusal()
+        if refusal is not None:
+            return refusal
         if self._may_have_run:
             return Refused(502, RefusalReason.OUTCOME_UNKNOWN)
         if kind is not FailureKind.REFUSED:
             return Refused(503, RefusalReason.NO_ENDPOINT, RETRY_AFTER_S)
-        full = Refused(503, RefusalReason.ENDPOINTS_FULL, RETRY_AFTER_S)
-        return self._chooser.retry_refusal() or full
+        no_slot = Refused(503, RefusalReason.ENDPOINTS_FULL, RETRY_AFTER_S)
+        return self._chooser.retry_refusal() or no_slot
 
     def _conclude(self, refused: Refused) -> None:
-        """Give the final answer when no endpoint's answer is passed on."""
+        """Gives the final answer when no endpoint's answer is forwarded."""
         if self._responder.begun:
             self._responder.abort()
             self._record.record_end(0, refused.reason.value)
@@ -364,11 +377,11 @@
 
 
 def _body_headers(head: AnswerHead) -> Headers:
-    """The headers of an answer whose body is framed anew."""
+    """Returns the headers of an answer whose body is framed again."""
     return [pair for pair in head.headers if pair[0].lower() != b"content-length"]
 
 
 def _is_already_forwarded(event_id: str, last: str) -> bool:
-    """Whether an event is one that was passed on; ids rise within a stream."""
+    """Checks whether an event was forwarded already; ids rise within a stream."""
     numbers = event_id.isdigit() and last.isdigit()
     return numbers and int(event_id) <= int(last)
--- a/ashlatch/gateway/forecast.py
+++ b/ashlatch/gateway/forecast.py
@@ -2,9 +2,9 @@
 ashlatch.gateway.forecast
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-What a send to an engine is expected to take: the prompts that wait there, the
-part of this prompt that the engine has not kept, the way between halls. All of
-it is weighed in milliseconds of an engine, the scarce thing.
+Predicts the cost of a send to an engine: the prompts queued there, the part of this
+prompt that is not in the engine's prefix cache, and the transfer between halls. All
+costs are expressed in milliseconds of engine time, the scarce resource.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -20,34 +20,35 @@
 
 __all__ = ["Forecast", "Forecaster", "Send"]
 
-# What a kilobyte that crosses between halls is worth in time of an engine. Its
-# price is about that of 10 ms: a prompt that is read anew costs more than its
-# way to an engine that has kept it, a short one less.
+# The cost of a kilobyte sent between halls, in engine time; its price is about that of
+# 10 ms. Prefilling a long prompt again costs more than sending it to an engine that has
+# it cached; for a short prompt it is cheaper to prefill again.
 CROSS_HALL_MS_PER_KB = 10.0
-# An engine that is not the home of a subject is taken only when that saves more
-# than this share of reading the prompt: who asks next finds it at its home.
+# An engine other than the home of a subject is chosen only when that saves more than
+# this share of the prefill time: later requests look for the cached prompt at its home.
 NON_HOME_PENALTY_SHARE = 0.3
-# The time of engines is dearer the more work waits at them: at this mean of it
-# twice as dear as when they stand idle, and at most so many times.
+# Engine time costs more the more work is queued: at this mean of queued work twice as
+# much as at idle engines, and at most the factor below.
 BUSY_WORKLOAD_MS = 200.0
 BUSY_WEIGHT_MAX = 4.0
-# A request that would begin late costs as much as this, beyond its wait.
+# The cost of an answer that would begin late, beyond its wait.
 LATE_PENALTY_MS = 1500.0
-# How much each request that runs at an engine delays another one's prompt.
+# The delay that each running request adds to another request's prompt.
 RUNNING_REQUEST_MS = 5.0
-# Bytes of an answer, for each token that it may have at most: a token takes 15,
-# and answers are a quarter as long as they may be.
+# Bytes of an answer for each token of its maximum length: a token takes 15 bytes, and
+# answers are a quarter as long as their maximum.
 ANSWER_BYTES_PER_TOKEN = 4.0
 KILO = 1000.0
 
 
 @dataclass(frozen=True)
 class Forecast:
-    """One send to one engine for one model.
+    """The prediction for one send to one engine for one model.
 
-    `wait_ms` is until the engine begins to read, `read_ms` for the
-    `read_tokens` that it has to. `cost_ms` also weighs what is no time of this
-    request: bytes between halls, a prompt read away from home.
+    `wait_ms` is the time until the engine begins the prefill, `prefill_ms` the time for
+    the `prefill_tokens` that it has to process. `cost_ms` also includes costs that are
+    not time of this request: bytes between halls, and a prefill away from the home
+    engine.
     """
 
     wait_ms: float
@@ -58,10 +59,10 @@
 
 @dataclass(frozen=True)
 class Send:
-    """What is to be sent: a request, for a model (empty for the caller's own).
+    """A request to be sent, for a model (empty for the caller's own).
 
-    `slack_ms` is the time in which the answer should begin. `apart` requests have run
-    at an endpoint that crashed, and go other ways than those that ran there too.
+    `slack_ms` is the time in which the answer should begin. `isolated` requests have
+    run at an endpoint that crashed, and are routed away from the others that ran there.
     """
 
     request: Ask
@@ -71,7 +72,7 @@
 
 
 class Forecaster:
-    """Forecasts of one send, at any of some engines of a service."""
+    """Predicts the cost of one send at each of several engines of a service."""
 
     def __init__(
         self,
@@ -89,49 +90,49 @@
         self._token_ms = context.pace.token_ms(service, self._model)
         self._slot_time_ms = context.pace.slot_time_ms(service)
         self._home = _home_engine(send.request, states)
-        left_ms = sum(s.workload.left_ms(now_ms) for s in states) / len(states)
-        self._engine_weight = min(1.0 + left_ms / BUSY_WORKLOAD_MS, BUSY_WEIGHT_MAX)
+        queued_ms = sum(s.workload.left_ms(now_ms) for s in states) / len(states)
+        self._engine_weight = min(1.0 + queued_ms / BUSY_WORKLOAD_MS, BUSY_WEIGHT_MAX)
 
     def forecast(self, state: EndpointState) -> Forecast:
-        """What a send to an endpoint is expected to take."""
-        # Adding up what is known of a load takes longer than all of the rest.
+        """Returns the prediction for a send to an endpoint."""
+        # Computed once: adding up the known load takes longer than all of the rest.
         requests = state.requests(self._now_ms)
         wait_ms = state.workload.left_ms(self._now_ms)
         wait_ms += self._slot_wait_ms(state, requests)
-        kept = self._context.kept.tokens(
+        cached_tokens = self._context.kept.tokens(
             state.endpoint.instance, self._model, self._request.prompt_parts
         )
-        tokens = max(0, self._request.prompt_tokens - kept)
-        read_ms = tokens * self._token_ms
-        cost_ms = self._engine_weight * read_ms
+        tokens = max(0, self._request.prompt_tokens - cached_tokens)
+        prefill_ms = tokens * self._token_ms
+        cost_ms = self._engine_weight * prefill_ms
         if state.endpoint.instance != self._home and self._home:
             cost_ms *= 1.0 + NON_HOME_PENALTY_SHARE
-        cost_ms += self._wait_cost_ms(wait_ms, read_ms)
+        cost_ms += self._wait_cost_ms(wait_ms, prefill_ms)
         cost_ms += self._placement_cost_ms(state, requests)
-        return Forecast(wait_ms, tokens, read_ms, cost_ms)
+        return Forecast(wait_ms, tokens, prefill_ms, cost_ms)
 
-    def _wait_cost_ms(self, wait_ms: float, read_ms: float) -> float:
-        """What waiting costs: little while the answer is well in time.
+    def _wait_cost_ms(self, wait_ms: float, prefill_ms: float) -> float:
+        """Returns the cost of a wait, which is small while the answer is well in time.
 
-        A wait takes nothing from an engine, a prompt that is read anew does.
+        Unlike a repeated prefill, a wait takes no engine time.
         """
-        used = (wait_ms + read_ms) / self._slack_ms
-        if used <= 1.0:
-            return wait_ms * used
+        used_share = (wait_ms + prefill_ms) / self._slack_ms
+        if used_share <= 1.0:
+            return wait_ms * used_share
         return wait_ms + LATE_PENALTY_MS
 
     def _slot_wait_ms(self, state: EndpointState, requests: float) -> float:
-        """How long until a place is free at an engine, if all are believed taken.
+        """Returns the time until a slot is free, if all are believed to be in use.
 
-        A send that goes there nevertheless waits for that, or is put before one
-        that runs, which is read anew later.
+        A request sent there nevertheless waits for that long, or preempts a running one
+        whose prompt is prefilled again later.
         """
         slots = state.endpoint.slots
         beyond = requests + 1.0 - slots
         return max(0.0, beyond) * self._slot_time_ms / slots
 
     def _placement_cost_ms(self, state: EndpointState, requests: float) -> float:
-        """What the way there and those that run there cost."""
+        """Returns the cost of the transfer and of the requests that run there."""
         cost_ms = RUNNING_REQUEST_MS * requests
         if state.endpoint.hall != self._context.hall:
             answer_bytes = ANSWER_BYTES_PER_TOKEN * self._request.answer_tokens_max
@@ -141,10 +142,10 @@
 
 
 def _home_engine(request: Ask, states: Sequence[EndpointState]) -> str:
-    """The endpoint where a subject's prompts are read by preference.
+    """Returns the endpoint that is preferred for the prompts of a subject.
 
-    The last part is the request's own or its session's; the one before it is
-    what requests about one subject share.
+    The last prompt part belongs to the request or its session; the one before it is
+    shared by the requests about one subject.
     """
     if len(request.prompt_parts) < 2:
         return ""
--- a/ashlatch/gateway/latency_model.py
+++ b/ashlatch/gateway/latency_model.py
@@ -2,10 +2,10 @@
 ashlatch.gateway.latency_model
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-How long answers take to begin at present, by service and model: the time to
-read a token, and what comes on top of what was foreseen. It tells which engine
-answers first, and whether a larger model would still answer in time: asking it
-when it would not makes this answer late and, by the load, others too.
+Estimates the current time to the first event by service and model: the prefill time of
+a token, and the time beyond what was predicted. The estimates decide which engine
+answers first, and whether a larger model would still answer in time: a model that does
+not makes this answer late and, by its load, other answers too.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -18,30 +18,30 @@
 
 __all__ = ["LatencyModel"]
 
-# Each answer moves the estimate of the wait by this part of the difference.
+# The weight of each answer in the moving estimate of the wait.
 GAIN = 0.15
-# Without answers the estimate of the wait halves in this time, so that what
-# was slow is tried again.
+# Without answers the estimate of the wait halves in this time, so that a model that was
+# slow is tried again.
 HALF_LIFE_MS = 1500.0
-# The time to read a token is taken from prompts of at least this many.
+# Prompts with fewer tokens are not used to measure the prefill time of a token.
 RATE_TOKENS_MIN = 1500
-# It is not taken from prompts that were to wait for more of the time than this,
-# unless they came so soon that the rate must be lower.
+# Neither are prompts whose predicted wait was at least this share of the measured time,
+# unless the answer came so early that the rate must be lower.
 PREDICTED_WAIT_SHARE_MAX = 0.2
-# How much each send that is over moves the mean of how long they take, and the mean
-# before the first of them: answers of models take from half a second to several.
+# The weight of each finished send in the mean time that a send occupies a slot, and the
+# mean before the first of them: answers of models take from half a second to several.
 SLOT_TIME_GAIN = 0.05
 SLOT_TIME_MS_PRIOR = 1000.0
-# Rates that wait for the next report to the core; the oldest are dropped.
+# The number of rates kept for the next report to the core; the oldest are dropped.
 UNREPORTED_MAX = 64
-# Until a model has answered: between the largest models of slow engines (0.08)
-# and of fast ones (0.03).
+# The prefill time of a token until a model has answered: between those of the largest
+# models of slow engines (0.08) and of fast ones (0.03).
 TOKEN_MS_PRIOR = 0.05
 
 
 @dataclass
 class _WaitEstimate:
-    """`wait_ms` is what comes on top of the reading and of what was foreseen."""
+    """A moving estimate of the wait beyond the prefill time and the predicted wait."""
 
     at_ms: float
     wait_ms: float = 0.0
@@ -59,12 +59,11 @@
 
 @dataclass
 class LatencyModel:
-    """Recent times to the first event, by what they are made of, and for how long
-    an answer holds its place::
+    """Estimates times to the first event, and how long an answer occupies its slot::
 
-    pace = Pace()
-    pace.began("chat", "small", tokens=4000, first_ms=90.0, now_ms=0.0)
-    pace.expected_ms("chat", "small", tokens=8000, now_ms=100.0)
+    model = LatencyModel()
+    model.record_first_event("chat", "small", tokens=4000, first_ms=90.0, now_ms=0.0)
+    model.expected_ms("chat", "small", tokens=8000, now_ms=100.0)
     """
 
     _estimates: dict[tuple[str, str], _WaitEstimate] = field(default_factory=dict)
@@ -82,15 +81,15 @@
         now_ms: float,
         predicted_ms: float = 0.0,
     ) -> None:
-        """An answer has begun `first_ms` after it was asked for.
+        """Records an answer that began `first_ms` after its request was sent.
 
-        The engine had to read `tokens` of the prompt, after a wait that was
-        foreseen.
+        The engine had to prefill `tokens` of the prompt, after a wait that was
+        predicted as `predicted_ms`.
         """
         if tokens >= RATE_TOKENS_MIN:
             self._record_rate(service, model, tokens, first_ms, predicted_ms)
-        reading_ms = max(0.0, first_ms - predicted_ms)
-        waited_ms = max(0.0, reading_ms - tokens * self.token_ms(service, model))
+        measured_ms = max(0.0, first_ms - predicted_ms)
+        waited_ms = max(0.0, measured_ms - tokens * self.token_ms(service, model))
         estimate = self._estimates.setdefault((service, model), _WaitEstimate(now_ms))
         estimate.update(waited_ms, now_ms)
 
@@ -102,63 +101,64 @@
         first_ms: float,
         predicted_ms: float,
     ) -> None:
-        """Take an answer that hardly waited, or that shows a lower rate anyhow.
+        """Records the rate of an answer that hardly waited, or that shows a lower rate.
 
-        Without the latter, a rate that is too high foresees waits that are too
-        long, which would keep out the answers that correct it.
+        Without the latter, a rate that is too high would predict waits that are too
+        long, which would exclude the very answers that correct it.
         """
         waited = predicted_ms >= PREDICTED_WAIT_SHARE_MAX * first_ms
         if waited and first_ms >= tokens * self.token_ms(service, model):
             return
-        own_ms = first_ms if waited else first_ms - predicted_ms
-        rate = ReadingRate(service, model, own_ms / tokens)
+        prefill_ms = first_ms if waited else first_ms - predicted_ms
+        rate = ReadingRate(service, model, prefill_ms / tokens)
         self._local_rates.add([rate])
         self._unreported.append(rate)
         del self._unreported[:-UNREPORTED_MAX]
 
     def take_rates(self) -> tuple[ReadingRate, ...]:
-        """The rates that were seen here and not told yet."""
+        """Returns and clears the rates that were measured here and not reported yet."""
         rates, self._unreported = self._unreported, []
         return tuple(rates)
 
     def restore_rates(self, rates: tuple[ReadingRate, ...]) -> None:
-        """Tell again what a lost report held."""
+        """Restores the rates of a lost report, to be reported again."""
         self._unreported[:0] = rates
         del self._unreported[:-UNREPORTED_MAX]
 
     def apply_rates(self, rates: Iterable[ReadingRate]) -> None:
-        """Take estimates that are made of what many gateways have seen."""
+        """Applies estimates that combine the measurements of many gateways."""
         self._fleet_rates.update({(r.service, r.model): r.token_ms for r in rates})
 
-    def record_slot_time(self, service: str, took_ms: float) -> None:
-        """A send is over, and has held a place at an endpoint for this long."""
-        before_ms = self.slot_time_ms(service)
-        self._slot_times_ms[service] = before_ms + SLOT_TIME_GAIN * (
-            took_ms - before_ms
+    def record_slot_time(self, service: str, occupied_ms: float) -> None:
+        """Records how long a finished send has occupied a slot at an endpoint."""
+        mean_ms = self.slot_time_ms(service)
+        self._slot_times_ms[service] = mean_ms + SLOT_TIME_GAIN * (
+            occupied_ms - mean_ms
         )
 
     def slot_time_ms(self, service: str) -> float:
-        """For how long a send holds its place, as a mean over all models."""
+        """Returns the mean time that a send occupies its slot, over all models."""
         return self._slot_times_ms.get(service, SLOT_TIME_MS_PRIOR)
 
     def token_ms(self, service: str, model: str) -> float:
-        """The time to read a token, by many gateways' answers if they are known."""
-        told_ms = self._fleet_rates.get((service, model))
-        if told_ms is not None:
-            return told_ms
-        own_ms = self._local_rates.token_ms(service, model)
-        return own_ms if own_ms is not None else TOKEN_MS_PRIOR
+        """Returns the prefill time of a token, from many gateways' answers if known."""
+        fleet_ms = self._fleet_rates.get((service, model))
+        if fleet_ms is not None:
+            return fleet_ms
+        local_ms = self._local_rates.token_ms(service, model)
+        return local_ms if local_ms is not None else TOKEN_MS_PRIOR
 
     def expected_ms(
         self, service: str, model: str, tokens: int, now_ms: float
     ) -> float:
-        """A cautious guess of the time to the first event beyond what is
-        foreseen; 0 when nothing has been seen.
+        """Returns a cautious estimate of the time to the first event.
+
+        The predicted wait is not included; 0 if nothing has been measured yet.
         """
-        known = self._estimates.get((service, model))
-        if known is None:
+        estimate = self._estimates.get((service, model))
+        if estimate is None:
             return 0.0
-        idle_ms = max(0.0, now_ms - known.at_ms)
-        fading = 0.5 ** (idle_ms / HALF_LIFE_MS)
-        waiting_ms = (known.wait_ms + known.deviation_ms) * fading
-        return tokens * self.token_ms(service, model) + waiting_ms
+        idle_ms = max(0.0, now_ms - estimate.at_ms)
+        decay = 0.5 ** (idle_ms / HALF_LIFE_MS)
+        wait_ms = (estimate.wait_ms + estimate.deviation_ms) * decay
+        return tokens * self.token_ms(service, model) + wait_ms
