--- a/ashlatch/gateway/admission.py
+++ b/ashlatch/gateway/admission.py
@@ -2,8 +2,8 @@
 ashlatch.gateway.admission
 ~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Whether a request may be served, by which route, service and organisation, and
-for how long; and the answers that a gateway gives by itself.
+Decides whether a request may be served, by which route, service and organisation, and
+for how long; and builds the answers that a gateway gives itself.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -33,15 +33,16 @@
 
 log = logging.getLogger("ashlatch.gateway")
 
-# When the endpoints are full or away: about the time in which one answers.
+# The retry time when the endpoints are full or unavailable: about the time in which one
+# answers.
 RETRY_AFTER_S = 0.5
 
 
 @dataclass(frozen=True)
 class Admission:
-    """A request that may be served, and by what.
+    """A request that may be served, with its route, service and organisation.
 
-    `content` is the digest of what it asks for.
+    `fingerprint` identifies what the request asks for. After `deadline_s` it times out.
     """
 
     request: Ask
@@ -54,7 +55,7 @@
 
     @property
     def urgency(self) -> int:
-        """0 for the most urgent; the organisation's goes before the route's."""
+        """0 for the most urgent; the organisation's setting overrides the route's."""
         organisation = self.organisation
         if organisation is not None and organisation.priority is not None:
             return organisation.priority
@@ -62,23 +63,26 @@
 
     @property
     def region_bound(self) -> bool:
-        """Whether its route or its organisation names regions."""
+        """Checks whether the route or the organisation names regions."""
         return any(self._regions)
 
     def may_run_in(self, region: str) -> bool:
-        """Whether endpoints of a region may get the request; empty for unknown ones."""
+        """Checks whether endpoints of a region may get the request.
+
+        The region is empty if it is unknown.
+        """
         return all(not named or region in named for named in self._regions)
 
     @property
     def _regions(self) -> tuple[tuple[str, ...], ...]:
         organisation = self.organisation
-        own = organisation.regions if organisation is not None else ()
-        return self.route.regions, own
+        organisation_regions = organisation.regions if organisation is not None else ()
+        return self.route.regions, organisation_regions
 
 
 @dataclass(frozen=True)
 class Refused:
-    """A request that is answered here, and when the caller may come back."""
+    """The refusal of a request, and when the caller may retry."""
 
     status: int
     reason: RefusalReason
@@ -86,7 +90,7 @@
 
 
 def admit(context: Knowledge, request: Ask) -> Admission | Refused:
-    """Find route, organisation and service of a request."""
+    """Finds the route, organisation and service of a request."""
     table = context.table
     if table is None:
         return Refused(503, RefusalReason.NO_CONFIGURATION, RETRY_AFTER_S)
@@ -98,38 +102,40 @@
         organisation = table.holder(request.key)
         if organisation is None:
             return Refused(401, RefusalReason.UNKNOWN_KEY)
-    held_ms = route.held_max_ms
+    wait_ms = route.held_max_ms
     if request.patience_ms is not None:
-        held_ms = min(held_ms, request.patience_ms)
-    content = request_fingerprint(request, organisation.name if organisation else "")
-    held = quarantine_refusal(context, content)
-    if held is not None:
-        crashes = context.quarantine.crashes(content)
-        held_ms = int(context.quarantine.held_ms(content, unix_ms()))
-        text = fingerprint_text(content)
-        emit(log, RequestHeld(request.request_id, text, crashes, held_ms))
-        return held
+        wait_ms = min(wait_ms, request.patience_ms)
+    fingerprint = request_fingerprint(
+        request, organisation.name if organisation else ""
+    )
+    refusal = quarantine_refusal(context, fingerprint)
+    if refusal is not None:
+        crashes = context.quarantine.crashes(fingerprint)
+        wait_ms = int(context.quarantine.held_ms(fingerprint, unix_ms()))
+        text = fingerprint_text(fingerprint)
+        emit(log, RequestHeld(request.request_id, text, crashes, wait_ms))
+        return refusal
     return Admission(
         request,
         route,
         table.service(route, request.request_id),
         organisation,
         table.catalog.version,
-        request.received_s + held_ms / 1000.0,
-        content,
+        request.received_s + wait_ms / 1000.0,
+        fingerprint,
     )
 
 
 def quarantine_refusal(context: Knowledge, fingerprint: int) -> Refused | None:
-    """The refusal of a content under which too many endpoints have ended."""
-    held_ms = context.quarantine.held_ms(fingerprint, unix_ms())
-    if not held_ms:
+    """Returns the refusal of a request that is quarantined for crashing endpoints."""
+    quarantined_ms = context.quarantine.held_ms(fingerprint, unix_ms())
+    if not quarantined_ms:
         return None
-    return Refused(503, RefusalReason.QUARANTINED, held_ms / 1000.0)
+    return Refused(503, RefusalReason.QUARANTINED, quarantined_ms / 1000.0)
 
 
 def refuse(responder: Responder, request_id: str, refused: Refused) -> None:
-    """Answer a request that is not served."""
+    """Sends the answer to a request that is refused."""
     reason = refused.reason
     headers = refusal_headers(request_id, reason, refused.retry_after_s)
     body = f'{{"type":"{reason.value}","status":{refused.status}}}\n'.encode()
--- a/ashlatch/gateway/budget.py
+++ b/ashlatch/gateway/budget.py
@@ -2,9 +2,9 @@
 ashlatch.gateway.budget
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-How many repeated sends one gateway may make. All gateways share one budget,
-`ratio` of the requests of a service in a window and some more; each takes its
-part by its own requests, and an equal part of what comes on top.
+Limits how many repeated sends one gateway may make. All gateways share one budget per
+service: `ratio` repeats for each request in a window and `extra` more. Each gateway
+uses the part for its own requests, and an equal part of the extra ones.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -15,18 +15,18 @@
 
 __all__ = ["BudgetTerms", "RepeatBudget"]
 
-# The window moves on in steps of this part of it.
+# The window moves in steps of this fraction of its length.
 WINDOW_STEPS = 10
-# Requests and repeats fall into different steps at the two ends, so a part of
-# what is allowed is left unused.
+# The share of the budget that is used. Requests and repeats fall into different steps
+# at the two ends of the window, so a part of the budget is left unused.
 USABLE_SHARE = 0.85
 
 
 @dataclass(frozen=True)
 class BudgetTerms:
-    """`ratio` repeats for each request within `window_ms`, and `extra` more.
+    """Allows `ratio` repeats for each request within `window_ms`, and `extra` more.
 
-    All three are settings, and hold for all gateways together.
+    All three are settings that apply to all gateways together.
     """
 
     ratio: float
@@ -43,7 +43,7 @@
 
 @dataclass
 class RepeatBudget:
-    """The repeats of one service at one gateway."""
+    """The repeat budget of one service at one gateway."""
 
     terms: BudgetTerms
     _steps: deque[_Step] = field(default_factory=deque)
@@ -51,12 +51,12 @@
     _repeats: int = 0
 
     def record_request(self, now_ms: float) -> None:
-        """A caller's request for the service has come in."""
+        """Records a caller's request for the service."""
         self._step(now_ms).requests += 1
         self._requests += 1
 
     def spend(self, now_ms: float, gateways: int) -> bool:
-        """Take one repeat, if there is one left in the window."""
+        """Spends one repeat, if one is left in the window; returns whether it was."""
         step = self._step(now_ms)
         extra = self.terms.extra / max(1, gateways)
         allowed = USABLE_SHARE * (self.terms.ratio * self._requests + extra)
@@ -71,7 +71,7 @@
         if not self._steps or now_ms - self._steps[-1].begun_ms >= width_ms:
             self._steps.append(_Step(now_ms))
         while now_ms - self._steps[0].begun_ms > self.terms.window_ms:
-            old = self._steps.popleft()
-            self._requests -= old.requests
-            self._repeats -= old.repeats
+            expired = self._steps.popleft()
+            self._requests -= expired.requests
+            self._repeats -= expired.repeats
         return self._steps[-1]
--- a/ashlatch/gateway/cold.py
+++ b/ashlatch/gateway/cold.py
@@ -2,7 +2,7 @@
 ashlatch.gateway.cold
 ~~~~~~~~~~~~~~~~~~~~~
 
-From when this gateway may send to an endpoint that is cold.
+Decides from when on this gateway may send to an endpoint that is cold.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -17,16 +17,17 @@
 __all__ = ["ColdSendLimiter", "mark_returned_cold"]
 
 
-# When all VMs start together each gateway hears of a few others first, and takes itself
-# for a sender to endpoints that many share. All have asked the core after 1.5 s.
+# When all VMs start together, each gateway first receives a few of the others, and
+# would assume that it may send to endpoints that many gateways share. All gateways have
+# contacted the core after 1.5 s.
 GATEWAYS_KNOWN_MS = 2000.0
 
 
 class ColdSendLimiter:
-    """Keeps this gateway's shares, worked out once while the gateways are the same.
+    """Computes this gateway's shares, once as long as the gateways are the same.
 
-    `own` is this gateway as the others know it. It sends to no cold endpoint before it
-    has heard of the others.
+    `local` is this gateway as the others know it. It sends to no cold endpoint before
+    it has received the other gateways.
     """
 
     def __init__(self, local: GatewayVm | None = None) -> None:
@@ -36,12 +37,12 @@
         self._pauses_ms: dict[str, float | None] = {}
 
     def gateways_received(self, now_ms: float) -> None:
-        """The core has told which gateways there are."""
+        """Records that the core has reported which gateways there are."""
         if self._gateways_known_ms == float("inf"):
             self._gateways_known_ms = now_ms + GATEWAYS_KNOWN_MS
 
     def knows_gateways(self, now_ms: float) -> bool:
-        """Whether this gateway has heard of the others; one by itself has none."""
+        """Checks whether this gateway knows the others; a single gateway has none."""
         return self.local is None or now_ms >= self._gateways_known_ms
 
     def wait_ms(
@@ -51,18 +52,18 @@
         gateways: tuple[GatewayVm, ...],
         now_ms: float,
     ) -> float:
-        """The time until a request may be sent to the endpoint; 0 if it may be now.
+        """Returns the time until a request may be sent to the endpoint; 0 if now.
 
-        Infinite if others send to it: how long it stays cold is not known for sure.
+        Infinite if other gateways send to it: it is uncertain how long it stays cold.
         """
         if service.cold_requests_per_s <= 0.0 or not state.cold(now_ms):
             return 0.0
         if not self.knows_gateways(now_ms):
             return NEVER_MS
-        least_ms = self._pause_ms(state, service, gateways)
-        if least_ms is None:
+        interval_ms = self._pause_ms(state, service, gateways)
+        if interval_ms is None:
             return NEVER_MS
-        return max(0.0, state.sent_ms + least_ms - now_ms)
+        return max(0.0, state.sent_ms + interval_ms - now_ms)
 
     def _pause_ms(
         self,
@@ -91,19 +92,20 @@
     evacuations: Evacuations,
     now_ms: float,
 ) -> int:
-    """Take the endpoints of halls that were given back for cold; how many.
+    """Marks the endpoints of halls whose evacuation has ended as cold; returns how
+    many.
 
-    They may have started again while nothing was sent there, and the list tells that
-    a second or two later. `before` is the number of the evacuations known before.
+    They may have restarted while nothing was sent there, and the list reports that a
+    second or two later. `number_before` is the number of the evacuations known before.
     """
     returned = {
         h for h, number in evacuations.returned.items() if number > number_before
     }
-    found = 0
+    count = 0
     for state in directory.all():
         service = table.services.get(state.endpoint.service) if table else None
         if service is None or state.endpoint.hall not in returned:
             continue
-        found += 1
+        count += 1
         state.warms_up(now_ms + service.cold_ms)
-    return found
+    return count
--- a/ashlatch/gateway/limits.py
+++ b/ashlatch/gateway/limits.py
@@ -2,8 +2,8 @@
 ashlatch.gateway.limits
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-The rate limits that endpoints name in their answers: learnt, told to the other
-gateways, and kept together with them.
+Applies the rate limits that endpoints report in their answers, broadcasts them to the
+other gateways and shares them with those.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -32,17 +32,17 @@
 
 log = logging.getLogger("ashlatch.gateway")
 
-# How long a gateway that does not know the others yet leaves a limited endpoint alone;
-# it asks again before.
+# How long a gateway that does not know the others yet avoids a limited endpoint; it
+# checks again earlier.
 UNKNOWN_GATEWAYS_WAIT_MS = 5000.0
 
 
 @dataclass(frozen=True)
 class LimitReport:
-    """What the answer to a request that was sent at `sent_ms` says of a limit.
+    """The limit that was reported in the answer to a request sent at `sent_ms`.
 
-    `run` is whether the endpoint has run the request: one that turns requests away may
-    leave the limit out.
+    `executed` is whether the endpoint has executed the request: an endpoint that
+    refuses requests may leave out the limit.
     """
 
     request_id: str
@@ -52,10 +52,10 @@
 
 
 def limit_wait_ms(context: Knowledge, state: EndpointState, now_ms: float) -> float:
-    """The time until a request may be sent to an endpoint, for its rate limit.
+    """Returns the time until the rate limit of an endpoint permits a request.
 
     A gateway that does not know the others yet waits: when many start together, each
-    would take itself for one of few that share the limit.
+    would assume that only few gateways share the limit.
     """
     if not state.limit.limited:
         return 0.0
@@ -67,7 +67,7 @@
 def record_limited_send(
     context: Knowledge, state: EndpointState, now_ms: float
 ) -> None:
-    """A request goes to an endpoint; the others hear of it, if it is limited."""
+    """Records a send to an endpoint, and broadcasts it if the endpoint is limited."""
     if not state.limit.limited:
         return
     state.limit.sent(_sharers(context), context.generator.random(), now_ms)
@@ -78,10 +78,10 @@
 def apply_answer_limit(
     context: Knowledge, state: EndpointState, report: LimitReport, now_ms: float
 ) -> None:
-    """Learn from an answer, and tell the other gateways if it is news to them.
+    """Applies the limit in an answer, and broadcasts it if it is new.
 
-    Otherwise each would begin with sends of its own, and one that seldom asks the
-    endpoint would not know for long.
+    Without the broadcast each gateway would begin with sends of its own, and one that
+    rarely sends to the endpoint would not know the limit for long.
     """
     per_s = report.limit_per_s
     if per_s == NO_LIMIT and not (report.executed and state.limit.limited):
@@ -102,9 +102,9 @@
     source: str,
     now_ms: float,
 ) -> None:
-    """Take the limit that another gateway has heard of, unless a newer one is known.
+    """Applies a limit received from another gateway, unless a newer one is known.
 
-    It may have stood still, and report a limit of seconds ago.
+    The other gateway may have been suspended, and report a limit of seconds ago.
     """
     if not state.limit.accepts(update.limit_per_s, now_ms - update.age_ms):
         return
@@ -113,7 +113,7 @@
 
 
 def apply_peer_send(context: Knowledge, state: EndpointState, now_ms: float) -> None:
-    """Another gateway sends to an endpoint that it knows to be limited."""
+    """Records another gateway's send to an endpoint that it knows to be limited."""
     state.limit.sent_elsewhere(_sharers(context), context.generator.random(), now_ms)
 
 
@@ -136,7 +136,7 @@
 
 
 def limit_interval_ms(context: Knowledge, limited: Iterable[EndpointState]) -> float:
-    """The time between two sends of this gateway's part of several limits."""
+    """Returns the time between two sends of this gateway's share of several limits."""
     rate_per_s = sum(max(s.limit.per_s, RATE_MIN_PER_S) for s in limited)
     return SECOND_MS * _sharers(context).gateways / rate_per_s
 
--- a/ashlatch/gateway/permission.py
+++ b/ashlatch/gateway/permission.py
@@ -2,8 +2,9 @@
 ashlatch.gateway.permission
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Whether this gateway may send a request to an endpoint now, and if not, from when. First
-sends, repeats, sends for a larger model, resumed streams and load tests all ask here.
+Decides whether this gateway may send a request to an endpoint now, and if not, from
+when on. It applies to first sends, repeats, sends to a larger model, resumed streams
+and load tests.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -21,14 +22,14 @@
 def send_permission(
     context: Knowledge, service: Service, state: EndpointState, now_ms: float
 ) -> Permission:
-    """Whether a request may be sent to an endpoint of a service, and if not, why."""
-    own = state.permission(now_ms)
+    """Returns whether a request may be sent to an endpoint, and if not, why."""
+    endpoint_permission = state.permission(now_ms)
     may_be_cold = service.cold_requests_per_s > 0.0 and state.cold(now_ms)
-    if own is ALLOWED and not state.limit.limited and not may_be_cold:
+    if endpoint_permission is ALLOWED and not state.limit.limited and not may_be_cold:
         return ALLOWED
     limit_ms = limit_wait_ms(context, state, now_ms)
     cold_ms = context.cold.wait_ms(state, service, context.gateways, now_ms)
     waits = [(Barrier.LIMITED, limit_ms), (Barrier.COLD, cold_ms)]
-    if own.barrier is not None:
-        waits.insert(0, (own.barrier, own.wait_ms))
+    if endpoint_permission.barrier is not None:
+        waits.insert(0, (endpoint_permission.barrier, endpoint_permission.wait_ms))
     return combine(waits)
--- a/ashlatch/gateway/retry_time.py
+++ b/ashlatch/gateway/retry_time.py
@@ -2,7 +2,7 @@
 ashlatch.gateway.retry_time
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-When a caller may come back whose request can be sent to no endpoint now.
+Finds when a caller may retry a request that can be sent to no endpoint now.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -21,21 +21,21 @@
 __all__ = ["RetryTime", "find_retry_time"]
 
 SECOND_MS = 1000.0
-# A caller that waits for longer than this should find out once more.
+# A caller should try again after this time at the latest.
 RETRY_MAX_S = 5.0
 RETRY_MAX_MS = RETRY_MAX_S * SECOND_MS
-# Sooner than this, nobody's answer has made a difference.
+# No endpoint's state changes sooner than this.
 RETRY_MIN_S = 0.1
-# An endpoint whose backoff is over may ask for another one: the next caller comes when
-# the answer to the one before is known.
+# An endpoint whose backoff is over may request another one: the next caller returns
+# when the answer to the previous one is known.
 BACKOFF_STEP_MS = 20.0
-# The barriers that end by themselves, at a time that is known here.
+# The reasons that end on their own, at a time that is known here.
 _TIMED_REASONS = frozenset({Barrier.BACKOFF, Barrier.LIMITED})
 
 
 @dataclass(frozen=True)
 class RetryTime:
-    """What bars the endpoint that opens first, and when to come back."""
+    """The reason why the endpoint that opens first is denied, and when to retry."""
 
     reason: Barrier
     after_s: float
@@ -44,11 +44,11 @@
 def find_retry_time(
     context: Knowledge, service: Service, states: Iterable[EndpointState], now_ms: float
 ) -> RetryTime | None:
-    """When a caller should come back who found endpoints that all wait for something.
+    """Returns when a caller should retry if all endpoints are denied for some time.
 
-    Callers are told one after the other, by what the endpoints take from this gateway:
-    told the same moment, they would come back all at once. None if an endpoint is open,
-    or none opens by itself at a time that is known.
+    Callers get successive times, at the rate at which the endpoints accept requests
+    from this gateway: with the same time they would all return at once. Returns none if
+    an endpoint is open, or if none opens on its own at a known time.
     """
     permissions = [(send_permission(context, service, s, now_ms), s) for s in states]
     waiting = [(p, s) for p, s in permissions if p.barrier in _TIMED_REASONS]
@@ -61,7 +61,7 @@
         limited = [s for p, s in waiting if p.barrier is Barrier.LIMITED]
         step_ms = limit_interval_ms(context, limited)
     opens_ms = now_ms + first.wait_ms
-    returns_ms = max(opens_ms, context.returns_ms.get(service.name, opens_ms))
-    context.returns_ms[service.name] = min(returns_ms + step_ms, now_ms + RETRY_MAX_MS)
-    after_s = (returns_ms - now_ms) / SECOND_MS
+    retry_ms = max(opens_ms, context.returns_ms.get(service.name, opens_ms))
+    context.returns_ms[service.name] = min(retry_ms + step_ms, now_ms + RETRY_MAX_MS)
+    after_s = (retry_ms - now_ms) / SECOND_MS
     return RetryTime(first.barrier, min(max(RETRY_MIN_S, after_s), RETRY_MAX_S))
--- a/ashlatch/gateway/sessions.py
+++ b/ashlatch/gateway/sessions.py
@@ -2,8 +2,8 @@
 ashlatch.gateway.sessions
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-What a gateway knows of sessions: the version that answered each last, and those that
-all gateways have to treat alike while a version is rolled out.
+Keeps what a gateway knows of sessions: the version that answered each last, and the
+sessions that all gateways have to route alike during a roll-out.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -23,14 +23,15 @@
     "session_hash",
 ]
 
-# Sessions are forgotten this much after they have ended.
+# Sessions are forgotten this long after their end.
 SESSION_MARGIN_MS = 1000.0
 SESSIONS_MAX = 20_000
-# How many marks there are for sessions; they are told to all gateways.
+# The number of session hashes, which are exchanged between all gateways.
 HASH_RANGE = 1 << 32
-# Sessions beyond this part of the marks are never moved by a trial.
+# Sessions whose hash is beyond this share of the range are never moved by a trial.
 MOVABLE_SHARE = 0.25
-# A load test moves what one endpoint answers in a few seconds: some hundreds.
+# A load test moves some hundreds of sessions: what one endpoint answers in a few
+# seconds.
 MOVES_MAX = 20_000
 
 
@@ -48,7 +49,7 @@
     _last_requests: dict[str, _LastRequest] = field(default_factory=dict)
 
     def record(self, service: str, session: str, version: str, now_ms: float) -> None:
-        """A request of the session is at this version now, or was until now."""
+        """Records a request of the session that is or was until now at this version."""
         if not session:
             return
         self._last_requests.pop(f"{service}/{session}", None)
@@ -59,50 +60,50 @@
     def record_end(
         self, service: str, session: str, version: str, now_ms: float
     ) -> None:
-        """A request of the session has ended at this version.
+        """Records that a request of the session has ended at this version.
 
-        Another request may have moved the session since it began: an end only
-        moves the time on.
+        Another request may have moved the session in the meantime: an end only updates
+        the time, not the version.
         """
-        seen = self._last_requests.get(f"{service}/{session}")
-        if seen is None or seen.version == version:
+        last = self._last_requests.get(f"{service}/{session}")
+        if last is None or last.version == version:
             self.record(service, session, version, now_ms)
 
     def running(self, service: str, now_ms: float) -> list[str]:
-        """The sessions of a service that had a request lately."""
-        begin = f"{service}/"
+        """Returns the sessions of a service that had a request recently."""
+        prefix = f"{service}/"
         oldest_ms = now_ms - self.session_ms - SESSION_MARGIN_MS
         return [
-            key.removeprefix(begin)
-            for key, seen in self._last_requests.items()
-            if seen.at_ms >= oldest_ms and key.startswith(begin)
+            key.removeprefix(prefix)
+            for key, last in self._last_requests.items()
+            if last.at_ms >= oldest_ms and key.startswith(prefix)
         ]
 
     def version(self, service: str, session: str, now_ms: float) -> str:
-        """The version of a session that still runs, or empty."""
-        seen = self._last_requests.get(f"{service}/{session}")
-        if seen is None or not session:
+        """Returns the version of a session that still runs, or empty."""
+        last = self._last_requests.get(f"{service}/{session}")
+        if last is None or not session:
             return ""
-        recent = now_ms - seen.at_ms < self.session_ms + SESSION_MARGIN_MS
-        return seen.version if recent else ""
+        recent = now_ms - last.at_ms < self.session_ms + SESSION_MARGIN_MS
+        return last.version if recent else ""
 
     def age_ms(self, service: str, session: str, now_ms: float) -> float:
-        """How long ago a session was last heard of; below 0 if it is not known."""
-        seen = self._last_requests.get(f"{service}/{session}")
-        return -1.0 if seen is None else now_ms - seen.at_ms
+        """Returns the time since a session's last request; below 0 if unknown."""
+        last = self._last_requests.get(f"{service}/{session}")
+        return -1.0 if last is None else now_ms - last.at_ms
 
 
 def session_hash(version: str, session: str) -> int:
-    """A number for a session that is the same on every VM."""
+    """Returns a hash of a session that is the same on every VM."""
     return int(hash_fraction(f"{version}/{session}") * HASH_RANGE)
 
 
 @dataclass
 class SessionMoves:
-    """The sessions that a load test of a version has moved, by their marks.
+    """The hashes of the sessions that a load test of a version has moved.
 
-    `untold` are those that were moved here and that no record of the roll-out
-    names yet. A move holds for the whole roll-out, however long its request takes.
+    `unreported` are those that were moved here and that no record of the roll-out names
+    yet. A move is valid for the whole roll-out, however long its request takes.
     """
 
     version: str
@@ -110,7 +111,7 @@
     unreported: set[int] = field(default_factory=set)
 
     def record(self, hash_value: int, here: bool) -> None:
-        """A session was moved, at this gateway or at another one."""
+        """Records that a session was moved, at this gateway or at another one."""
         if len(self.hashes) >= MOVES_MAX:
             return
         self.hashes.add(hash_value)
@@ -118,27 +119,30 @@
             self.unreported.add(hash_value)
 
     def apply(self, rollout: Rollout) -> None:
-        """Take the sessions that a record of the roll-out names."""
+        """Applies the sessions that a record of the roll-out names."""
         self.hashes.update(rollout.moved)
         self.unreported.difference_update(rollout.moved)
         if rollout.stage in (RolloutStage.COMPLETED, RolloutStage.ROLLED_BACK):
-            # No record will name those that are left.
+            # No later record will name the remaining sessions.
             self.unreported.clear()
 
 
 @dataclass
 class RunningSessions:
-    """The sessions that run on the version before, as a trial of a version is awaited.
+    """The sessions that run on the previous version while a trial is awaited.
 
-    The record of the trial names those that the core has heard of by then. Sessions
-    that begin within the last moments before it are told from gateway to gateway.
+    The record of the trial names the sessions that the core has received by then.
+    Sessions that begin in the last moments before it are broadcast between the
+    gateways.
     """
 
     version: str
     hashes: set[int] = field(default_factory=set)
 
     def record(self, hash_value: int) -> bool:
-        """A session runs; whether that is new, and a trial could move it."""
+        """Records a running session; returns whether it is new and a trial could move
+        it.
+        """
         movable = hash_value < MOVABLE_SHARE * HASH_RANGE
         if not movable or hash_value in self.hashes or len(self.hashes) >= SESSIONS_MAX:
             return False
--- a/ashlatch/gateway/versions.py
+++ b/ashlatch/gateway/versions.py
@@ -2,9 +2,9 @@
 ashlatch.gateway.versions
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Which version of a service a request goes to while one is rolled out. A
-session that runs stays on its version in the trial; once the new version has
-proved itself, sessions go over to it and do not come back.
+Chooses the version of a service for each request during a roll-out. A session that runs
+stays on its version during the trial; once the new version has passed the trial,
+sessions move to it and do not return.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -34,21 +34,23 @@
     "VersionReason",
 ]
 
-# How busy the one endpoint of a load test is made: nearly all of its places.
+# The utilisation up to which the endpoint of a load test gets requests: nearly all of
+# its slots.
 LOAD_TEST_UTILISATION = 0.9
-# All gateways in touch have heard that a trial has begun after this time.
+# The time after which all connected gateways have received the start of a trial.
 TRIAL_PROPAGATION_MS = 1000.0
 
 
 class VersionReason(enum.Enum):
-    """What a request's version was chosen by.
-
-    `SESSION`: the session ran on the new version before, as far as is known
-    here. `MOVED`: a load test moved it, at any gateway. `STAYS`: it ran on the
-    old one, and a trial leaves it there. `HELD`: it ran when the trial began, at
-    any gateway. `SHARE`: its place in the share of the new version, or beyond
-    it. `LOAD_TEST`: the endpoint under test has room. `UNLISTED`: no endpoint of
-    the preferred version is listed. `SPARED`: none of the new one can be sent to now.
+    """The reason for the version of a request.
+
+    `SESSION`: the session ran on the new version before, as far as this gateway knows.
+    `MOVED`: a load test moved it, at any gateway. `STAYS`: it ran on the old version,
+    and a trial leaves it there. `HELD`: it was running when the trial began, at any
+    gateway. `SHARE`: its hash is within the share of the new version, or beyond it.
+    `LOAD_TEST`: the endpoint under test has capacity. `UNLISTED`: no endpoint of the
+    preferred version is listed. `SPARED`: no endpoint of the new version can be sent to
+    now.
     """
 
     NO_ROLLOUT = "no_rollout"
@@ -66,11 +68,11 @@
 
 @dataclass(frozen=True)
 class AllowedEndpoints:
-    """The endpoints that a request may run on, and why these.
+    """The endpoints that a request may run on, and the reason for them.
 
-    `session_age_ms` is how long ago this gateway last heard of the session,
-    below 0 if it never did or has forgotten it. `otherwise` are those that serve as
-    well while none of these can be sent to.
+    `session_age_ms` is the time since the last request of the session at this gateway,
+    below 0 if there was none or it is forgotten. `fallback` are endpoints that serve as
+    well while none of `states` can be sent to.
     """
 
     states: list[EndpointState]
@@ -80,7 +82,7 @@
 
     @property
     def evacuated(self) -> int:
-        """How many of them are left out because their hall is evacuated."""
+        """The number of endpoints that are left out because their hall is evacuated."""
         return sum(state.evacuated for state in self.states)
 
 
@@ -91,14 +93,14 @@
 
 
 def _ignore_move() -> None:
-    """Nobody waits for moves yet."""
+    """Ignores a move before a handler is set."""
 
 
 @dataclass
 class VersionChooser:
-    """The roll-outs that are known, and what follows from them.
+    """Chooses versions by the known roll-outs.
 
-    `moved` is called when a load test has moved a session here.
+    `session_moved` is called when a load test has moved a session here.
     """
 
     sessions: SessionVersions
@@ -107,13 +109,13 @@
     _held_hashes: dict[str, tuple[int, frozenset[int]]] = field(default_factory=dict)
     _moves: dict[str, SessionMoves] = field(default_factory=dict)
     _running: dict[str, RunningSessions] = field(default_factory=dict)
-    # When each service's trial was first heard to have begun.
+    # When the start of each service's trial was received first.
     _trial_begun_ms: dict[str, float] = field(default_factory=dict)
 
     def apply_rollouts(
         self, rollouts: Iterable[Rollout], now_ms: float = 0.0
     ) -> list[Rollout]:
-        """Take what is newer than known, and return it."""
+        """Applies the roll-outs that are newer than the known ones; returns them."""
         newer = [r for r in rollouts if r.number > self._number(r.service)]
         for rollout in newer:
             if self._awaits_trial(rollout.service):
@@ -123,30 +125,33 @@
         return newer
 
     def apply_peer_move(self, service: str, session: str, version: str) -> None:
-        """Another gateway's load test has moved a session to the version."""
-        mark = session_hash(version, session)
-        self._moves_to(service, version).record(mark, here=False)
+        """Applies the move of a session to the version by a peer's load test."""
+        hash_value = session_hash(version, session)
+        self._moves_to(service, version).record(hash_value, here=False)
 
     def apply_peer_running(self, service: str, version: str, hash_value: int) -> None:
-        """Another gateway has sent a session to the version before this one."""
-        known = self.rollouts.get(service)
-        if known is None or known.version == version:
+        """Applies that another gateway has sent a session to the version before this
+        one.
+        """
+        rollout = self.rollouts.get(service)
+        if rollout is None or rollout.version == version:
             self._running_on_other(service, version).record(hash_value)
 
     def record_running(self, service: str, session: str, version: str) -> int | None:
-        """A request goes to a version; the mark of its session if others must hear.
+        """Records a request that goes to a version.
 
-        They must when a trial may begin at any moment: a session that runs by then
-        stays, whichever gateway its next request comes by.
+        Returns the hash of its session if it has to be broadcast. That is so while a
+        trial may begin at any moment: a session that is running by then stays on its
+        version, whichever gateway handles its next request.
         """
         rollout = self.rollouts.get(service)
         if not session or rollout is None or not self._awaits_trial(service):
             return None
-        mark = session_hash(rollout.version, session)
+        hash_value = session_hash(rollout.version, session)
         if version == rollout.version:
             return None
         running = self._running_on_other(service, rollout.version)
-        return mark if running.record(mark) else None
+        return hash_value if running.record(hash_value) else None
 
     def record_move(
         self,
@@ -156,31 +161,32 @@
         now_ms: float = 0.0,
         isolated: bool = False,
     ) -> bool:
-        """A request goes to the version; whether others must hear of its session.
+        """Records a request that goes to the version.
 
-        They must when a load test moves it beyond the share, which all know, and as
-        long as some may not have heard that the trial has begun. A gateway that is
-        `alone` has no datagrams, so it does not hear which sessions ran before.
+        Returns whether its session has to be broadcast: when a load test moves it
+        beyond the share, which all gateways know, and as long as some gateways may not
+        have received the start of the trial. An `isolated` gateway has no datagrams, so
+        it does not receive which sessions ran before.
         """
         rollout = self.rollouts.get(service)
         if not session or rollout is None or rollout.version != version:
             return False
-        mark = session_hash(version, session)
+        hash_value = session_hash(version, session)
         if rollout.stage is RolloutStage.TRIAL:
-            return self._starts_in_trial(rollout, mark, now_ms, isolated)
+            return self._starts_in_trial(rollout, hash_value, now_ms, isolated)
         if rollout.stage is not RolloutStage.LOAD_TEST:
             return False
         moves = self._moves_to(service, version)
-        if mark < rollout.share * HASH_RANGE or mark in moves.hashes:
+        if hash_value < rollout.share * HASH_RANGE or hash_value in moves.hashes:
             return False
-        moves.record(mark, here=True)
+        moves.record(hash_value, here=True)
         self.session_moved()
         return True
 
     def _starts_in_trial(
         self, rollout: Rollout, hash_value: int, now_ms: float, isolated: bool
     ) -> bool:
-        """Whether a session of the trial's share is new, and the trial is too."""
+        """Checks whether both a session of the trial's share and the trial are new."""
         age_ms = now_ms - self._trial_begun_ms.get(rollout.service, float("-inf"))
         moves = self._moves_to(rollout.service, rollout.version)
         if (
@@ -193,7 +199,7 @@
         return True
 
     def _awaits_trial(self, service: str) -> bool:
-        """Whether a roll-out is ordered whose trial has not begun, as far as known."""
+        """Checks for a roll-out whose trial has not begun, as far as is known."""
         rollout = self.rollouts.get(service)
         if rollout is None or rollout.stage is not RolloutStage.TRIAL:
             return False
@@ -220,13 +226,13 @@
         now_ms: float,
         tried: frozenset[str] = frozenset(),
     ) -> AllowedEndpoints:
-        """Those endpoints whose version the request may run on.
+        """Returns the endpoints whose version the request may run on.
 
-        `tried` are the endpoints that it has been sent to: a load test does not
-        hold it at the one that it tests.
+        `tried` are the endpoints that the request has been sent to: a load test does
+        not tie it to the endpoint under test.
 
-        When no endpoint of the preferred version is listed, the other version
-        serves, but never one that has been rolled back.
+        When no endpoint of the preferred version is listed, the other version serves,
+        but never one that has been rolled back.
         """
         listed = list(states)
         rollout = self.rollouts.get(service)
@@ -241,17 +247,19 @@
             tested = _endpoint_under_test(rollout, new, now_ms)
             if tested and tested[0].endpoint.instance not in tried:
                 return AllowedEndpoints(tested, VersionReason.LOAD_TEST, age_ms)
-            # The tested endpoint is busy enough, or away: as in the trial.
+            # The endpoint under test is busy enough or unavailable: choose as in the
+            # trial.
         preference = self._preference(rollout, session, request_id, now_ms)
         preferred, other = (new, old) if preference.new else (old, new)
         if not preferred:
             return AllowedEndpoints(other, VersionReason.UNLISTED, age_ms)
-        drawn = preference.reason is VersionReason.SHARE and preference.new
-        if drawn and not session:
-            # It may as well run on the version before, as most requests do. A session
-            # may not: its next request can come by a gateway that draws it again.
-            old_ones = AllowedEndpoints(old, VersionReason.SPARED)
-            return AllowedEndpoints(preferred, preference.reason, age_ms, old_ones)
+        drawn_by_share = preference.reason is VersionReason.SHARE and preference.new
+        if drawn_by_share and not session:
+            # Such a request may also run on the previous version, as most requests do.
+            # A session may not: its next request can come through a gateway that draws
+            # the new version again.
+            old_endpoints = AllowedEndpoints(old, VersionReason.SPARED)
+            return AllowedEndpoints(preferred, preference.reason, age_ms, old_endpoints)
         return AllowedEndpoints(preferred, preference.reason, age_ms)
 
     def _preference(
@@ -259,78 +267,82 @@
     ) -> _Preference:
         if rollout.stage is RolloutStage.COMPLETED:
             return _Preference(True, VersionReason.COMPLETED)
-        before = self.sessions.version(rollout.service, session, now_ms)
-        if before == rollout.version:
+        version_before = self.sessions.version(rollout.service, session, now_ms)
+        if version_before == rollout.version:
             return _Preference(True, VersionReason.SESSION)
-        mark = session_hash(rollout.version, session)
-        if session and mark in self._moves_to(rollout.service, rollout.version).hashes:
+        hash_value = session_hash(rollout.version, session)
+        if (
+            session
+            and hash_value in self._moves_to(rollout.service, rollout.version).hashes
+        ):
             return _Preference(True, VersionReason.MOVED)
         if rollout.stage is RolloutStage.TRIAL and session:
-            if before:
+            if version_before:
                 return _Preference(False, VersionReason.STAYS)
             running = self._running_on_other(rollout.service, rollout.version)
-            if mark in self._held(rollout) or mark in running.hashes:
+            if hash_value in self._held(rollout) or hash_value in running.hashes:
                 return _Preference(False, VersionReason.HELD)
-        place = hash_fraction(f"{rollout.version}/{session or request_id}")
-        return _Preference(place < rollout.share, VersionReason.SHARE)
+        position = hash_fraction(f"{rollout.version}/{session or request_id}")
+        return _Preference(position < rollout.share, VersionReason.SHARE)
 
     def sessions_to_report(self, now_ms: float) -> tuple[SessionHashes, ...]:
-        """The sessions that all gateways have to know of.
+        """Returns the sessions that all gateways have to know of.
 
-        Those that run here and that a trial which has not begun yet might move,
-        and those that a load test has moved here.
+        These are the sessions that run here and might be moved by a trial that has not
+        begun yet, and those that a load test has moved here.
         """
         found = []
         for rollout in self.rollouts.values():
             if rollout.stage is not RolloutStage.TRIAL or rollout.share > 0:
-                untold = self._moves_to(rollout.service, rollout.version).unreported
-                if untold and rollout.share < 1.0:
-                    moved = tuple(sorted(untold))
+                unreported = self._moves_to(rollout.service, rollout.version).unreported
+                if unreported and rollout.share < 1.0:
+                    moved = tuple(sorted(unreported))
                     trial = rollout.stage is RolloutStage.TRIAL
                     version = rollout.version if trial else ""
                     found.append(SessionHashes(rollout.service, (), moved, version))
                 continue
             sessions = self.sessions.running(rollout.service, now_ms)
-            marks = (session_hash(rollout.version, s) for s in sessions)
-            movable = tuple(m for m in marks if m < MOVABLE_SHARE * HASH_RANGE)
+            hashes = (session_hash(rollout.version, s) for s in sessions)
+            movable = tuple(m for m in hashes if m < MOVABLE_SHARE * HASH_RANGE)
             found.append(SessionHashes(rollout.service, movable))
         return tuple(found)
 
     def _held(self, rollout: Rollout) -> frozenset[int]:
-        known = self._held_hashes.get(rollout.service)
-        if known is None or known[0] != rollout.number:
-            known = (rollout.number, frozenset(rollout.held))
-            self._held_hashes[rollout.service] = known
-        return known[1]
+        held = self._held_hashes.get(rollout.service)
+        if held is None or held[0] != rollout.number:
+            held = (rollout.number, frozenset(rollout.held))
+            self._held_hashes[rollout.service] = held
+        return held[1]
 
     def _number(self, service: str) -> int:
-        known = self.rollouts.get(service)
-        return known.number if known else 0
+        rollout = self.rollouts.get(service)
+        return rollout.number if rollout else 0
 
 
 def _endpoint_under_test(
     rollout: Rollout, new: list[EndpointState], now_ms: float
 ) -> list[EndpointState]:
-    """The endpoint that is tested under load, while it is not busy enough.
+    """Returns the endpoint under load test, while it is not busy enough.
 
-    All gateways choose the same, by rendezvous hashing.
+    All gateways choose the same endpoint, by rendezvous hashing.
     """
-    ready = {s.endpoint.instance: s for s in new if _testable(s, now_ms)}
-    if not ready:
+    testable = {s.endpoint.instance: s for s in new if _testable(s, now_ms)}
+    if not testable:
         return []
-    state = ready[rank(tuple(ready), rollout.version)[0]]
+    state = testable[rank(tuple(testable), rollout.version)[0]]
     if not state.permission(now_ms).granted:
         return []
     if state.utilisation(now_ms) >= LOAD_TEST_UTILISATION:
         return []
-    # One prompt after another: a heap of them would only wait there.
+    # One prompt at a time: more of them would only queue there.
     return [state] if state.unanswered == 0 and state.breaker.allows(now_ms) else []
 
 
 def _testable(state: EndpointState, now_ms: float) -> bool:
-    """Whether all gateways may test an endpoint, as far as each of them knows.
+    """Checks whether all gateways may test an endpoint, as far as each of them knows.
 
-    Its backoff is this gateway's alone: another endpoint would be tested here only.
+    A backoff is known to this gateway alone, so it doesn't count: otherwise only this
+    gateway would test another endpoint.
     """
     if state.cold(now_ms) or state.limit.limited:
         return False
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -295,8 +295,8 @@
     Mutant(
         "moves-wait-for-the-next-question",
         "ashlatch/gateway/versions.py",
-        "        moves.record(mark, here=True)\n        self.session_moved()\n",
-        "        moves.record(mark, here=True)\n",
+        "        moves.record(hash_value, here=True)\n        self.session_moved()\n",
+        "        moves.record(hash_value, here=True)\n",
         SYNC,
     ),
     Mutant(
@@ -310,7 +310,7 @@
     Mutant(
         "end-of-answer-moves-session",
         "ashlatch/gateway/sessions.py",
-        "        if seen is None or seen.version == version:\n"
+        "        if last is None or last.version == version:\n"
         "            self.record(service, session, version, now_ms)",
         "        self.record(service, session, version, now_ms)",
         CHOOSING,
@@ -578,7 +578,7 @@
     Mutant(
         "region-of-the-organisation-ignored",
         "ashlatch/gateway/admission.py",
-        "        return self.route.regions, own\n",
+        "        return self.route.regions, organisation_regions\n",
         "        return self.route.regions, ()\n",
         REGIONS,
     ),
@@ -683,7 +683,7 @@
     Mutant(
         "all-told-the-same-moment",
         "ashlatch/gateway/retry_time.py",
-        "min(returns_ms + step_ms, now_ms + RETRY_MAX_MS)",
+        "min(retry_ms + step_ms, now_ms + RETRY_MAX_MS)",
         "opens_ms",
         LIMITS,
     ),
@@ -697,8 +697,8 @@
     Mutant(
         "sessions-go-back",
         "ashlatch/gateway/versions.py",
-        "if drawn and not session:",
-        "if drawn:",
+        "if drawn_by_share and not session:",
+        "if drawn_by_share:",
         CHOOSING,
     ),
     Mutant(
@@ -872,7 +872,7 @@
     Mutant(
         "running-sessions-untold",
         "ashlatch/gateway/session_updates.py",
-        "context.tell(SessionRuns(service, awaited, mark))",
+        "context.tell(SessionRuns(service, awaited_version, hash_value))",
         "pass",
         TRIAL_BEGINS,
     ),
@@ -886,7 +886,7 @@
     Mutant(
         "new-sessions-of-a-trial-untold",
         "ashlatch/gateway/versions.py",
-        "            return self._starts_in_trial(rollout, mark, now_ms, isolated)\n",
+        "            return self._starts_in_trial(rollout, hash_value, now_ms, isolated)\n",
         "            return False\n",
         TRIAL_BEGINS,
     ),
