--- a/ashlatch/gateway/attempt.py
+++ b/ashlatch/gateway/attempt.py
@@ -2,9 +2,8 @@
 ashlatch.gateway.attempt
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-One send of a request to one endpoint: the connection, the checks that what
-comes back is the answer to this request, and the typed ways in which it can
-fail.
+One send of a request to one endpoint: the connection, the checks that the answer
+belongs to this request, and the kinds of failures.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -29,19 +28,18 @@
 
 R = TypeVar("R")
 
-# Connections to an endpoint where operators have not said how many it accepts.
+# The limit of connections to an endpoint unless operators have configured one.
 CONNECTIONS_MAX = 64
 
 
 class FailureKind(enum.Enum):
-    """How a send ended without an answer that counts.
+    """How a send ended without a valid answer.
 
     After `UNREACHABLE`, `REFUSED`, `MISDIRECTED` and `CLOSED` the request has not run;
-    after any other it may have. `MISDIRECTED` comes from another endpoint, which
-    has the address now. `CLOSED` sends nothing: the endpoint may not be sent to any
-    more since it was chosen. `ERROR` is a whole answer with an error of
-    the endpoint's own; `FOREIGN` is an answer to something else, or to
-    nothing.
+    after any other kind it may have. `MISDIRECTED` comes from another endpoint, which
+    has the address now. With `CLOSED` nothing was sent: sends to the endpoint were
+    denied after it was chosen. `ERROR` is a complete answer with an error of the
+    endpoint's own; `FOREIGN` is an answer to another request, or to none.
     """
 
     UNREACHABLE = "unreachable"
@@ -55,7 +53,7 @@
 
     @property
     def not_run(self) -> bool:
-        """Whether the request has certainly not run."""
+        """Checks whether the request has certainly not run."""
         return self in _NOT_EXECUTED
 
 
@@ -78,13 +76,13 @@
 
 
 class Attempt:
-    """One send. Use `begin`, then `parts` until none is left, then `finish`.
+    """One send. Call `begin`, then `part` until it returns none, then `finish`.
 
-    Whatever way it ends, `close` gives back what it holds; `sent_bytes` and
-    `received_bytes` are what its connection has carried by then. `connections_max` is
-    how many connections the gateway may have to the endpoint, idle ones too.
-    `unread_head` is the head of an answer of the meant endpoint until somebody has
-    taken from it what the endpoint says of itself.
+    However the attempt ends, `close` releases its resources; `sent_bytes` and
+    `received_bytes` are what its connection has carried by then. `connections_max`
+    limits the connections of the gateway to the endpoint, including idle ones.
+    `unapplied_head` is the head of an answer of the intended endpoint until what it
+    reports about the endpoint has been applied.
     """
 
     def __init__(
@@ -117,7 +115,7 @@
         self.received_bytes = 0
 
     async def begin(self, timeout: AnswerTimeout) -> AnswerHead:
-        """Send, and wait for the head of the answer; raises `AttemptFailed`."""
+        """Sends, and waits for the head of the answer; raises `AttemptFailed`."""
         self.state.sent(self._now_ms())
         self._counted = True
         self.state.unanswered += 1
@@ -130,40 +128,47 @@
         connection = await self._connect()
         self._check_permitted()
         headers = endpoint_headers(self._request, self.dispatch)
-        ask = self._request
+        request = self._request
         try:
-            connection.send(ask.method, ask.target, headers, ask.body)
+            connection.send(request.method, request.target, headers, request.body)
         except UpstreamBroken as error:
             raise AttemptFailed(FailureKind.BROKEN, error.reason) from error
-        head = decode_answer(await self._receive(connection.head, timeout, "no head"))
+        head = decode_answer(
+            await self._receive(connection.head, timeout, "no answer head received")
+        )
         self.state.progressed(self._now_ms())
         if not head.backoff_ms:
-            # An endpoint that sheds says that it is idle.
+            # An endpoint that sheds reports that it is idle.
             self.load = head.load
         if self.load is not None:
             self.state.tell_load(self.load, self._now_ms())
         if head.request_id in ("", self._request.request_id) and not head.misdirected:
-            # Anything else may come from another endpoint.
+            # Any other head may come from another endpoint.
             self.unapplied_head = head
         self._check_answer(head)
         self.head = head
         return head
 
     async def part(self, timeout: AnswerTimeout) -> bytes | None:
-        """The next part of the body, none at its end; raises `AttemptFailed`."""
+        """Returns the next part of the body, none at its end.
+
+        Raises `AttemptFailed`.
+        """
         assert self._connection is not None
-        part = await self._receive(self._connection.part, timeout, "no more of it")
+        part = await self._receive(
+            self._connection.part, timeout, "no further part received"
+        )
         self.state.progressed(self._now_ms())
         return part
 
     async def _receive(
         self, receive: Callable[[], Awaitable[R]], timeout: AnswerTimeout, detail: str
     ) -> R:
-        """Receive something, for as long as the patience lasts."""
+        """Receives something within the timeout."""
         try:
             try:
-                async with asyncio.timeout(timeout.silence_s) as limit:
-                    return await self._receive_before(receive, limit, timeout)
+                async with asyncio.timeout(timeout.silence_s) as deadline:
+                    return await self._receive_before(receive, deadline, timeout)
             except TimeoutError as error:
                 if timeout.may_give_up():
                     raise AttemptFailed(FailureKind.SILENT, detail) from error
@@ -177,7 +182,9 @@
         deadline: asyncio.Timeout,
         timeout: AnswerTimeout,
     ) -> R:
-        """Receive something; the limit may be moved if the endpoint has gone."""
+        """Receives something; the deadline is moved if the endpoint becomes
+        unreachable.
+        """
         if timeout.silence_s is None:
             return await receive()
         self.state.awaited.add(deadline)
@@ -187,7 +194,7 @@
             self.state.awaited.discard(deadline)
 
     def finish(self) -> None:
-        """The answer was whole: keep the connection if it may be kept."""
+        """Ends an attempt with a complete answer; keeps the connection if permitted."""
         assert self.head is not None
         connection = self._detach_connection()
         if connection.release(self._loop.time()):
@@ -196,13 +203,13 @@
         self._release_slot()
 
     def close(self) -> None:
-        """End the attempt where it is; the endpoint drops the request."""
+        """Aborts the attempt at any point; the endpoint drops the request."""
         if self._connection is not None:
             self._detach_connection().abort()
         self._release_slot()
 
     def _detach_connection(self) -> Upstream:
-        """Give up the connection; what it has carried is known from now on."""
+        """Detaches the connection and stores how many bytes it has carried."""
         connection, self._connection = self._connection, None
         assert connection is not None
         self.sent_bytes = connection.sent_bytes
@@ -228,23 +235,25 @@
         return connection
 
     def _check_permitted(self) -> None:
-        """The last check before the send: a connection may have taken seconds."""
-        barrier = self.state.permission(self._now_ms()).barrier
-        if barrier is not None:
-            raise AttemptFailed(FailureKind.CLOSED, barrier.value)
+        """Checks again just before the send: connecting may have taken seconds."""
+        denial_reason = self.state.permission(self._now_ms()).barrier
+        if denial_reason is not None:
+            raise AttemptFailed(FailureKind.CLOSED, denial_reason.value)
 
     def _check_answer(self, head: AnswerHead) -> None:
-        """Tell an answer to this request from anything else that may come."""
+        """Distinguishes an answer to this request from any other response."""
         if head.request_id != self._request.request_id:
-            raise AttemptFailed(FailureKind.FOREIGN, "another request's answer")
+            raise AttemptFailed(FailureKind.FOREIGN, "answer to another request")
         if head.misdirected:
             raise AttemptFailed(FailureKind.MISDIRECTED, f"status {head.status}")
         if head.not_run:
             raise AttemptFailed(FailureKind.REFUSED, f"status {head.status}")
         if not head.sealed:
-            raise AttemptFailed(FailureKind.FOREIGN, f"status {head.status}, no seal")
+            raise AttemptFailed(
+                FailureKind.FOREIGN, f"status {head.status}, seal missing"
+            )
         if head.encoded:
-            raise AttemptFailed(FailureKind.FOREIGN, "an encoded body")
+            raise AttemptFailed(FailureKind.FOREIGN, "encoded body")
 
     def _now_ms(self) -> float:
         return self._loop.time() * 1000.0
--- a/ashlatch/gateway/crash_detector.py
+++ b/ashlatch/gateway/crash_detector.py
@@ -2,8 +2,8 @@
 ashlatch.gateway.crash_detector
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Tells the end of an endpoint's process from a connection that was cut, and holds it
-against the requests that were running there.
+Distinguishes a crashed endpoint from a broken connection, and attributes the crash to
+the requests that were running there.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -33,54 +33,56 @@
 
 log = logging.getLogger("ashlatch.gateway")
 
-# A refusal comes within a round trip of some milliseconds; a request that may go
-# elsewhere waits no longer than this to learn whether its endpoint has ended.
+# A refused connection is reported within a round trip of some milliseconds; a request
+# that may be sent elsewhere waits no longer than this for the result of the probe.
 PROBE_TIMEOUT_S = 0.1
-# A process that ends closes its connections one after the other, the listening socket
-# perhaps last: who still gets a connection asks again after this.
+# A process that ends closes its connections one after the other, and perhaps the
+# listening socket last: a probe that still gets a connection is repeated after this.
 SECOND_PROBE_DELAY_S = 0.02
-# What a probe has found holds for requests that break this soon after it was begun:
+# The result of a probe is used for requests that break this soon after it was started:
 # all of them break within milliseconds.
 PROBE_RESULT_VALID_S = 0.3
-# One crash concerns few gateways; from the second on, a content may be the cause.
+# One crash concerns few gateways; from the second on, the request may be the cause.
 BROADCAST_CRASHES_MIN = 2
 
 Connect = Callable[[str, float], Awaitable[Upstream]]
 
 
 def record_refusal(context: Knowledge, state: EndpointState, now_ms: float) -> None:
-    """Nobody listens at an endpoint's address: leave it, and tell all.
+    """Excludes an endpoint that refuses connections, and broadcasts that.
 
-    Each gateway would find that out by itself, one request after another: an
+    Otherwise each gateway would find that out on its own, one request after another: an
     endpoint that has crashed has no load, so it is tried before those that have.
     """
     if state.refuses(now_ms):
         endpoint = state.endpoint
-        silent = EndpointNotListening(endpoint.instance, endpoint.service)
-        emit(log, silent, logging.WARNING)
+        not_listening = EndpointNotListening(endpoint.instance, endpoint.service)
+        emit(log, not_listening, logging.WARNING)
         context.forget_life(endpoint.instance)
         context.tell(EndpointRefuses(endpoint.instance))
 
 
 def apply_peer_crashes(context: Knowledge, record: CrashRecord, source: str) -> None:
-    """Take what another gateway has found of a content."""
+    """Applies what another gateway has found out about a request fingerprint."""
     quarantine = context.quarantine
-    content = record.content
-    held_before_ms = quarantine.held_ms(content, unix_ms())
+    fingerprint = record.content
+    quarantined_before_ms = quarantine.held_ms(fingerprint, unix_ms())
     quarantine.learn(record)
-    held_ms = quarantine.held_ms(content, unix_ms())
-    if held_ms > held_before_ms:
-        crashes = quarantine.crashes(content)
-        held = ContentHeld(fingerprint_text(content), crashes, int(held_ms), source)
-        emit(log, held, logging.WARNING)
+    quarantined_ms = quarantine.held_ms(fingerprint, unix_ms())
+    if quarantined_ms > quarantined_before_ms:
+        crashes = quarantine.crashes(fingerprint)
+        quarantined = ContentHeld(
+            fingerprint_text(fingerprint), crashes, int(quarantined_ms), source
+        )
+        emit(log, quarantined, logging.WARNING)
         context.metrics.count("contents_held")
 
 
 class CrashDetector:
-    """Asks what has become of endpoints at which requests have broken.
+    """Probes endpoints at which requests have broken.
 
-    Requests that break together ask once: `Knowledge.probes` holds the probes that
-    run or have just ended.
+    Requests that break together share one probe: `Knowledge.probes` holds the probes
+    that are running or have just ended.
     """
 
     def __init__(self, context: Knowledge, connect: Connect = Upstream.connect) -> None:
@@ -88,11 +90,11 @@
         self._connect = connect
         self._loop = asyncio.get_running_loop()
 
-    async def has_crashed(self, state: EndpointState, failed: AttemptFailed) -> bool:
-        """Whether an endpoint's process has ended under a request."""
+    async def has_crashed(self, state: EndpointState, failure: AttemptFailed) -> bool:
+        """Checks whether an endpoint's process has ended during a request."""
         if state.ended_lately(self._now_ms()):
             return True
-        if failed.kind is not FailureKind.BROKEN or state.evacuated:
+        if failure.kind is not FailureKind.BROKEN or state.evacuated:
             return False
         return await asyncio.shield(self._probe(state))
 
@@ -112,7 +114,7 @@
         return await self._refuses_connections(state)
 
     async def _refuses_connections(self, state: EndpointState) -> bool:
-        """Whether nobody listens at an endpoint's address."""
+        """Checks whether nothing listens at an endpoint's address."""
         try:
             connection = await self._connect(state.endpoint.address, PROBE_TIMEOUT_S)
         except ConnectFailed as failure:
@@ -126,30 +128,30 @@
     def record_crash(
         self, request_id: str, fingerprint: int, state: EndpointState
     ) -> None:
-        """Hold the end of an endpoint against a request that was running there."""
-        known = self._context
+        """Attributes the crash of an endpoint to a request that was running there."""
+        context = self._context
         endpoint = state.endpoint
         now_unix_ms = unix_ms()
-        record = known.quarantine.crashed(
+        record = context.quarantine.crashed(
             fingerprint, endpoint.instance, endpoint.started_unix_ms, now_unix_ms
         )
         crashes = len(record.unsurvived)
-        held_ms = known.quarantine.held_ms(fingerprint, now_unix_ms)
-        noted = CrashNoted(
+        quarantined_ms = context.quarantine.held_ms(fingerprint, now_unix_ms)
+        crash = CrashNoted(
             request_id,
             fingerprint_text(fingerprint),
             endpoint.instance,
             crashes,
-            int(held_ms),
+            int(quarantined_ms),
         )
-        emit(log, noted, logging.WARNING)
-        known.metrics.count("crashes_noted")
-        known.crashes_found()
+        emit(log, crash, logging.WARNING)
+        context.metrics.count("crashes_noted")
+        context.crashes_found()
         if crashes >= BROADCAST_CRASHES_MIN:
-            known.tell(ContentCrashed(record))
+            context.tell(ContentCrashed(record))
 
     def record_completion(self, request_id: str, fingerprint: int) -> None:
-        """A request has run to its end: it crashes nothing."""
+        """Records that a request has completed without a crash."""
         if self._context.quarantine.survived(fingerprint):
             emit(log, ContentSurvived(request_id, fingerprint_text(fingerprint)))
             self._context.crashes_found()
--- a/ashlatch/gateway/exchange.py
+++ b/ashlatch/gateway/exchange.py
@@ -118,13 +118,13 @@
             try:
                 if await self._run_attempt(attempt):
                     return None
-            except AttemptFailed as failed:
-                self._record.record_failure(attempt, failed)
-                self._may_have_run |= not failed.kind.not_run
-                await self._record_if_crashed(attempt, failed)
-                if not self._may_repeat(failed.kind):
-                    return self._final_refusal(failed.kind)
-                self._send_reason = failed.kind.value
+            except AttemptFailed as failure:
+                self._record.record_failure(attempt, failure)
+                self._may_have_run |= not failure.kind.not_run
+                await self._record_if_crashed(attempt, failure)
+                if not self._may_repeat(failure.kind):
+                    return self._final_refusal(failure.kind)
+                self._send_reason = failure.kind.value
             finally:
                 attempt.close()
                 self._record.record_traffic(attempt)
@@ -267,7 +267,7 @@
                 self._forward_event(head, event)
             await self._responder.drain()
         if splitter.rest.strip():
-            raise AttemptFailed(FailureKind.BROKEN, "ended within an event")
+            raise AttemptFailed(FailureKind.BROKEN, "stream ended within an event")
         if not self._responder.begun:
             self._responder.begin(head.status, _body_headers(head))
         attempt.finish()
@@ -295,7 +295,9 @@
 
     # Handling failures.
 
-    async def _record_if_crashed(self, attempt: Attempt, failed: AttemptFailed) -> None:
+    async def _record_if_crashed(
+        self, attempt: Attempt, failure: AttemptFailed
+    ) -> None:
         """Attributes a crash of the endpoint to the request, if the endpoint has
         crashed.
 
@@ -303,9 +305,9 @@
         endpoint is sent on to the next one, and returns to each endpoint that has
         restarted.
         """
-        if failed.kind.not_run or failed.kind is FailureKind.ERROR:
+        if failure.kind.not_run or failure.kind is FailureKind.ERROR:
             return
-        if await self._crash_detector.has_crashed(attempt.state, failed):
+        if await self._crash_detector.has_crashed(attempt.state, failure):
             fingerprint = self._admission.fingerprint
             self._crash_detector.record_crash(
                 self._request.request_id, fingerprint, attempt.state
--- a/ashlatch/gateway/fingerprint.py
+++ b/ashlatch/gateway/fingerprint.py
@@ -2,8 +2,8 @@
 ashlatch.gateway.fingerprint
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Tells equal requests apart from others. Each try of a caller has an id of its own
-and may come to any gateway; what it asks for stays the same.
+Identifies equal requests. Each try of a caller has an id of its own and may come to any
+gateway; what it asks for stays the same.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -17,12 +17,12 @@
 
 
 def request_fingerprint(request: Ask, organisation: str) -> int:
-    """A number that requests share which ask for the same, at every gateway.
+    """Returns a hash that is the same at every gateway for equal requests.
 
-    They come from the same organisation, or caller's key where there is none, and
-    have the same method, host, target and body::
+    Equal requests come from the same organisation, or have the same key where there is
+    none, and have the same method, host, target and body::
 
-        content_digest(first, "acme") == content_digest(repeated, "acme")
+        request_fingerprint(first, "acme") == request_fingerprint(repeated, "acme")
     """
     hasher = xxhash.xxh3_64()
     for part in (
@@ -39,5 +39,5 @@
 
 
 def fingerprint_text(fingerprint: int) -> str:
-    """A digest as logs show it."""
+    """Returns a fingerprint in the form used in logs."""
     return f"{fingerprint:016x}"
--- a/ashlatch/gateway/request_record.py
+++ b/ashlatch/gateway/request_record.py
@@ -2,8 +2,8 @@
 ashlatch.gateway.request_record
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-What is counted and logged of one request: its sends, how they end, and its
-final answer. The exchange decides; this only takes note.
+Counts and logs what happens to one request: its sends, their outcomes and its final
+answer. The decisions are made in `ashlatch.gateway.exchange`.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -48,7 +48,7 @@
 
 log = logging.getLogger("ashlatch.gateway")
 
-# The request has not reached the endpoint that was meant.
+# The request has not reached the intended endpoint.
 _NOT_REACHED = frozenset(
     {FailureKind.UNREACHABLE, FailureKind.MISDIRECTED, FailureKind.CLOSED}
 )
@@ -57,8 +57,8 @@
 class RequestRecord:
     """The counts of one request.
 
-    `sends` are those that reached an endpoint, `unreachable` those that did
-    not; `first_s` is when the answer began to be passed on.
+    `sends` counts the sends that reached an endpoint, `unreachable` those that did not;
+    `first_s` is when forwarding of the answer began.
     """
 
     def __init__(self, context: Knowledge, admission: Admission) -> None:
@@ -73,12 +73,12 @@
         self._loop = asyncio.get_running_loop()
 
     def record_send(self, choice: Choice, model: str, reason: str) -> None:
-        """A request goes to an endpoint, for a reason."""
+        """Records that the request is sent to an endpoint, and the reason."""
         self.sends += 1
         endpoint = choice.state.endpoint
         admission = self._admission
         organisation = admission.organisation
-        sent = RequestSent(
+        event = RequestSent(
             admission.request.request_id,
             fingerprint_text(admission.fingerprint),
             admission.request.session,
@@ -106,7 +106,7 @@
             choice.denied.get(Barrier.BACKOFF, 0),
             choice.denied.get(Barrier.LEAVING, 0),
         )
-        emit(log, sent)
+        emit(log, event)
         record_limited_send(self._context, choice.state, self._now_ms())
         self._context.metrics.count(f"versions_by_{choice.allowed.reason.value}")
         session = admission.request.session
@@ -117,24 +117,28 @@
             self._record_prefill(choice, model or admission.request.model)
 
     def _record_prefill(self, choice: Choice, model: str) -> None:
-        """An engine is about to read the prompt, and keeps it then.
+        """Records that an engine is about to prefill the prompt and to cache it.
 
-        This is told as soon as it is sent: requests that share parts of it
-        follow within the second that a long prompt takes.
+        This is broadcast at the time of the send: requests that share parts of the
+        prompt follow within the second that the prefill of a long prompt takes.
         """
         assert choice.forecast is not None
-        known = self._context
+        context = self._context
         endpoint = choice.state.endpoint
         parts = self._admission.request.prompt_parts
         engine = self._admission.service.engine
         memory_tokens = engine.memory_tokens if engine else 0
         choice.state.workload.add(choice.forecast.prefill_ms, self._now_ms())
-        known.tell(PromptSent(endpoint.instance, round(choice.forecast.prefill_ms, 1)))
-        known.kept.note(endpoint.instance, model, parts, self._now_ms())
-        known.kept.read(endpoint.instance, model, parts, memory_tokens, self._now_ms())
+        context.tell(
+            PromptSent(endpoint.instance, round(choice.forecast.prefill_ms, 1))
+        )
+        context.kept.note(endpoint.instance, model, parts, self._now_ms())
+        context.kept.read(
+            endpoint.instance, model, parts, memory_tokens, self._now_ms()
+        )
 
     def record_traffic(self, attempt: Attempt) -> None:
-        """An attempt is over, and its connection has carried all of it."""
+        """Records the bytes that the connection of a finished attempt has carried."""
         hall = attempt.state.endpoint.hall
         traffic = self._context.traffic
         traffic.add(TrafficKind.REQUEST, hall, attempt.sent_bytes)
@@ -143,7 +147,7 @@
         self._context.pace.record_slot_time(service, self._elapsed_ms(attempt))
 
     def record_answer_begin(self, attempt: Attempt, model: str) -> None:
-        """The head of an answer has come."""
+        """Records that the head of an answer was received."""
         self._broadcast_load(attempt)
         self._apply_answer_head(attempt)
         first_ms = self._elapsed_ms(attempt)
@@ -162,16 +166,17 @@
             )
 
     def _broadcast_load(self, attempt: Attempt) -> None:
-        """Pass on an engine's load that came with an answer, once.
+        """Broadcasts an engine's load that came with an answer, once.
 
-        A plain service answers in some ms: its load is another before it is heard.
+        The load of a plain service is not broadcast: it answers within some ms, so its
+        load has changed before the broadcast is received.
         """
         load, attempt.load = attempt.load, None
         if load is not None and attempt.forecast is not None:
             pass_on_load(self._context, attempt.state, load, self._now_ms())
 
     def _apply_answer_head(self, attempt: Attempt) -> None:
-        """Take what an answer says of its endpoint, once."""
+        """Applies what an answer's head reports about its endpoint, once."""
         head, attempt.unapplied_head = attempt.unapplied_head, None
         if head is None:
             return
@@ -179,13 +184,13 @@
         apply_notice(self._context, attempt.state, head, sent_ms, self._now_ms())
         if head.limit_per_s is None:
             return
-        answered = LimitReport(
+        report = LimitReport(
             self._admission.request.request_id,
             head.limit_per_s,
             sent_ms,
             attempt.head is not None,
         )
-        apply_answer_limit(self._context, attempt.state, answered, self._now_ms())
+        apply_answer_limit(self._context, attempt.state, report, self._now_ms())
 
     def _limit_age_ms(self, state: EndpointState) -> int:
         age_ms = self._now_ms() - state.limit.heard_ms
@@ -198,10 +203,10 @@
         expected_ms: float,
         decision: EscalationDecision,
     ) -> None:
-        """It was decided whether an answer that has begun is passed on."""
+        """Records whether an answer that has begun is forwarded or asked again."""
         assert attempt.head is not None
         load = attempt.head.load
-        weighed = AnswerWeighed(
+        event = AnswerWeighed(
             self._admission.request.request_id,
             self.sends,
             model,
@@ -212,11 +217,11 @@
             load.running if load else -1,
             load.waiting if load else -1,
         )
-        emit(log, weighed)
+        emit(log, event)
         self._context.metrics.count(f"answers_{decision.value}")
 
     def record_forwarding(self) -> None:
-        """A part of the answer goes to the caller."""
+        """Records that a part of the answer is forwarded to the caller."""
         now_s = self._loop.time()
         if self.first_s is None:
             self.first_s = now_s
@@ -225,7 +230,7 @@
         self._last_s = now_s
 
     def record_success(self, attempt: Attempt) -> None:
-        """An answer was whole, or good enough to be judged."""
+        """Records an answer that was complete, or complete enough to be evaluated."""
         state = attempt.state
         if state.breaker.open:
             emit(log, EndpointResumed(state.endpoint.instance, state.endpoint.service))
@@ -233,11 +238,11 @@
         self._record_session_end(attempt)
         self._context.tallies.answered(self._tally_key(attempt))
 
-    def record_failure(self, attempt: Attempt, failed: AttemptFailed) -> None:
-        """A send brought no answer."""
+    def record_failure(self, attempt: Attempt, failure: AttemptFailed) -> None:
+        """Records a send that brought no answer."""
         self._broadcast_load(attempt)
         self._apply_answer_head(attempt)
-        kind = failed.kind
+        kind = failure.kind
         state = attempt.state
         if kind in _NOT_REACHED:
             self.sends -= 1
@@ -252,50 +257,50 @@
             self._record_replacement(state)
         elif kind not in (FailureKind.REFUSED, FailureKind.CLOSED):
             self._count_against_endpoint(state, kind)
-        if kind is FailureKind.UNREACHABLE and failed.detail == CONNECT_REFUSED:
+        if kind is FailureKind.UNREACHABLE and failure.detail == CONNECT_REFUSED:
             record_refusal(self._context, state, self._now_ms())
-        ended = AttemptEnded(
+        event = AttemptEnded(
             self._admission.request.request_id,
             self.sends,
             state.endpoint.instance,
             kind.value,
-            failed.detail,
+            failure.detail,
             int(self._elapsed_ms(attempt)),
         )
-        emit(log, ended)
+        emit(log, event)
         self._context.metrics.count(f"attempts_{kind.value}")
 
     def _record_replacement(self, state: EndpointState) -> None:
-        """Leave an endpoint whose address another one has, everywhere at once."""
+        """Excludes an endpoint whose address belongs to another one now, everywhere."""
         instance = state.endpoint.instance
         if not state.replaced(self._now_ms()):
             self._context.tell(EndpointReplaced(instance))
-            gone = EndpointMisdirected(instance, state.endpoint.service)
-            emit(log, gone, logging.WARNING)
+            misdirected = EndpointMisdirected(instance, state.endpoint.service)
+            emit(log, misdirected, logging.WARNING)
         state.replaced_ms = self._now_ms()
 
     def _count_against_endpoint(self, state: EndpointState, kind: FailureKind) -> None:
-        """Hold a failure against its endpoint."""
+        """Counts a failure against its endpoint."""
         unreachable = kind in (FailureKind.UNREACHABLE, FailureKind.BROKEN)
         was_open = state.breaker.open
         state.failed(self._now_ms(), unreachable)
         if state.breaker.open and not was_open:
             endpoint = state.endpoint
-            suspended = EndpointSuspended(
+            event = EndpointSuspended(
                 endpoint.instance,
                 endpoint.service,
                 kind.value,
                 state.breaker.failures,
                 state.failing,
             )
-            emit(log, suspended, logging.WARNING)
+            emit(log, event, logging.WARNING)
 
     def record_end(self, status: int, reason: str) -> None:
-        """The request has its final answer; `reason` if it is the gateway's."""
+        """Records the final answer; `reason` is set if it is the gateway's own."""
         now_s = self._loop.time()
         received_s = self._admission.request.received_s
         took_ms = (now_s - received_s) * 1000
-        ended = RequestEnded(
+        event = RequestEnded(
             self._admission.request.request_id,
             self._admission.route.name,
             self._admission.configuration,
@@ -307,7 +312,7 @@
             int(self._gap_s * 1000),
             int(took_ms),
         )
-        emit(log, ended)
+        emit(log, event)
         self._context.metrics.count(f"requests_{reason or 'answered'}")
         self._context.metrics.record_ms("request", took_ms)
 
@@ -331,7 +336,7 @@
 
 
 def _forecast_figures(forecast: Forecast | None) -> tuple[int, int, int]:
-    """Tokens to read, wait and time to read, for the log."""
+    """Returns the prefill tokens, wait and prefill time for the log."""
     if forecast is None:
         return 0, 0, 0
     return forecast.prefill_tokens, int(forecast.wait_ms), int(forecast.prefill_ms)
--- a/ashlatch/gateway/routing.py
+++ b/ashlatch/gateway/routing.py
@@ -18,12 +18,12 @@
 
 
 def hash_fraction(text: str) -> float:
-    """A number in [0, 1) that is the same for equal texts on every VM."""
+    """Returns a number in [0, 1) that is the same for equal texts on every VM."""
     return (xxhash.xxh3_64_intdigest(text.encode()) % _FRACTION_STEPS) / _FRACTION_STEPS
 
 
 class RouteTable:
-    """An index of a catalog, made once for each version of it.
+    """An index of a catalog, built once for each of its versions.
 
     The route with the longest path prefix wins::
 
@@ -43,32 +43,32 @@
 
     @property
     def needs_keys(self) -> bool:
-        """Whether requests must carry a key, but on anonymous routes."""
+        """Checks whether requests must carry a key, except on anonymous routes."""
         return bool(self.catalog.organisations)
 
     def route(self, host: str, path: str) -> Route | None:
-        """The route of a host and path, or none."""
+        """Returns the route of a host and path, or none."""
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
-            found = self._by_prefix.get((host, path[: end + 1]))
-            if found is not None:
-                return found
+            route = self._by_prefix.get((host, path[: end + 1]))
+            if route is not None:
+                return route
         return None
 
     def holder(self, key: str) -> Organisation | None:
-        """The organisation that holds a key, or none."""
+        """Returns the organisation that holds a key, or none."""
         return self._holders.get(key)
 
     def service(self, route: Route, request_id: str) -> Service:
-        """The service that answers, drawn by the weights of the route.
+        """Returns the service for a request, drawn by the weights of the route.
 
         The draw depends on the request alone, so all attempts agree.
         """
-        total = sum(share.weight for share in route.shares)
-        place = hash_fraction(f"{route.name}/{request_id}") * total
+        total_weight = sum(share.weight for share in route.shares)
+        point = hash_fraction(f"{route.name}/{request_id}") * total_weight
         for share in route.shares:
-            place -= share.weight
-            if place < 0:
+            point -= share.weight
+            if point < 0:
                 return self.services[share.service]
         last = next(s for s in reversed(route.shares) if s.weight > 0)
         return self.services[last.service]
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -410,7 +410,7 @@
     Mutant(
         "crash-not-held-against-the-request",
         "ashlatch/gateway/exchange.py",
-        "        if await self._crash_detector.has_crashed(attempt.state, failed):\n",
+        "        if await self._crash_detector.has_crashed(attempt.state, failure):\n",
         "        if False:\n",
         CRASHING,
     ),
@@ -886,8 +886,8 @@
     Mutant(
         "new-sessions-of-a-trial-untold",
         "ashlatch/gateway/versions.py",
-        "            return self._starts_in_trial(rollout, hash_value, now_ms, isolated)\n",
-        "            return False\n",
+        "return self._starts_in_trial(rollout, hash_value, now_ms, isolated)",
+        "return False",
         TRIAL_BEGINS,
     ),
     Mutant(
