--- a/ashlatch/gateway/attempt.py
+++ b/ashlatch/gateway/attempt.py
@@ -182,9 +182,7 @@
         deadline: asyncio.Timeout,
         timeout: AnswerTimeout,
     ) -> R:
-        """Receives something; the deadline is moved if the endpoint becomes
-        unreachable.
-        """
+        """Receives something; the deadline is moved if the endpoint is unreachable."""
         if timeout.silence_s is None:
             return await receive()
         self.state.awaited.add(deadline)
--- a/ashlatch/gateway/cold.py
+++ b/ashlatch/gateway/cold.py
@@ -92,8 +92,7 @@
     evacuations: Evacuations,
     now_ms: float,
 ) -> int:
-    """Marks the endpoints of halls whose evacuation has ended as cold; returns how
-    many.
+    """Marks endpoints of halls whose evacuation has ended as cold; returns how many.
 
     They may have restarted while nothing was sent there, and the list reports that a
     second or two later. `number_before` is the number of the evacuations known before.
--- a/ashlatch/gateway/exchange.py
+++ b/ashlatch/gateway/exchange.py
@@ -172,10 +172,9 @@
         return event_timeout(self._route, self._reserve_repeat)
 
     def _reserve_repeat(self) -> bool:
-        """Checks whether a silent endpoint may be abandoned; reserves the repeat for
-        it.
+        """Reserves a repeat if a silent endpoint may be abandoned; returns whether.
 
-        Requires another endpoint without a rate limit: the capacity of a limited
+        This requires another endpoint without a rate limit: the capacity of a limited
         endpoint may be used up before the send, which would leave the request without
         any endpoint.
         """
@@ -193,9 +192,7 @@
     # Running an attempt.
 
     async def _run_attempt(self, attempt: Attempt) -> bool:
-        """Returns whether the answer was forwarded; otherwise the request is sent
-        again.
-        """
+        """Returns whether the answer was forwarded; otherwise the request is resent."""
         head = await attempt.begin(self._answer_timeout())
         self._record.record_answer_begin(attempt, self._model)
         if self._route.streams and head.status < 300:
@@ -298,8 +295,7 @@
     async def _record_if_crashed(
         self, attempt: Attempt, failure: AttemptFailed
     ) -> None:
-        """Attributes a crash of the endpoint to the request, if the endpoint has
-        crashed.
+        """Attributes the end of the endpoint to the request if it was a crash.
 
         The endpoint's circuit breaker is not enough: a request that crashes its
         endpoint is sent on to the next one, and returns to each endpoint that has
@@ -319,9 +315,7 @@
         )
 
     def _quarantine_refusal(self) -> Refused | None:
-        """Returns the final answer if the request is quarantined for crashing
-        endpoints.
-        """
+        """Returns the final answer if the request is quarantined."""
         refusal = quarantine_refusal(self._context, self._admission.fingerprint)
         if refusal is not None and self._may_have_run:
             return Refused(502, RefusalReason.QUARANTINED)
--- a/ashlatch/gateway/versions.py
+++ b/ashlatch/gateway/versions.py
@@ -130,9 +130,7 @@
         self._moves_to(service, version).record(hash_value, here=False)
 
     def apply_peer_running(self, service: str, version: str, hash_value: int) -> None:
-        """Applies that another gateway has sent a session to the version before this
-        one.
-        """
+        """Applies that a session runs on the previous version at another gateway."""
         rollout = self.rollouts.get(service)
         if rollout is None or rollout.version == version:
             self._running_on_other(service, version).record(hash_value)
