--- a/ashlatch/gateway/sessions.py
+++ b/ashlatch/gateway/sessions.py
@@ -140,7 +140,7 @@
     hashes: set[int] = field(default_factory=set)
 
     def record(self, hash_value: int) -> bool:
-        """Records a running session; returns whether it is new and movable by a trial."""
+        """Records a running session; returns whether a trial could move it newly."""
         movable = hash_value < MOVABLE_SHARE * HASH_RANGE
         if not movable or hash_value in self.hashes or len(self.hashes) >= SESSIONS_MAX:
             return False
