--- a/tests/backoff_soak.py
+++ b/tests/backoff_soak.py
@@ -13,7 +13,7 @@
 
 from ashlatch.catalog import EndpointList
 from tests.random_worlds import Plan, draw_plan, play_worlds
-from tests.shed_play import Shedder, ShedWorld
+from tests.shed_simulation import Shedder, ShedWorld
 from tests.shedding import WITHIN_BACKOFF_MAX
 
 GATEWAYS = (1, 2, 3, 7, 7, 11, 30)
--- a/tests/limit_soak.py
+++ b/tests/limit_soak.py
@@ -12,7 +12,7 @@
 from functools import partial
 
 from ashlatch.policy.rate_limit import NO_LIMIT
-from tests.limit_play import LimitWorld
+from tests.limit_simulation import LimitWorld
 from tests.limited import SPAN_S, allowed, most_within
 from tests.random_worlds import Plan, draw_plan, play_worlds
 
--- a/tests/random_worlds.py
+++ b/tests/random_worlds.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from tests.limit_play import Network
+from tests.limit_simulation import Network
 
 
 @dataclass
--- a/tests/shed_play.py
+++ b/tests/shed_simulation.py
@@ -17,7 +17,7 @@
 from ashlatch.gateway.message import AnswerHead
 from ashlatch.gateway.notices import apply_notice
 from ashlatch.gateway.versions import AllowedEndpoints, VersionReason
-from tests.limit_play import ASK, LimitWorld, Network
+from tests.limit_simulation import ASK, LimitWorld, Network
 from tests.shedding import GRACE_S
 
 ATTEMPTS_MAX = 3
--- a/tests/test_crash_load.py
+++ b/tests/test_crash_load.py
@@ -22,7 +22,7 @@
 from ashlatch.codec import encode
 from ashlatch.gateway.news import ContentCrashed
 from ashlatch.gateway.traffic import TrafficKind
-from tests.crash_play import CrashLoad, CrashOutcome, CrashWorld
+from tests.crash_simulation import CrashLoad, CrashOutcome, CrashWorld
 from tests.engines import World
 
 SEEDS = range(1, 6)
--- a/tests/test_limit_load.py
+++ b/tests/test_limit_load.py
@@ -28,7 +28,7 @@
     RateLimit,
     Sharers,
 )
-from tests.limit_play import LimitWorld, Network
+from tests.limit_simulation import LimitWorld, Network
 from tests.limited import allowed, most_within
 
 SIZES = (7, 61, 195)
--- a/tests/test_limit_soak.py
+++ b/tests/test_limit_soak.py
@@ -10,7 +10,7 @@
 import testtools
 
 from ashlatch.policy.rate_limit import NO_LIMIT
-from tests.limit_play import LimitWorld
+from tests.limit_simulation import LimitWorld
 from tests.limit_soak import play
 
 FAILED_BEFORE = (3, 25, 41, 51, 63, 71, 81, 83)
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -66,7 +66,7 @@
 from tests import standin
 from tests.fleet import PORTS, READY_PORT, Fleet, wait_for
 from tests.gateway import ASK_STREAM, GatewayHarness, ask
-from tests.session_play import Load, SessionWorld
+from tests.session_simulation import Load, SessionWorld
 from tests.standin import Received, StandIn
 
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
--- a/tests/test_shed_load.py
+++ b/tests/test_shed_load.py
@@ -4,7 +4,7 @@
 
 from ashlatch.policy.backoff import Backoff
 from tests.backoff_soak import play
-from tests.shed_play import play_shedding
+from tests.shed_simulation import play_shedding
 from tests.shedding import WITHIN_BACKOFF_MAX
 
 # Of the requests, and only until the gateways have heard of all endpoints that shed.
