--- a/tests/test_limit_load.py
+++ b/tests/test_limit_load.py
@@ -11,6 +11,7 @@
 from functools import partial
 
 import testtools
+from tests.limit_simulation import LimitWorld, Network
 
 from ashlatch.gateway.cold import GATEWAYS_KNOWN_MS, ColdSendLimiter
 from ashlatch.gateway.limits import (
@@ -28,7 +29,6 @@
     LimitSharing,
     RateLimit,
 )
-from tests.limit_play import LimitWorld, Network
 from tests.limited import allowed, most_within
 
 SIZES = (7, 61, 195)
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -34,6 +34,7 @@
 from ashlatch.fleet.evaluation import Evidence, decide
 from ashlatch.fleet.soft_state import SoftState
 from ashlatch.gateway.session_updates import announce_session
+from tests.session_simulation import Load, SessionWorld
 from tests.stub_server import ReceivedRequest, StubServer
 
 from ashlatch.catalog import (
@@ -67,7 +68,6 @@
 from tests import stub_server
 from tests.fleet import PORTS, READY_PORT, Fleet, wait_for
 from tests.gateway import ASK_STREAM, GatewayHarness, ask
-from tests.session_play import Load, SessionWorld
 
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
 OLD = Endpoint("i-1", "app", "127.0.0.1:1", "hall-1", "v1", 8, False)
--- a/tests/test_shed_load.py
+++ b/tests/test_shed_load.py
@@ -1,10 +1,10 @@
 """Many gateways before endpoints that shed, while others have room."""
 
 import testtools
+from tests.shed_simulation import play_shedding
 
 from ashlatch.policy.backoff import Backoff
 from tests.backoff_soak import play
-from tests.shed_play import play_shedding
 from tests.shedding import WITHIN_BACKOFF_MAX
 
 # Of the requests, and only until the gateways have heard of all endpoints that shed.
