--- a/tests/backoff_soak.py
+++ b/tests/backoff_soak.py
@@ -12,20 +12,20 @@
 from functools import partial
 
 from ashlatch.catalog import EndpointList
-from tests.random_worlds import Plan, draw_plan, play_worlds
+from tests.random_worlds import Plan, draw_plan, run_worlds
 from tests.shed_simulation import Shedder, ShedWorld
 from tests.shedding import WITHIN_BACKOFF_MAX
 
 GATEWAYS = (1, 2, 3, 7, 7, 11, 30)
 LENGTH_S = 30.0
 # All endpoints that do not leave serve from then on, and nothing befalls anybody.
-CALM_S = 18.0
+FAULTS_END_S = 18.0
 # The longest backoff of a world is over by then.
 SETTLED_S = 26.0
 BACKOFFS_S = (0.05, 0.4, 1.0, 2.5, 4.0, 7.9)
 
 
-class RuleBroken(AssertionError):
+class RuleViolated(AssertionError):
     """An endpoint got what it had asked not to get, or callers were not served."""
 
 
@@ -37,35 +37,35 @@
             plan.gateways, plan.endpoints, plan.seed, plan.network, plan.answer_ms
         )
         self.plan = plan
-        self.excused: list[tuple[int, float, float]] = []
-        self.refused_calm = 0
+        self.exempt: list[tuple[int, float, float]] = []
+        self.refused_before_settled = 0
         self._list_number = 1
 
     def draw(self) -> None:
         """Plan what endpoints do and what befalls gateways, until the calm."""
         for shedder in self.shedders:
             at_s = self.random.uniform(0.0, 4.0)
-            while at_s < CALM_S:
-                self.at_s(at_s, partial(self._shed, shedder))
+            while at_s < FAULTS_END_S:
+                self.schedule_s(at_s, partial(self._shed, shedder))
                 at_s += self.random.uniform(1.0, 8.0)
         for shedder in self.shedders[1:]:
             if self.random.random() < 0.2:
-                shedder.leaves_s = self.random.uniform(1.0, CALM_S)
+                shedder.leaves_s = self.random.uniform(1.0, FAULTS_END_S)
         for _ in range(self.random.randrange(0, 6)):
-            at_s = self.random.uniform(1.0, CALM_S - 4.0)
-            fault = self.random.choice((self._restart, self._freeze, self._cut))
+            at_s = self.random.uniform(1.0, FAULTS_END_S - 4.0)
+            fault = self.random.choice((self._restart, self._suspend, self._disconnect))
             fault(self.random.randrange(self.plan.gateways), at_s)
         for _ in range(self.random.randrange(0, 5)):
             number = self.random.randrange(self.plan.endpoints)
-            begin_s = self.random.uniform(1.0, CALM_S)
-            self.at_s(begin_s, partial(self._list_without, number))
-            self.at_s(begin_s + 0.5, partial(self._list_without, -1))
-        self.at_s(SETTLED_S, self._settle)
+            begin_s = self.random.uniform(1.0, FAULTS_END_S)
+            self.schedule_s(begin_s, partial(self._list_without, number))
+            self.schedule_s(begin_s + 0.5, partial(self._list_without, -1))
+        self.schedule_s(SETTLED_S, self._settle)
 
     def _shed(self, shedder: Shedder) -> None:
         length_s = self.random.choice((0.0, 0.3, 2.0, 6.0))
         now_s = self.now_ms / 1000.0
-        shedder.sheds_until_s = min(CALM_S, now_s + length_s)
+        shedder.sheds_until_s = min(FAULTS_END_S, now_s + length_s)
         shedder.backoff_s = self.random.choice(BACKOFFS_S)
         shedder.share = self.random.choice((0.1, 0.5, 1.0))
 
@@ -78,67 +78,71 @@
                 EndpointList(1, self._list_number, listed), self.now_ms
             )
 
-    def _excuse(self, what: str, number: int, begin_s: float, end_s: float) -> None:
-        self.plan.faults.append(f"{what} {number} at {begin_s:.1f} to {end_s:.1f}")
-        self.excused.append((number, begin_s, end_s))
+    def _record_exempting_fault(
+        self, fault: str, number: int, begin_s: float, end_s: float
+    ) -> None:
+        self.plan.faults.append(f"{fault} {number} at {begin_s:.1f} to {end_s:.1f}")
+        self.exempt.append((number, begin_s, end_s))
 
     def _restart(self, number: int, at_s: float) -> None:
-        self.at_s(at_s, partial(self.restart, number))
-        self._excuse("restart", number, at_s, at_s)
+        self.schedule_s(at_s, partial(self.restart, number))
+        self._record_exempting_fault("restart", number, at_s, at_s)
 
-    def _freeze(self, number: int, at_s: float) -> None:
+    def _suspend(self, number: int, at_s: float) -> None:
         ends_s = at_s + self.random.uniform(0.3, 4.0)
-        self.at_s(at_s, partial(self.frozen.__setitem__, number, []))
-        self.at_s(ends_s, partial(self.wake, number))
-        self._excuse("freeze", number, at_s, ends_s)
+        self.schedule_s(at_s, partial(self.suspended.__setitem__, number, []))
+        self.schedule_s(ends_s, partial(self.resume, number))
+        self._record_exempting_fault("freeze", number, at_s, ends_s)
 
-    def _cut(self, number: int, at_s: float) -> None:
+    def _disconnect(self, number: int, at_s: float) -> None:
         """Nothing excuses a gateway that hears neither the others nor the core."""
         ends_s = at_s + self.random.uniform(1.0, 6.0)
-        self.at_s(at_s, partial(self.cut_off, number))
-        self.at_s(ends_s, partial(self.rejoin, number))
+        self.schedule_s(at_s, partial(self.cut_off, number))
+        self.schedule_s(ends_s, partial(self.rejoin, number))
         self.plan.faults.append(f"cut {number} at {at_s:.1f} to {ends_s:.1f}")
 
     def _settle(self) -> None:
-        self.refused_calm = self.refused
+        self.refused_before_settled = self.refused
 
     # The checks.
 
     def check(self) -> None:
         """Raise `RuleBroken` if a request went where none may, or callers had none."""
         for gateway, index, asked_s, until_s in self.backoffs:
-            ends_s = min(until_s, self._befell_s(gateway, asked_s))
-            within = self.sent_within(gateway, index, asked_s, ends_s)
+            ends_s = min(until_s, self._next_fault_s(gateway, asked_s))
+            within = self.sends_within(gateway, index, asked_s, ends_s)
             if within > WITHIN_BACKOFF_MAX:
-                raise RuleBroken(f"{within} within a backoff of {gateway}, {self.plan}")
-        for gateway, index, at_s in self.announced:
-            ends_s = self._befell_s(gateway, at_s)
-            late = self.sent_within(gateway, index, at_s, ends_s)
+                raise RuleViolated(
+                    f"{within} within a backoff of {gateway}, {self.plan}"
+                )
+        for gateway, index, at_s in self.leaving_notices:
+            ends_s = self._next_fault_s(gateway, at_s)
+            late = self.sends_within(gateway, index, at_s, ends_s)
             if late:
-                raise RuleBroken(f"{late} to leaving {index}, {self.plan}")
-        if self.refused > self.refused_calm:
-            refused = self.refused - self.refused_calm
-            raise RuleBroken(f"{refused} refused when all serve, {self.plan}")
+                raise RuleViolated(f"{late} to leaving {index}, {self.plan}")
+        if self.refused > self.refused_before_settled:
+            refused = self.refused - self.refused_before_settled
+            raise RuleViolated(f"{refused} refused when all serve, {self.plan}")
 
-    def _befell_s(self, gateway: int, since_s: float) -> float:
+    def _next_fault_s(self, gateway: int, since_s: float) -> float:
         """When something next befell a gateway; that excuses it from then on."""
         later = (
             max(begin_s, since_s)
-            for number, begin_s, end_s in self.excused
+            for number, begin_s, end_s in self.exempt
             if number == gateway and end_s >= since_s
         )
         return min(later, default=LENGTH_S)
 
 
-def play(seed: int) -> Plan:
+def run_world(seed: int) -> Plan:
     """Play the world of a seed; raises `RuleBroken`."""
     plan = draw_plan(seed, GATEWAYS)
     world = SoakWorld(plan)
     world.draw()
-    world.play(plan.requests_per_s, LENGTH_S)
+    world.run(plan.requests_per_s, LENGTH_S)
     world.check()
     return plan
 
 
 if __name__ == "__main__":
-    play_worlds(play)
+    run_worlds(run_world)
--- a/tests/crash_simulation.py
+++ b/tests/crash_simulation.py
@@ -33,13 +33,13 @@
 SLOTS = 128
 SUBJECTS = 3
 SUBJECT_TOKENS = 5000
-OWN_TOKENS = 1500
+REQUEST_TOKENS = 1500
 TOKEN_MS = 0.03
 MEMORY_TOKENS = 400_000
 ATTEMPTS_MAX = 3
 CRASH_AFTER_MS = 60.0
-BACK_MS = 2000.0
-TOLD_MS = 100.0
+RESTART_MS = 2000.0
+BROADCAST_MS = 100.0
 # A caller tries once more this long after it was told of a failure.
 REPEAT_MS = 100.0
 BEGUN_UNIX_MS = 1_800_000_000_000
@@ -53,9 +53,9 @@
     """
 
     requests_per_s: float = 40.0
-    held_ms: float = 1500.0
+    run_ms: float = 1500.0
     crashing: int = 1
-    again_ms: float = 7000.0
+    interval_ms: float = 7000.0
     length_ms: float = 60_000.0
 
 
@@ -68,15 +68,15 @@
     crashes: int = 0
     served: int = 0
     failed: int = 0
-    held: int = 0
+    quarantined: int = 0
 
 
 @dataclass
 class _Request:
-    content: int
+    fingerprint: int
     crashing: bool
     ask: Ask
-    known: Knowledge
+    context: Knowledge
     tries_left: int
     sends: int = 0
     tried: set[str] = field(default_factory=set)
@@ -92,15 +92,15 @@
         gateways: int,
         engines: int,
         seed: int,
-        holds: bool = True,
-        parts: bool = True,
+        quarantines: bool = True,
+        isolates: bool = True,
     ) -> None:
         self._random = random.Random(seed)
-        self._holds = holds
-        self._parts = parts
+        self._quarantines = quarantines
+        self._isolates = isolates
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
-        self._lives = itertools.count()
+        self._incarnations = itertools.count()
         self._ordinary: set[int] = set()
         self.now_ms = 0.0
         self.outcome = CrashOutcome()
@@ -108,11 +108,11 @@
         table = RouteTable(
             decode_catalog(encoded(document(services=[engine_service("app")])))
         )
-        self.gateways = [self._gateway(table, n, seed) for n in range(gateways)]
+        self.gateways = [self._new_gateway(table, n, seed) for n in range(gateways)]
         for _ in range(engines):
             self._start_engine()
 
-    def _gateway(self, table: RouteTable, number: int, seed: int) -> Knowledge:
+    def _new_gateway(self, table: RouteTable, number: int, seed: int) -> Knowledge:
         known = Knowledge(
             "hall-1",
             f"vm-{number}",
@@ -130,7 +130,7 @@
         return known
 
     def _start_engine(self) -> None:
-        self._at_engine[f"i-{next(self._lives)}"] = []
+        self._at_engine[f"i-{next(self._incarnations)}"] = []
         self._list_engines()
 
     def _list_engines(self) -> None:
@@ -142,7 +142,7 @@
             number = known.directory.order[1] + 1
             known.directory.replace(EndpointList(1, number, endpoints), self.now_ms)
 
-    def play(self, load: CrashLoad) -> CrashOutcome:
+    def run(self, load: CrashLoad) -> CrashOutcome:
         """Play a load to its end."""
         self._load = load
         at_ms = 0.0
@@ -150,46 +150,50 @@
             at_ms += self._random.expovariate(load.requests_per_s) * 1000.0
             if at_ms > load.length_ms:
                 break
-            self._arrive_at(at_ms, content, crashing=False)
+            self._schedule_request(at_ms, content, crashing=False)
         for content in range(load.crashing):
-            first_ms = self._random.uniform(0.1, 1.0) * load.again_ms
-            times = int((load.length_ms - first_ms) / load.again_ms)
+            first_ms = self._random.uniform(0.1, 1.0) * load.interval_ms
+            times = int((load.length_ms - first_ms) / load.interval_ms)
             for time in range(times):
-                self._arrive_at(first_ms + time * load.again_ms, content, crashing=True)
+                self._schedule_request(
+                    first_ms + time * load.interval_ms, content, crashing=True
+                )
         while self._events:
             self.now_ms, _, what = heapq.heappop(self._events)
             what()
-        self.outcome.held = sum(self._is_held(c) for c in self._ordinary)
+        self.outcome.quarantined = sum(self._is_quarantined(c) for c in self._ordinary)
         return self.outcome
 
-    def _is_held(self, content: int) -> bool:
-        return any(g.quarantine.held_ms(content, self._unix_ms) for g in self.gateways)
+    def _is_quarantined(self, fingerprint: int) -> bool:
+        return any(
+            g.quarantine.held_ms(fingerprint, self._unix_ms) for g in self.gateways
+        )
 
     @property
     def _unix_ms(self) -> int:
         return BEGUN_UNIX_MS + int(self.now_ms)
 
-    def _at(self, at_ms: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (at_ms, next(self._order), what))
+    def _schedule(self, at_ms: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (at_ms, next(self._order), action))
 
-    def _arrive_at(self, at_ms: float, content: int, crashing: bool) -> None:
+    def _schedule_request(self, at_ms: float, fingerprint: int, crashing: bool) -> None:
         if not crashing:
-            self._ordinary.add(content)
+            self._ordinary.add(fingerprint)
         known = self._random.choice(self.gateways)
-        request = _Request(content, crashing, _ask(content), known, 1)
-        self._at(at_ms, lambda: self._send(request))
+        request = _Request(fingerprint, crashing, _make_request(fingerprint), known, 1)
+        self._schedule(at_ms, lambda: self._send(request))
 
     # One request.
 
     def _send(self, request: _Request) -> None:
-        known = request.known
+        known = request.context
         quarantine = known.quarantine
-        if self._holds and quarantine.held_ms(request.content, self._unix_ms):
+        if self._quarantines and quarantine.held_ms(request.fingerprint, self._unix_ms):
             self._fail(request)
             return
         assert known.table is not None
         states = list(known.directory.of_service("app"))
-        apart = self._parts and quarantine.crashes(request.content) > 0
+        apart = self._isolates and quarantine.crashes(request.fingerprint) > 0
         chosen = choose_endpoint(
             known,
             known.table.services["app"],
@@ -211,19 +215,19 @@
             )
         self._at_engine[name].append(request)
         if request.crashing:
-            self._at(self.now_ms + CRASH_AFTER_MS, lambda: self._crash(name))
+            self._schedule(self.now_ms + CRASH_AFTER_MS, lambda: self._crash(name))
         else:
-            ends_ms = self.now_ms + self._load.held_ms
-            self._at(ends_ms, lambda: self._end(name, request))
+            ends_ms = self.now_ms + self._load.run_ms
+            self._schedule(ends_ms, lambda: self._finish(name, request))
 
-    def _end(self, name: str, request: _Request) -> None:
+    def _finish(self, name: str, request: _Request) -> None:
         if request not in self._at_engine.get(name, ()):
             return
         self._at_engine[name].remove(request)
-        state = request.known.directory.state(name)
+        state = request.context.directory.state(name)
         if state is not None:
             state.load.finished(self.now_ms, None)
-        request.known.quarantine.survived(request.content)
+        request.context.quarantine.survived(request.fingerprint)
         self.outcome.served += 1
 
     def _crash(self, name: str) -> None:
@@ -232,15 +236,15 @@
             return
         self.outcome.crashes += 1
         self._list_engines()
-        self._at(self.now_ms + BACK_MS, self._start_engine)
+        self._schedule(self.now_ms + RESTART_MS, self._start_engine)
         for request in running:
-            quarantine = request.known.quarantine
-            record = quarantine.crashed(request.content, name, 0, self._unix_ms)
-            self._at(self.now_ms + TOLD_MS, partial(self._tell, record))
+            quarantine = request.context.quarantine
+            record = quarantine.crashed(request.fingerprint, name, 0, self._unix_ms)
+            self._schedule(self.now_ms + BROADCAST_MS, partial(self._broadcast, record))
         for request in running:
             self._send(request)
 
-    def _tell(self, record: CrashRecord) -> None:
+    def _broadcast(self, record: CrashRecord) -> None:
         for known in self.gateways:
             known.quarantine.learn(record)
 
@@ -249,18 +253,18 @@
             request.tries_left -= 1
             request.sends = 0
             request.tried.clear()
-            request.known = self._random.choice(self.gateways)
-            self._at(self.now_ms + REPEAT_MS, lambda: self._send(request))
+            request.context = self._random.choice(self.gateways)
+            self._schedule(self.now_ms + REPEAT_MS, lambda: self._send(request))
         elif not request.crashing:
             self.outcome.failed += 1
 
 
-def _ask(content: int) -> Ask:
-    subject = PromptPart(f"subject-{content % SUBJECTS}", SUBJECT_TOKENS)
-    parts = (subject, PromptPart(f"own-{content}", OWN_TOKENS))
-    target = f"/chat/{content}"
+def _make_request(fingerprint: int) -> Ask:
+    subject = PromptPart(f"subject-{fingerprint % SUBJECTS}", SUBJECT_TOKENS)
+    parts = (subject, PromptPart(f"own-{fingerprint}", REQUEST_TOKENS))
+    target = f"/chat/{fingerprint}"
     host = "shop.example"
     return Ask(
-        f"r-{content}", "POST", target, host, [], b"", 0.0, None, "", "", True,
-        SUBJECT_TOKENS + OWN_TOKENS, 100, parts, "", "",
+        f"r-{fingerprint}", "POST", target, host, [], b"", 0.0, None, "", "", True,
+        SUBJECT_TOKENS + REQUEST_TOKENS, 100, parts, "", "",
     )  # fmt: skip
--- a/tests/crashing.py
+++ b/tests/crashing.py
@@ -30,12 +30,12 @@
 class CrashLog:
     """What engines saw of the request: when it came, and when it ended one."""
 
-    came_s: list[float] = field(default_factory=list)
-    ended_s: list[float] = field(default_factory=list)
+    arrivals_s: list[float] = field(default_factory=list)
+    crashes_s: list[float] = field(default_factory=list)
 
-    def came_after(self, at_s: float) -> int:
+    def arrivals_after(self, at_s: float) -> int:
         """How often it came to an engine later than at a time."""
-        return sum(came > at_s for came in self.came_s)
+        return sum(came > at_s for came in self.arrivals_s)
 
 
 @dataclass
@@ -47,10 +47,10 @@
 
     host: str
     log: CrashLog
-    back_s: float
+    restart_s: float
     ids: "itertools.count[int]"
     events: int = 0
-    changed: Callable[[], None] = lambda: None
+    on_start: Callable[[], None] = lambda: None
     port: int = 0
     instance: str = ""
     running: StandIn | None = None
@@ -61,7 +61,7 @@
         self.running = StandIn([self._script()])
         await self.running.start(self.host, self.port)
         self.port = self.running.port
-        self.changed()
+        self.on_start()
 
     @property
     def address(self) -> str:
@@ -70,7 +70,7 @@
     def _script(self) -> Script:
         async def script(request: Received, writer: asyncio.StreamWriter) -> None:
             if request.body == CRASHING_BODY:
-                self.log.came_s.append(time.monotonic())
+                self.log.arrivals_s.append(time.monotonic())
             chunked = b"Transfer-Encoding: chunked\r\n\r\n"
             writer.write(head(request) + chunked)
             await writer.drain()
@@ -90,12 +90,12 @@
         running, self.running = self.running, None
         if running is None:
             return
-        self.log.ended_s.append(time.monotonic())
+        self.log.crashes_s.append(time.monotonic())
         running.crash()
         self._back = asyncio.get_running_loop().create_task(self._come_back())
 
     async def _come_back(self) -> None:
-        await asyncio.sleep(self.back_s)
+        await asyncio.sleep(self.restart_s)
         await self.start()
 
     def stop(self) -> None:
--- a/tests/limit_simulation.py
+++ b/tests/limit_simulation.py
@@ -51,11 +51,11 @@
 
 
 @dataclass
-class Limited:
+class SimulatedEndpoint:
     """One endpoint: its limit now, and when requests came."""
 
     limit_per_s: float = NO_LIMIT
-    came_s: list[float] = field(default_factory=list)
+    arrivals_s: list[float] = field(default_factory=list)
 
 
 @dataclass
@@ -84,17 +84,19 @@
         self.datagrams = 0
         self.refusals: list[Refusal] = []
         self.served = [0] * gateways
-        self.deaf: set[int] = set()
+        self.disconnected: set[int] = set()
         # What has come for gateways that stand still, in its order.
-        self.frozen: dict[int, list[Callable[[], None]]] = {}
+        self.suspended: dict[int, list[Callable[[], None]]] = {}
         # When requests came to each endpoint, and from which gateway.
         self.sends: list[list[tuple[float, int]]] = [[] for _ in range(endpoints)]
         # When answers that name a limit came from each, and to which gateway.
-        self.named: list[list[tuple[float, int]]] = [[] for _ in range(endpoints)]
+        self.limit_answers: list[list[tuple[float, int]]] = [
+            [] for _ in range(endpoints)
+        ]
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self._table = RouteTable(decode_catalog(encoded(document())))
-        self.endpoints = [Limited() for _ in range(endpoints)]
+        self.endpoints = [SimulatedEndpoint() for _ in range(endpoints)]
         self._listed = tuple(
             Endpoint(f"i-{n}", "app", f"i-{n}:1", HALLS[n % 3], "v1", SLOTS, False)
             for n in range(endpoints)
@@ -106,12 +108,12 @@
         self.gateways: list[Knowledge] = []
         self._peers: list[GatewayPeers] = []
         for number in range(gateways):
-            known, peers = self._gateway(number, -GATEWAYS_KNOWN_MS)
+            known, peers = self._new_gateway(number, -GATEWAYS_KNOWN_MS)
             self.gateways.append(known)
             self._peers.append(peers)
 
-    def _gateway(
-        self, number: int, heard_core_ms: float
+    def _new_gateway(
+        self, number: int, core_received_ms: float
     ) -> tuple[Knowledge, GatewayPeers]:
         vm = self._vms[number]
         known = Knowledge(
@@ -125,7 +127,7 @@
         known.table = self._table
         known.gateways = self._vms
         known.cold = ColdSendLimiter(vm)
-        known.cold.gateways_received(heard_core_ms)
+        known.cold.gateways_received(core_received_ms)
         known.directory.replace(EndpointList(1, 1, self._listed), self.now_ms)
         peers = GatewayPeers(known)
         peers._own = vm
@@ -135,22 +137,22 @@
 
     def restart(self, number: int) -> None:
         """A gateway begins anew, and knows nothing of limits."""
-        known, peers = self._gateway(number, self.now_ms)
+        known, peers = self._new_gateway(number, self.now_ms)
         self.gateways[number], self._peers[number] = known, peers
 
     def cut_off(self, number: int) -> None:
         """A gateway hears neither the others nor the core, and knows that."""
-        self.deaf.add(number)
+        self.disconnected.add(number)
         self.gateways[number].core_in_touch = False
 
     def rejoin(self, number: int) -> None:
         """A gateway hears the others and the core again."""
-        self.deaf.discard(number)
+        self.disconnected.discard(number)
         self.gateways[number].core_in_touch = True
 
-    def wake(self, number: int) -> None:
+    def resume(self, number: int) -> None:
         """A gateway goes on with all that has come for it meanwhile."""
-        for what in self.frozen.pop(number, ()):
+        for what in self.suspended.pop(number, ()):
             what()
 
     # The network.
@@ -159,23 +161,23 @@
         """Bring a datagram to a gateway, or lose it."""
         self.datagrams += 1
         number = self._numbers[f"{to[0]}:{to[1]}"]
-        if number in self.deaf or self.random.random() < self.network.lost:
+        if number in self.disconnected or self.random.random() < self.network.lost:
             return
         after_ms = self.random.uniform(0.2, 1.0) * self.network.delay_ms
         # To whoever has the address by then.
-        self.at(self.now_ms + after_ms, lambda: self._bring(number, data))
+        self.schedule(self.now_ms + after_ms, lambda: self._deliver(number, data))
 
-    def _bring(self, number: int, data: bytes) -> None:
-        if number in self.frozen:
-            self.frozen[number].append(partial(self._bring, number, data))
+    def _deliver(self, number: int, data: bytes) -> None:
+        if number in self.suspended:
+            self.suspended[number].append(partial(self._deliver, number, data))
             return
         self._peers[number].datagram_received(data, ("g", 1))
 
     # Time.
 
-    def at(self, at_ms: float, what: Callable[[], None]) -> None:
+    def schedule(self, at_ms: float, action: Callable[[], None]) -> None:
         """Do something at a time."""
-        heapq.heappush(self._events, (at_ms, next(self._order), what))
+        heapq.heappush(self._events, (at_ms, next(self._order), action))
 
     def limit(self, number: int, per_s: float, at_s: float = 0.0) -> None:
         """An endpoint takes this many requests a second from a time on."""
@@ -183,15 +185,15 @@
         def change() -> None:
             self.endpoints[number].limit_per_s = per_s
 
-        self.at(at_s * 1000.0, change)
+        self.schedule(at_s * 1000.0, change)
 
-    def play(self, requests_per_s: float, length_s: float, from_s: float = 0.0) -> None:
+    def run(self, requests_per_s: float, length_s: float, from_s: float = 0.0) -> None:
         """Play a load; gateways get uneven shares of it."""
         weights = [0.3 + self.random.random() for _ in self.gateways]
         at_s = from_s
         while (at_s := at_s + self.random.expovariate(requests_per_s)) < length_s:
             (number,) = self.random.choices(range(len(weights)), weights)
-            self.at(at_s * 1000.0, partial(self._arrive, number))
+            self.schedule(at_s * 1000.0, partial(self._arrive, number))
 
         async def run() -> None:
             loop: Any = asyncio.get_running_loop()
@@ -207,8 +209,8 @@
         asyncio.run(run())
 
     def _arrive(self, number: int) -> None:
-        if number in self.frozen:
-            self.frozen[number].append(partial(self._arrive, number))
+        if number in self.suspended:
+            self.suspended[number].append(partial(self._arrive, number))
             return
         known = self.gateways[number]
         states = list(known.directory.of_service("app"))
@@ -217,7 +219,7 @@
             self._table.services["app"],
             AllowedEndpoints(states, VersionReason.NO_ROLLOUT),
             frozenset(),
-            Send(ASK, "", 1000.0),
+            Send(REQUEST, "", 1000.0),
             self.now_ms,
         )
         if chosen is None:
@@ -232,39 +234,39 @@
         self.served[number] += 1
         index = int(state.endpoint.instance.partition("-")[2])
         endpoint = self.endpoints[index]
-        endpoint.came_s.append(self.now_ms / 1000.0)
+        endpoint.arrivals_s.append(self.now_ms / 1000.0)
         self.sends[index].append((self.now_ms / 1000.0, number))
         sent_ms = self.now_ms
 
         def answer() -> None:
-            self._take_answer(number, known, state, endpoint.limit_per_s, sent_ms)
+            self._receive_answer(number, known, state, endpoint.limit_per_s, sent_ms)
 
-        self.at(self.now_ms + self.answer_ms, answer)
+        self.schedule(self.now_ms + self.answer_ms, answer)
 
-    def _take_answer(
+    def _receive_answer(
         self,
         number: int,
-        known: Knowledge,
+        context: Knowledge,
         state: EndpointState,
         limit_per_s: float,
         sent_ms: float,
     ) -> None:
         """An answer that named this limit when it was made comes to a gateway."""
-        if number in self.frozen:
+        if number in self.suspended:
             later = partial(
-                self._take_answer, number, known, state, limit_per_s, sent_ms
+                self._receive_answer, number, context, state, limit_per_s, sent_ms
             )
-            self.frozen[number].append(later)
+            self.suspended[number].append(later)
             return
         if limit_per_s != NO_LIMIT:
             index = int(state.endpoint.instance.partition("-")[2])
-            self.named[index].append((self.now_ms / 1000.0, number))
+            self.limit_answers[index].append((self.now_ms / 1000.0, number))
         state.load.finished(self.now_ms, None)
         answered = LimitReport("r", limit_per_s, sent_ms, True)
-        apply_answer_limit(known, state, answered, self.now_ms)
+        apply_answer_limit(context, state, answered, self.now_ms)
 
 
-ASK = Ask(
+REQUEST = Ask(
     "r", "GET", "/get/1", "shop.example", [], b"", 0.0, None, "", "", False,
     0, 0, (), "", "",
 )  # fmt: skip
--- a/tests/limited.py
+++ b/tests/limited.py
@@ -9,22 +9,22 @@
 
 # The users' bound: within any of these spans an endpoint gets no more than one and a
 # half times what its limit allows, and some requests.
-SPAN_S = 4.0
+WINDOW_S = 4.0
 OVERRUN = 1.5
 EXTRA = 5.0
 
 
 def allowed(limit_per_s: float) -> float:
     """How many requests the users allow within a span."""
-    return OVERRUN * SPAN_S * limit_per_s + EXTRA
+    return OVERRUN * WINDOW_S * limit_per_s + EXTRA
 
 
-def most_within(times_s: list[float], span_s: float = SPAN_S) -> int:
+def most_within(times_s: list[float], window_s: float = WINDOW_S) -> int:
     """The most that came within a span."""
     times_s = sorted(times_s)
     most = first = 0
     for last, at_s in enumerate(times_s):
-        while at_s - times_s[first] > span_s:
+        while at_s - times_s[first] > window_s:
             first += 1
         most = max(most, last - first + 1)
     return most
@@ -39,19 +39,19 @@
     limit_per_s: float = NO_LIMIT
     answer_s: float = 0.0
     status: int = 200
-    came_s: list[float] = field(default_factory=list)
+    arrivals_s: list[float] = field(default_factory=list)
     worker: StandIn = field(init=False)
 
     def __post_init__(self) -> None:
         self.worker = StandIn([self._answer])
 
     async def _answer(self, request: Received, writer: asyncio.StreamWriter) -> None:
-        self.came_s.append(time.monotonic())
+        self.arrivals_s.append(time.monotonic())
         await asyncio.sleep(self.answer_s)
         named = self.limit_per_s != NO_LIMIT
         headers = (f"Server-Limit: {self.limit_per_s}",) if named else ()
         writer.write(whole(request, b"body", self.status, *headers))
 
-    def came_since(self, at_s: float) -> list[float]:
+    def arrivals_since(self, at_s: float) -> list[float]:
         """When requests came after a time."""
-        return [came_s for came_s in self.came_s if came_s > at_s]
+        return [came_s for came_s in self.arrivals_s if came_s > at_s]
--- a/tests/random_worlds.py
+++ b/tests/random_worlds.py
@@ -36,7 +36,7 @@
     )
 
 
-def play_worlds(play: Callable[[int], object]) -> None:
+def run_worlds(run: Callable[[int], object]) -> None:
     """Play the worlds that the command line names, and print those that fail."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seed", type=int, default=1)
@@ -45,7 +45,7 @@
     failed = 0
     for seed in range(given.seed, given.seed + given.worlds):
         try:
-            play(seed)
+            run(seed)
         except AssertionError as error:
             failed += 1
             print(error, flush=True)
--- a/tests/session_simulation.py
+++ b/tests/session_simulation.py
@@ -26,12 +26,12 @@
 
 HALLS = ("a", "b", "c")
 SESSION_MS = 8500.0
-ORDERED_MS, TRIAL_MS, LENGTH_MS = 1000.0, 3000.0, 13_000.0
+COMMAND_MS, TRIAL_MS, LENGTH_MS = 1000.0, 3000.0, 13_000.0
 SHARE = 0.07
 DURATION_MS = 24_000.0
 # A gateway tells the core which sessions run with each question, and the leader hears
 # that from another core VM with its next one.
-QUESTION_MS, FOLLOW_MS = 500.0, 300.0
+SYNC_INTERVAL_MS, FOLLOWER_SYNC_MS = 500.0, 300.0
 
 
 @dataclass(frozen=True)
@@ -40,9 +40,9 @@
 
     gateways: int
     sessions_per_s: float
-    told: bool = True
+    broadcasts: bool = True
     lost: float = 0.0
-    heard_within_ms: float = 140.0
+    received_within_ms: float = 140.0
     delay_ms: float = 5.0
 
 
@@ -92,14 +92,14 @@
             peers = GatewayPeers(known)
             peers._own = vm
             peers._transport = cast(Any, self)
-            if self.load.told:
+            if self.load.broadcasts:
                 known.tell = peers.tell
             self.gateways.append(known)
             self._peers.append(peers)
 
-    def at(self, at_ms: float, what: Callable[[], None]) -> None:
+    def schedule(self, at_ms: float, action: Callable[[], None]) -> None:
         """Do something at a time."""
-        heapq.heappush(self._events, (at_ms, next(self._order), what))
+        heapq.heappush(self._events, (at_ms, next(self._order), action))
 
     def sendto(self, data: bytes, to: tuple[str, int]) -> None:
         """Bring a datagram to a gateway, or lose it."""
@@ -108,62 +108,62 @@
             return
         number = self._numbers[f"{to[0]}:{to[1]}"]
         after_ms = self.random.uniform(0.2, 1.0) * self.load.delay_ms
-        self.at(self.now_ms + after_ms, partial(self._bring, number, data))
+        self.schedule(self.now_ms + after_ms, partial(self._deliver, number, data))
 
-    def _bring(self, number: int, data: bytes) -> None:
+    def _deliver(self, number: int, data: bytes) -> None:
         news: PeerNews = decode(data, PeerNews)
         HEARD.call(self.gateways[number], news, Teller("g", self.now_ms))
         if isinstance(news, HallNews) and news.for_hall:
             self._peers[number]._relay(news)
 
-    def play(self) -> "SessionWorld":
+    def run(self) -> "SessionWorld":
         """Play all of it."""
-        self._record(Rollout("app", "v2", RolloutStage.TRIAL, 0.0, 1, DURATION_MS))
-        self.at(TRIAL_MS, self._begin_trial)
+        self._distribute(Rollout("app", "v2", RolloutStage.TRIAL, 0.0, 1, DURATION_MS))
+        self.schedule(TRIAL_MS, self._begin_trial)
         at_ms = 0.0
         while at_ms < LENGTH_MS:
             at_ms += self.random.expovariate(self.load.sessions_per_s / 1000.0)
             session = _Session(f"s{at_ms}", self.random.randrange(1, 5))
-            self.at(at_ms, partial(self._request, session))
+            self.schedule(at_ms, partial(self._send_request, session))
         while self._events:
             self.now_ms, _, what = heapq.heappop(self._events)
             what()
         return self
 
-    def _record(self, rollout: Rollout) -> None:
+    def _distribute(self, rollout: Rollout) -> None:
         """All gateways learn a record within a time."""
-        begun_ms = ORDERED_MS if rollout.share == 0.0 else self.now_ms
+        begun_ms = COMMAND_MS if rollout.share == 0.0 else self.now_ms
         for known in self.gateways:
-            heard_ms = begun_ms + self.random.uniform(0.0, self.load.heard_within_ms)
-            self.at(heard_ms, partial(self._learn, known, rollout))
+            heard_ms = begun_ms + self.random.uniform(0.0, self.load.received_within_ms)
+            self.schedule(heard_ms, partial(self._apply_rollout, known, rollout))
 
-    def _learn(self, known: Knowledge, rollout: Rollout) -> None:
-        known.versions.apply_rollouts([rollout], self.now_ms)
+    def _apply_rollout(self, context: Knowledge, rollout: Rollout) -> None:
+        context.versions.apply_rollouts([rollout], self.now_ms)
 
     def _begin_trial(self) -> None:
         held: set[int] = set()
         for known in self.gateways:
-            age_ms = self.random.uniform(0.0, QUESTION_MS)
-            age_ms += self.random.uniform(0.0, FOLLOW_MS)
+            age_ms = self.random.uniform(0.0, SYNC_INTERVAL_MS)
+            age_ms += self.random.uniform(0.0, FOLLOWER_SYNC_MS)
             for told in known.versions.sessions_to_report(self.now_ms):
-                begun = self._begun_before(known, self.now_ms - age_ms)
+                begun = self._hashes_running_at(known, self.now_ms - age_ms)
                 held.update(mark for mark in told.marks if mark in begun)
-        self._record(
+        self._distribute(
             Rollout(
                 "app", "v2", RolloutStage.TRIAL, SHARE, 2, DURATION_MS, 2000.0,
                 held=tuple(held),
             )
         )  # fmt: skip
 
-    def _begun_before(self, known: Knowledge, at_ms: float) -> set[int]:
+    def _hashes_running_at(self, context: Knowledge, at_ms: float) -> set[int]:
         """The marks of the sessions that ran at a gateway when it last told of them."""
-        versions = known.versions.sessions
+        versions = context.versions.sessions
         kept = {k: s for k, s in versions._last_requests.items() if s.at_ms <= at_ms}
         older = VersionChooser(SessionVersions(SESSION_MS, kept))
-        older.apply_rollouts(known.versions.rollouts.values())
+        older.apply_rollouts(context.versions.rollouts.values())
         return {m for told in older.sessions_to_report(at_ms) for m in told.marks}
 
-    def _request(self, session: _Session) -> None:
+    def _send_request(self, session: _Session) -> None:
         known = self.random.choice(self.gateways)
         states = known.directory.of_service("app")
         allowed = known.versions.allowed("app", session.name, "r", states, self.now_ms)
@@ -175,7 +175,7 @@
         session.requests -= 1
         if session.requests:
             gap_ms = self.random.uniform(200.0, 6000.0)
-            self.at(self.now_ms + gap_ms, partial(self._request, session))
+            self.schedule(self.now_ms + gap_ms, partial(self._send_request, session))
 
 
 def main() -> None:
@@ -183,7 +183,7 @@
         for told in (False, True):
             for lost in (0.0, 0.1):
                 load = Load(gateways, 150.0, told, lost)
-                worlds = [SessionWorld(load, seed).play() for seed in range(3)]
+                worlds = [SessionWorld(load, seed).run() for seed in range(3)]
                 moved = [world.moved for world in worlds]
                 datagrams = sum(world.datagrams for world in worlds) / len(worlds)
                 print(
--- a/tests/shed_simulation.py
+++ b/tests/shed_simulation.py
@@ -17,7 +17,7 @@
 from ashlatch.gateway.message import AnswerHead
 from ashlatch.gateway.notices import apply_notice
 from ashlatch.gateway.versions import AllowedEndpoints, VersionReason
-from tests.limit_simulation import ASK, LimitWorld, Network
+from tests.limit_simulation import REQUEST, LimitWorld, Network
 from tests.shedding import GRACE_S
 
 ATTEMPTS_MAX = 3
@@ -36,11 +36,11 @@
 
 
 @dataclass
-class _Ask:
+class _ActiveRequest:
     """One caller's request under way at a gateway."""
 
     gateway: int
-    known: Knowledge
+    context: Knowledge
     tried: set[str] = field(default_factory=set)
 
 
@@ -63,41 +63,41 @@
         # Who was asked for a backoff when, by which endpoint, and until when.
         self.backoffs: list[tuple[int, int, float, float]] = []
         # Who had an answer that announces the end of which endpoint, and when.
-        self.announced: list[tuple[int, int, float]] = []
+        self.leaving_notices: list[tuple[int, int, float]] = []
 
     def _arrive(self, number: int) -> None:
-        if number in self.frozen:
-            self.frozen[number].append(partial(self._arrive, number))
+        if number in self.suspended:
+            self.suspended[number].append(partial(self._arrive, number))
             return
         known = self.gateways[number]
         known.budget("app").record_request(self.now_ms)
-        self._send(_Ask(number, known))
+        self._send(_ActiveRequest(number, known))
 
-    def _send(self, asked: _Ask) -> None:
-        known = asked.known
+    def _send(self, request: _ActiveRequest) -> None:
+        known = request.context
         states = list(known.directory.of_service("app"))
         chosen = choose_endpoint(
             known,
             self._table.services["app"],
             AllowedEndpoints(states, VersionReason.NO_ROLLOUT),
-            frozenset(asked.tried),
-            Send(ASK, "", 1000.0),
+            frozenset(request.tried),
+            Send(REQUEST, "", 1000.0),
             self.now_ms,
         )
         if chosen is None:
             self.refused += 1
             return
         state = chosen.state
-        asked.tried.add(state.endpoint.instance)
+        request.tried.add(state.endpoint.instance)
         state.sent(self.now_ms)
         index = int(state.endpoint.instance.partition("-")[2])
-        self.sends[index].append((self.now_ms / 1000.0, asked.gateway))
+        self.sends[index].append((self.now_ms / 1000.0, request.gateway))
         head = self._answer(index)
         after_ms = SHED_MS if head.backoff_ms else self.answer_ms
         sent_ms = self.now_ms
-        self.at(
+        self.schedule(
             self.now_ms + after_ms,
-            lambda: self._ended(asked, state, head, sent_ms),
+            lambda: self._finish(request, state, head, sent_ms),
         )
 
     def _answer(self, index: int) -> AnswerHead:
@@ -110,42 +110,48 @@
             backoff_ms=backoff_ms, leaving=now_s >= shedder.leaves_s,
         )  # fmt: skip
 
-    def _ended(
-        self, asked: _Ask, state: EndpointState, head: AnswerHead, sent_ms: float
+    def _finish(
+        self,
+        request: _ActiveRequest,
+        state: EndpointState,
+        head: AnswerHead,
+        sent_ms: float,
     ) -> None:
-        if asked.gateway in self.frozen:
-            later = partial(self._ended, asked, state, head, sent_ms)
-            self.frozen[asked.gateway].append(later)
+        if request.gateway in self.suspended:
+            later = partial(self._finish, request, state, head, sent_ms)
+            self.suspended[request.gateway].append(later)
             return
         state.load.finished(self.now_ms, None)
-        self._note(asked.gateway, state, head)
-        apply_notice(asked.known, state, head, sent_ms, self.now_ms)
+        self._record_notices(request.gateway, state, head)
+        apply_notice(request.context, state, head, sent_ms, self.now_ms)
         if not head.not_run:
             self.answered += 1
             return
         self.shed += 1
-        budget = asked.known.budget("app")
-        if len(asked.tried) < ATTEMPTS_MAX and budget.spend(
+        budget = request.context.budget("app")
+        if len(request.tried) < ATTEMPTS_MAX and budget.spend(
             self.now_ms, len(self._vms)
         ):
-            self._send(asked)
+            self._send(request)
         else:
             self.refused += 1
 
-    def _note(self, gateway: int, state: EndpointState, head: AnswerHead) -> None:
+    def _record_notices(
+        self, gateway: int, state: EndpointState, head: AnswerHead
+    ) -> None:
         index = int(state.endpoint.instance.partition("-")[2])
         now_s = self.now_ms / 1000.0
         if head.backoff_ms:
             until_s = now_s + head.backoff_ms / 1000.0
             self.backoffs.append((gateway, index, now_s, until_s))
         if head.leaving:
-            self.announced.append((gateway, index, now_s))
+            self.leaving_notices.append((gateway, index, now_s))
 
-    def at_s(self, at_s: float, what: Callable[[], None]) -> None:
+    def schedule_s(self, at_s: float, what: Callable[[], None]) -> None:
         """Do something at a time in seconds."""
-        self.at(at_s * 1000.0, what)
+        self.schedule(at_s * 1000.0, what)
 
-    def sent_within(
+    def sends_within(
         self, gateway: int, index: int, asked_s: float, until_s: float
     ) -> int:
         """The sends of a gateway to an endpoint in a span, but for its first moment."""
@@ -156,17 +162,17 @@
 
     def most_within_backoff(self) -> int:
         """The most sends of a gateway within a backoff that it was asked for."""
-        return max((self.sent_within(*asked) for asked in self.backoffs), default=0)
+        return max((self.sends_within(*asked) for asked in self.backoffs), default=0)
 
 
-def play_shedding(
+def run_shedding(
     gateways: int, shedding: int, endpoints: int, per_s: float, seed: int
 ) -> ShedWorld:
     """Some endpoints shed from 2 to 14 s, and serve again; 20 s in all."""
     world = ShedWorld(gateways, endpoints, seed)
     for shedder in world.shedders[:shedding]:
-        world.at_s(2.0, partial(setattr, shedder, "sheds_until_s", 14.0))
-    world.play(per_s, 20.0)
+        world.schedule_s(2.0, partial(setattr, shedder, "sheds_until_s", 14.0))
+    world.run(per_s, 20.0)
     return world
 
 
@@ -174,7 +180,7 @@
     for gateways, endpoints, per_s in ((7, 5, 30.0), (61, 70, 200.0), (195, 39, 250.0)):
         for shedding in (2, endpoints // 3, endpoints - 1):
             worlds = [
-                play_shedding(gateways, shedding, endpoints, per_s, seed)
+                run_shedding(gateways, shedding, endpoints, per_s, seed)
                 for seed in range(3)
             ]
             shed, refused, answered, datagrams = (
--- a/tests/shedding.py
+++ b/tests/shedding.py
@@ -32,9 +32,9 @@
     answer_headers: tuple[str, ...] = ()
     answer_s: float = 0.0
     gateway_of: Callable[[Received], str] = _one_gateway
-    came: list[tuple[float, str]] = field(default_factory=list)
+    arrivals: list[tuple[float, str]] = field(default_factory=list)
     # When each backoff was asked for, of which gateway, and for how many seconds.
-    asked: list[tuple[float, str, float]] = field(default_factory=list)
+    backoffs: list[tuple[float, str, float]] = field(default_factory=list)
     worker: StandIn = field(init=False)
 
     def __post_init__(self) -> None:
@@ -42,7 +42,7 @@
 
     async def _answer(self, request: Received, writer: asyncio.StreamWriter) -> None:
         gateway = self.gateway_of(request)
-        self.came.append((time.monotonic(), gateway))
+        self.arrivals.append((time.monotonic(), gateway))
         await asyncio.sleep(self.answer_s)
         if not self.sheds:
             writer.write(whole(request, b"body", 200, *self.answer_headers))
@@ -50,13 +50,13 @@
         headers = self.headers
         if self.retry_after:
             headers = (*headers, f"Retry-After: {self.retry_after}")
-            self.asked.append((time.monotonic(), gateway, float(self.retry_after)))
+            self.backoffs.append((time.monotonic(), gateway, float(self.retry_after)))
         writer.write(whole(request, b"", self.status, *headers))
 
     def most_within_backoff(self) -> int:
         """The most requests that came from a gateway within a backoff."""
-        return max((self._within(*asked) for asked in self.asked), default=0)
+        return max((self._within(*asked) for asked in self.backoffs), default=0)
 
     def _within(self, asked_s: float, gateway: str, backoff_s: float) -> int:
         begin_s, end_s = asked_s + GRACE_S, asked_s + backoff_s
-        return sum(g == gateway and begin_s < at < end_s for at, g in self.came)
+        return sum(g == gateway and begin_s < at < end_s for at, g in self.arrivals)
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -30,7 +30,7 @@
 class OneGatewayTest(GatewayHarness):
     """One gateway, an endpoint that sheds or leaves and one that serves."""
 
-    def play(self, endpoints: list[SheddingEndpoint], length_s: float) -> list[int]:
+    def run_load(self, endpoints: list[SheddingEndpoint], length_s: float) -> list[int]:
         """The statuses of 20 requests a second."""
         statuses = []
 
@@ -47,18 +47,18 @@
         self,
     ) -> None:
         shedding, other = SheddingEndpoint("2"), SheddingEndpoint(sheds=False)
-        statuses = self.play([shedding, other], 4.5)
+        statuses = self.run_load([shedding, other], 4.5)
         self.assertEqual({200}, set(statuses))
         most = shedding.most_within_backoff()
         self.assertTrue(most <= WITHIN_BACKOFF_MAX, f"{most} within a backoff")
 
-    def test_an_endpoint_that_says_it_leaves_gets_nothing_more(self) -> None:
+    def test_an_endpoint_that_reports_leaving_gets_nothing_more(self) -> None:
         leaving = SheddingEndpoint(
             sheds=False, answer_headers=("Server-Leaving: 1", "Connection: close")
         )
         other = SheddingEndpoint(sheds=False)
-        self.assertEqual({200}, set(self.play([leaving, other], 2.0)))
-        self.assertEqual(1, len(leaving.came))
+        self.assertEqual({200}, set(self.run_load([leaving, other], 2.0)))
+        self.assertEqual(1, len(leaving.arrivals))
 
 
 class OtherSendsTest(GatewayHarness):
@@ -72,7 +72,7 @@
         assert state is not None
         return state
 
-    def play(
+    def send_requests(
         self,
         workers: list[StandIn],
         data: list[bytes],
@@ -92,10 +92,10 @@
     def test_a_repeat_after_an_error_is_not_sent_within_a_backoff(self) -> None:
         failing = StandIn([answer(status=500)])
         shedding = SheddingEndpoint("3")
-        self.play(
+        self.send_requests(
             [failing, shedding.worker], [ask(f"/get/{number}") for number in range(30)]
         )
-        self.assertEqual(1, len(shedding.came))
+        self.assertEqual(1, len(shedding.arrivals))
 
     def test_a_larger_model_is_not_asked_within_a_backoff(self) -> None:
         """The endpoint asks for a backoff while it runs a request for a small model."""
@@ -110,7 +110,9 @@
             await stream(2, "X-Confidence: 10")(request, writer)
 
         small.scripts = [shed_soon]
-        answers = self.play([small], [ask("/stream/1", ASK_STREAM, "POST")], prepare)
+        answers = self.send_requests(
+            [small], [ask("/stream/1", ASK_STREAM, "POST")], prepare
+        )
         self.assertEqual([200], [status for status, _ in answers])
         self.assertEqual(1, len(small.seen))
 
@@ -129,7 +131,7 @@
             self.state("i-1").breaker.gone(self.now_ms())
             self.state("i-2").breaker.gone(self.now_ms())
 
-        answers = self.play(
+        answers = self.send_requests(
             [first, second, third], [ask("/stream/1", ASK_STREAM, "POST")], prepare
         )
         self.assertEqual([200], [status for status, _ in answers])
@@ -143,7 +145,7 @@
         connect = Upstream.connect
 
         async def slowly(address: str, timeout_s: float) -> Upstream:
-            if address == shedding.worker.address and shedding.came:
+            if address == shedding.worker.address and shedding.arrivals:
                 await asyncio.sleep(0.7)
             return await connect(address, timeout_s)
 
@@ -161,7 +163,7 @@
 
         with mock.patch.object(Upstream, "connect", slowly):
             self.run_gateway([shedding.worker, other.worker], work)
-        self.assertEqual(1, len(shedding.came))
+        self.assertEqual(1, len(shedding.arrivals))
 
     def test_a_load_test_does_not_test_within_a_backoff(self) -> None:
         new, spare, old = (SheddingEndpoint(sheds=False) for _ in range(3))
@@ -180,27 +182,29 @@
             tested = rank(("i-0", "i-1"), "v2")[0]
             self.state(tested).backoff.request(5000.0, self.now_ms())
 
-        answers = self.play(workers, [ask(f"/get/{n}") for n in range(5)], prepare)
+        answers = self.send_requests(
+            workers, [ask(f"/get/{n}") for n in range(5)], prepare
+        )
         self.assertEqual([200] * 5, [status for status, _ in answers])
         # No other one is tested in its place: all gateways test the same.
-        self.assertEqual((0, 0), (len(new.came), len(spare.came)))
+        self.assertEqual((0, 0), (len(new.arrivals), len(spare.arrivals)))
 
     def test_all_endpoints_back_off(self) -> None:
         """Refused at once, not run, and told when the first backoff is over."""
         endpoints = [SheddingEndpoint("3"), SheddingEndpoint("1.5")]
         workers = [e.worker for e in endpoints]
         begun_s = time.monotonic()
-        answers = self.play(workers, [ask(f"/get/{n}") for n in range(10)])
+        answers = self.send_requests(workers, [ask(f"/get/{n}") for n in range(10)])
         took_s = time.monotonic() - begun_s
         self.assertEqual({503}, {status for status, _ in answers})
-        self.assertEqual(2, sum(len(e.came) for e in endpoints))
+        self.assertEqual(2, sum(len(e.arrivals) for e in endpoints))
         self.assertTrue(took_s < 0.5, str(took_s))
         for _, text in answers:
             self.assertIn(b"X-Ashlatch-Reason: endpoints_backoff", text)
             wait_s = float(text.partition(b"Retry-After: ")[2].partition(b"\r")[0])
             self.assertTrue(1.0 <= wait_s <= 1.8, str(wait_s))
 
-    def test_a_session_is_told_when_an_endpoint_of_its_version_opens(self) -> None:
+    def test_a_session_may_retry_when_an_endpoint_of_its_version_opens(self) -> None:
         """The other version serves, but not this session."""
         new, old = SheddingEndpoint(sheds=False), SheddingEndpoint(sheds=False)
         workers = [new.worker, old.worker]
@@ -216,14 +220,14 @@
             self.known.versions.sessions.record("app", "s1", "v2", self.now_ms())
             self.state("i-0").backoff.request(3000.0, self.now_ms())
 
-        ((status, text),) = self.play(
+        ((status, text),) = self.send_requests(
             workers, [ask("/get/1", "Session: s1\r\n")], prepare
         )
         self.assertEqual(503, status)
         wait_s = float(text.partition(b"Retry-After: ")[2].partition(b"\r")[0])
         self.assertTrue(2.5 <= wait_s <= 3.1, str(wait_s))
 
-    def test_one_request_tries_an_endpoint_after_its_backoff(self) -> None:
+    def test_one_request_probes_an_endpoint_after_its_backoff(self) -> None:
         """The others go elsewhere until its answer is there."""
         shedding = SheddingEndpoint("0.3", answer_s=0.05)
         other = SheddingEndpoint(sheds=False)
@@ -232,17 +236,17 @@
             await self.call(ask("/get/1"))
             await self.call(ask("/get/2"))
             await asyncio.sleep(0.4)
-            came = len(shedding.came)
+            came = len(shedding.arrivals)
             calls = (self.call(ask(f"/get/{n}")) for n in range(20))
             statuses = {status for status, _ in await asyncio.gather(*calls)}
             self.assertEqual({200}, statuses)
-            self.assertTrue(len(shedding.came) - came <= 1)
+            self.assertTrue(len(shedding.arrivals) - came <= 1)
 
         self.run_gateway([shedding.worker, other.worker], work)
 
-    def test_the_load_in_a_refusal_is_not_believed(self) -> None:
+    def test_the_load_in_a_refusal_is_ignored(self) -> None:
         shedding = SheddingEndpoint("1")
-        answers = self.play([shedding.worker], [ask("/get/1")])
+        answers = self.send_requests([shedding.worker], [ask("/get/1")])
         self.assertEqual([503], [status for status, _ in answers])
         self.assertIs(None, self.state("i-0").load.report)
 
@@ -263,7 +267,7 @@
                 self.assertEqual(200, (await self.call(ask(f"/get/{number}")))[0])
 
         self.run_gateway([shedding.worker, other.worker], work)
-        self.assertEqual(1, len(shedding.came))
+        self.assertEqual(1, len(shedding.arrivals))
 
 
 class LeavingTest(testtools.TestCase):
@@ -271,51 +275,51 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.known = GatewayHarness("run_gateway").knowledge([StandIn([])], 50.0)
-        self.news: list[PeerNews] = []
-        self.known.tell = self.news.append
+        self.context = GatewayHarness("run_gateway").knowledge([StandIn([])], 50.0)
+        self.broadcast: list[PeerNews] = []
+        self.context.tell = self.broadcast.append
         listed = msgspec.structs.replace(self.state().endpoint, started_unix_ms=5)
-        self.known.directory.replace(EndpointList(1, 1, (listed,)), 0.0)
+        self.context.directory.replace(EndpointList(1, 1, (listed,)), 0.0)
 
     def state(self) -> EndpointState:
-        state = self.known.directory.state("i-0")
+        state = self.context.directory.state("i-0")
         assert state is not None
         return state
 
-    def hear(self, leaving: bool) -> None:
+    def receive_answer(self, leaving: bool) -> None:
         headers = [(b"X-Attempt-Id", b"r1")]
         if leaving:
             headers.append((b"Server-Leaving", b"1"))
         answered = decode_answer(h11.Response(status_code=200, headers=headers))
-        apply_notice(self.known, self.state(), answered, 0.0, 1.0)
+        apply_notice(self.context, self.state(), answered, 0.0, 1.0)
 
-    def test_others_are_told_once(self) -> None:
-        self.hear(True)
-        self.hear(True)
-        self.assertEqual([EndpointAnnouncesLeaving("i-0")], self.news)
+    def test_leaving_is_broadcast_once(self) -> None:
+        self.receive_answer(True)
+        self.receive_answer(True)
+        self.assertEqual([EndpointAnnouncesLeaving("i-0")], self.broadcast)
 
-    def test_who_is_told_sends_nothing_there(self) -> None:
+    def test_a_gateway_that_received_it_sends_nothing_there(self) -> None:
         news = EndpointAnnouncesLeaving("i-0")
-        HEARD.call(self.known, news, Teller("10.0.0.1", 0.0))
+        HEARD.call(self.context, news, Teller("10.0.0.1", 0.0))
         self.assertEqual(Barrier.LEAVING, self.state().permission(0.0).barrier)
-        self.assertEqual([], self.news)
+        self.assertEqual([], self.broadcast)
 
-    def test_an_answer_without_it_takes_nothing_back(self) -> None:
-        self.hear(True)
-        self.hear(False)
+    def test_an_answer_without_it_revokes_nothing(self) -> None:
+        self.receive_answer(True)
+        self.receive_answer(False)
         self.assertEqual(Barrier.LEAVING, self.state().permission(0.0).barrier)
 
-    def test_a_list_that_lags_takes_nothing_back(self) -> None:
-        self.hear(True)
+    def test_a_list_that_lags_revokes_nothing(self) -> None:
+        self.receive_answer(True)
         listed = (self.state().endpoint,)
         for number, endpoints in enumerate((listed, (), listed)):
-            self.known.directory.replace(EndpointList(1, 2 + number, endpoints), 5.0)
+            self.context.directory.replace(EndpointList(1, 2 + number, endpoints), 5.0)
         self.assertEqual(Barrier.LEAVING, self.state().permission(1e6).barrier)
 
     def test_another_process_under_its_id_does_not_leave(self) -> None:
-        self.hear(True)
+        self.receive_answer(True)
         started = msgspec.structs.replace(self.state().endpoint, started_unix_ms=9)
-        self.known.directory.replace(EndpointList(1, 2, (started,)), 5.0)
+        self.context.directory.replace(EndpointList(1, 2, (started,)), 5.0)
         self.assertTrue(self.state().permission(5.0).granted)
 
 
@@ -358,7 +362,7 @@
     def is_ready(self, host: str) -> bool:
         return self.fleet.call(host, "GET", "/-/readyz", port=READY_PORT)[0] == 200
 
-    def play(self, length_s: float) -> list[int]:
+    def run_load(self, length_s: float) -> list[int]:
         """Ask all gateways in turn; the statuses of the answers."""
         pending: list[Future[int]] = []
         with ThreadPoolExecutor(24) as callers:
@@ -371,8 +375,8 @@
                 time.sleep(1.0 / self.REQUESTS_PER_S)
             return [call.result() for call in pending]
 
-    def test_each_gateway_keeps_the_backoffs_that_it_was_asked_for(self) -> None:
-        statuses = self.play(self.LENGTH_S)
+    def test_each_gateway_respects_the_requested_backoffs(self) -> None:
+        statuses = self.run_load(self.LENGTH_S)
         most = max(endpoint.most_within_backoff() for endpoint in self.shedding)
         self.assertTrue(most <= WITHIN_BACKOFF_MAX, f"{most} within a backoff")
         self.assertEqual({200}, set(statuses))
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -30,7 +30,7 @@
             Endpoint(f"i-{version}-{number}", "app", "a:1", "h", version, 8, False)
         )
 
-    def learn(self, stage: RolloutStage, share: float, number: int) -> None:
+    def apply(self, stage: RolloutStage, share: float, number: int) -> None:
         self.chooser.apply_rollouts(
             [Rollout("app", "v2", stage, share, number, 1000.0)]
         )
@@ -41,7 +41,7 @@
 
     def test_only_without_a_session_the_old_version_may_serve(self) -> None:
         """A session that was drawn stays drawn, at any gateway."""
-        self.learn(RolloutStage.SHIFT, 1.0, 1)
+        self.apply(RolloutStage.SHIFT, 1.0, 1)
         states = self.states
         drawn = self.chooser.allowed("app", "", "r1", states, 0.0)
         assert drawn.fallback is not None
@@ -50,15 +50,15 @@
         session = self.chooser.allowed("app", "s", "r1", states, 0.0)
         self.assertIs(None, session.fallback)
 
-    def test_a_load_test_leaves_limited_endpoints_alone(self) -> None:
-        self.learn(RolloutStage.LOAD_TEST, 1.0, 1)
+    def test_a_load_test_avoids_limited_endpoints(self) -> None:
+        self.apply(RolloutStage.LOAD_TEST, 1.0, 1)
         self.states.append(self.state("v2", 2))
         (tested,) = self.chooser.allowed("app", "s", "r1", self.states, 0.0).states
         tested.limit.set_rate(5.0, Sharers(), 0.0, 0.0)
         (other,) = self.chooser.allowed("app", "s", "r1", self.states, 0.0).states
         self.assertNotEqual(tested.endpoint.instance, other.endpoint.instance)
 
-    def share_of_new(self) -> float:
+    def new_version_share(self) -> float:
         found = [self.versions(f"s{n}") == {"v2"} for n in range(2000)]
         return sum(found) / len(found)
 
@@ -66,20 +66,20 @@
         self.assertEqual({"v1", "v2"}, self.versions("s"))
 
     def test_share(self) -> None:
-        self.learn(RolloutStage.TRIAL, 0.1, 1)
-        self.assertTrue(0.07 < self.share_of_new() < 0.13)
-        self.learn(RolloutStage.SHIFT, 1.0, 2)
-        self.assertEqual(1.0, self.share_of_new())
+        self.apply(RolloutStage.TRIAL, 0.1, 1)
+        self.assertTrue(0.07 < self.new_version_share() < 0.13)
+        self.apply(RolloutStage.SHIFT, 1.0, 2)
+        self.assertEqual(1.0, self.new_version_share())
 
     def test_running_sessions_stay_in_the_trial(self) -> None:
-        self.learn(RolloutStage.TRIAL, 1.0, 1)
+        self.apply(RolloutStage.TRIAL, 1.0, 1)
         self.sessions.record("app", "old", "v1", 0.0)
         self.assertEqual({"v1"}, self.versions("old", 4000.0))
         self.assertEqual({"v2"}, self.versions("old", 7000.0))
 
     def test_sessions_that_ran_elsewhere_stay_in_the_trial(self) -> None:
         """A session may come by another gateway than before."""
-        self.learn(RolloutStage.TRIAL, 0.0, 1)
+        self.apply(RolloutStage.TRIAL, 0.0, 1)
         sessions = [f"s{n}" for n in range(400)]
         for session in sessions:
             self.sessions.record("app", session, "v1", 0.0)
@@ -98,13 +98,13 @@
                 self.assertEqual("v1", allowed.states[0].endpoint.version)
         self.assertEqual((), elsewhere.sessions_to_report(0.0))
 
-    def test_sessions_do_not_come_back(self) -> None:
-        self.learn(RolloutStage.SHIFT, 0.0, 1)
+    def test_sessions_do_not_return_to_the_old_version(self) -> None:
+        self.apply(RolloutStage.SHIFT, 0.0, 1)
         self.sessions.record("app", "new", "v2", 0.0)
         self.assertEqual({"v2"}, self.versions("new", 1000.0))
         self.assertEqual({"v1"}, self.versions("other", 1000.0))
 
-    def test_an_end_moves_no_session(self) -> None:
+    def test_the_end_of_a_request_moves_no_session(self) -> None:
         """An answer of the old version ends behind the next request's beginning."""
         self.sessions.record("app", "s", "v2", 0.0)
         self.sessions.record_end("app", "s", "v1", 1000.0)
@@ -114,10 +114,10 @@
         self.sessions.record_end("app", "other", "v1", 4000.0)
         self.assertEqual("v1", self.sessions.version("app", "other", 5000.0))
 
-    def test_final(self) -> None:
-        self.learn(RolloutStage.COMPLETED, 1.0, 1)
+    def test_finished_rollouts(self) -> None:
+        self.apply(RolloutStage.COMPLETED, 1.0, 1)
         self.assertEqual({"v2"}, self.versions("s"))
-        self.learn(RolloutStage.ROLLED_BACK, 0.0, 2)
+        self.apply(RolloutStage.ROLLED_BACK, 0.0, 2)
         self.sessions.record("app", "s", "v2", 0.0)
         self.assertEqual({"v1"}, self.versions("s"))
         self.states = [self.state("v2")]
@@ -126,7 +126,7 @@
     def test_load_test(self) -> None:
         """One endpoint of the new version, until it is busy enough."""
         self.states += [self.state("v2", 2), self.state("v2", 3)]
-        self.learn(RolloutStage.LOAD_TEST, 0.1, 1)
+        self.apply(RolloutStage.LOAD_TEST, 0.1, 1)
         tested = self.chooser.allowed("app", "s", "r", self.states, 0.0)
         self.assertEqual(VersionReason.LOAD_TEST, tested.reason)
         self.assertEqual(1, len(tested.states))
@@ -139,7 +139,7 @@
 
     def test_a_load_test_without_its_endpoint(self) -> None:
         """It was tried already, or another endpoint has its address."""
-        self.learn(RolloutStage.LOAD_TEST, 0.0, 1)
+        self.apply(RolloutStage.LOAD_TEST, 0.0, 1)
         tested = self.states[1]
         self.assertEqual({"v2"}, self.versions("s"))
         tried = frozenset({tested.endpoint.instance})
@@ -151,10 +151,10 @@
 
     def test_the_trials_sessions_stay_in_the_load_test(self) -> None:
         """They came by other gateways before, and the tested endpoint is busy."""
-        self.learn(RolloutStage.TRIAL, 0.1, 1)
+        self.apply(RolloutStage.TRIAL, 0.1, 1)
         sessions = [f"s{n}" for n in range(400)]
         moved = [s for s in sessions if self.versions(s) == {"v2"}]
-        self.learn(RolloutStage.LOAD_TEST, 0.1, 2)
+        self.apply(RolloutStage.LOAD_TEST, 0.1, 2)
         for _ in range(8):
             self.states[1].sent(0.0)
         self.assertTrue(20 < len(moved) < 70, len(moved))
@@ -162,37 +162,39 @@
             expected = "v2" if session in moved else "v1"
             self.assertEqual({expected}, self.versions(session))
 
-    def moved_here(self) -> tuple[SessionHashes, ...]:
+    def unreported_moves(self) -> tuple[SessionHashes, ...]:
         return self.chooser.sessions_to_report(0.0)
 
-    def test_moves_are_told_until_the_record_names_them(self) -> None:
+    def test_moves_are_reported_until_the_record_names_them(self) -> None:
         """A session of the share is none: all gateways know it by the share."""
-        self.learn(RolloutStage.LOAD_TEST, 0.1, 1)
+        self.apply(RolloutStage.LOAD_TEST, 0.1, 1)
         sessions = [f"s{n}" for n in range(100)]
         told = [s for s in sessions if self.chooser.record_move("app", s, "v2")]
         self.assertTrue(80 <= len(told) < 100, len(told))
         self.assertFalse(self.chooser.record_move("app", told[0], "v2"))
         marks = tuple(sorted(session_hash("v2", s) for s in told))
-        self.assertEqual((SessionHashes("app", (), marks),), self.moved_here())
+        self.assertEqual((SessionHashes("app", (), marks),), self.unreported_moves())
         record = Rollout(
             "app", "v2", RolloutStage.SETTLE, 0.1, 2, 1000.0, moved=marks[1:]
         )
         self.chooser.apply_rollouts([record])
-        self.assertEqual((SessionHashes("app", (), marks[:1]),), self.moved_here())
+        self.assertEqual(
+            (SessionHashes("app", (), marks[:1]),), self.unreported_moves()
+        )
         self.assertFalse(self.chooser.record_move("app", "later", "v2"))
 
-    def test_nothing_is_told_of_a_rollout_that_is_over(self) -> None:
+    def test_nothing_is_reported_of_a_finished_rollout(self) -> None:
         for number, stage in enumerate(
             (RolloutStage.ROLLED_BACK, RolloutStage.COMPLETED), 1
         ):
-            self.learn(RolloutStage.LOAD_TEST, 0.0, 2 * number)
+            self.apply(RolloutStage.LOAD_TEST, 0.0, 2 * number)
             self.assertTrue(self.chooser.record_move("app", f"s{number}", "v2"))
-            self.learn(stage, 0.0, 2 * number + 1)
-            self.assertEqual((), self.moved_here())
+            self.apply(stage, 0.0, 2 * number + 1)
+            self.assertEqual((), self.unreported_moves())
 
-    def test_old_news(self) -> None:
-        self.learn(RolloutStage.ROLLED_BACK, 0.0, 5)
-        self.learn(RolloutStage.SHIFT, 1.0, 4)
+    def test_older_records_are_ignored(self) -> None:
+        self.apply(RolloutStage.ROLLED_BACK, 0.0, 5)
+        self.apply(RolloutStage.SHIFT, 1.0, 4)
         self.assertEqual({"v1"}, self.versions("s"))
 
 
@@ -246,8 +248,8 @@
         self.assertNotIn("none", names)
 
 
-class PaceTest(testtools.TestCase):
-    def test_wait_follows_and_fades(self) -> None:
+class LatencyModelTest(testtools.TestCase):
+    def test_the_wait_is_estimated_and_decays(self) -> None:
         pace = LatencyModel()
         self.assertEqual(0.0, pace.expected_ms("app", "m", 10, 0.0))
         for at_ms in range(0, 3000, 100):
@@ -312,7 +314,7 @@
 
 
 class EventsTest(testtools.TestCase):
-    def test_every_cut(self) -> None:
+    def test_a_stream_split_at_any_byte(self) -> None:
         whole = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\n"
         for cut in range(len(whole)):
             splitter = EventSplitter()
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -48,7 +48,7 @@
     return Endpoint(instance, "app", "a:1", hall, "v1", 8, False, **more)  # type: ignore[arg-type]
 
 
-def most_in_a_second(arrivals_ms: list[float]) -> int:
+def most_within_a_second(arrivals_ms: list[float]) -> int:
     arrivals_ms = sorted(arrivals_ms)
     most = first = 0
     for last, at_ms in enumerate(arrivals_ms):
@@ -59,13 +59,13 @@
 
 
 class SendersTest(testtools.TestCase):
-    def sent(
+    def arrivals(
         self,
         count: int,
         generator: random.Random,
         lost: float,
         rate_per_s: float = RATE_PER_S,
-        wants_per_s: float = 40.0,
+        demand_per_s: float = 40.0,
     ) -> list[float]:
         """What reaches one cold endpoint in four seconds.
 
@@ -80,40 +80,40 @@
             least_ms = pause_ms(cold, own, known)
             if least_ms is None:
                 continue
-            at_ms = generator.expovariate(wants_per_s / 1000.0)
+            at_ms = generator.expovariate(demand_per_s / 1000.0)
             while at_ms < 4000.0:
                 arrivals_ms.append(at_ms + generator.uniform(0.2, 4.0))
-                at_ms += least_ms + generator.expovariate(wants_per_s / 1000.0)
+                at_ms += least_ms + generator.expovariate(demand_per_s / 1000.0)
         return arrivals_ms
 
-    def test_the_bound_is_kept_together(self) -> None:
+    def test_the_bound_applies_to_all_gateways_together(self) -> None:
         """From one gateway to 195, all wanting the endpoint at the same moment."""
         for count in (1, 2, 6, 7, 11, 61, 195):
             for seed in range(20):
-                arrivals_ms = self.sent(count, random.Random(seed), lost=0.0)
-                most = most_in_a_second(arrivals_ms)
+                arrivals_ms = self.arrivals(count, random.Random(seed), lost=0.0)
+                most = most_within_a_second(arrivals_ms)
                 self.assertTrue(most <= ALLOWED, (count, seed, most))
 
-    def test_it_does_not_stand_idle(self) -> None:
+    def test_the_endpoint_is_used(self) -> None:
         """It is sent more than half of what it bears."""
         for count in (6, 61, 195):
-            arrivals_ms = self.sent(count, random.Random(1), lost=0.0)
+            arrivals_ms = self.arrivals(count, random.Random(1), lost=0.0)
             self.assertTrue(len(arrivals_ms) > 0.5 * RATE_PER_S * 4.0, count)
 
     def test_gateways_that_know_different_ones(self) -> None:
         """A tenth of the gateways is unknown to each, another tenth to everyone."""
         for count in (6, 61, 195):
             for seed in range(20):
-                arrivals_ms = self.sent(count, random.Random(seed), lost=0.1)
-                most = most_in_a_second(arrivals_ms)
+                arrivals_ms = self.arrivals(count, random.Random(seed), lost=0.1)
+                most = most_within_a_second(arrivals_ms)
                 self.assertTrue(most <= ALLOWED, (count, seed, most))
 
     @settings(max_examples=60, deadline=None)
     @given(st.integers(1, 200), st.floats(0.5, 50.0), st.integers(0, 1000))
     def test_any_rate(self, count: int, rate_per_s: float, seed: int) -> None:
-        arrivals_ms = self.sent(count, random.Random(seed), 0.0, rate_per_s, 400.0)
+        arrivals_ms = self.arrivals(count, random.Random(seed), 0.0, rate_per_s, 400.0)
         allowed = 1.5 * rate_per_s + 5
-        self.assertTrue(most_in_a_second(arrivals_ms) <= allowed)
+        self.assertTrue(most_within_a_second(arrivals_ms) <= allowed)
 
     def test_all_share_alike_over_many_endpoints(self) -> None:
         """Each gateway sends to some of a hall's endpoints that come back together."""
@@ -135,16 +135,16 @@
         self.assertEqual(10, len(senders))
 
 
-class GateTest(testtools.TestCase):
+class ColdSendLimiterTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.gateways = gateways(3)
-        self.gate = ColdSendLimiter(self.gateways[0])
-        self.gate.gateways_received(-10_000.0)
+        self.limiter = ColdSendLimiter(self.gateways[0])
+        self.limiter.gateways_received(-10_000.0)
         self.state = EndpointState(endpoint())
 
     def allows(self, now_ms: float, service: Service = SERVICE) -> bool:
-        wait_ms = self.gate.wait_ms(self.state, service, self.gateways, now_ms)
+        wait_ms = self.limiter.wait_ms(self.state, service, self.gateways, now_ms)
         return wait_ms == 0.0
 
     def test_a_warm_endpoint(self) -> None:
@@ -166,22 +166,22 @@
         self.state.sent(0.0)
         self.assertTrue(self.allows(1.0, Service("app", 100, None)))
 
-    def test_a_gateway_that_knows_nobody(self) -> None:
+    def test_a_gateway_that_knows_no_others(self) -> None:
         """It may be one of any number."""
         self.state.warms_up(5000.0)
         self.gateways = ()
         self.assertFalse(self.allows(0.0))
-        self.gate.local = None
+        self.limiter.local = None
         self.gateways = gateways(3)
         self.assertFalse(self.allows(0.0))
 
     def test_all_start_together(self) -> None:
         """The first gateways that are heard of are not all that there are."""
-        self.gate = ColdSendLimiter(self.gateways[0])
+        self.limiter = ColdSendLimiter(self.gateways[0])
         self.state.warms_up(60_000.0)
         self.assertFalse(self.allows(50_000.0))
-        self.gate.gateways_received(0.0)
-        self.gate.gateways_received(1500.0)
+        self.limiter.gateways_received(0.0)
+        self.limiter.gateways_received(1500.0)
         self.assertFalse(self.allows(1999.0))
         self.assertTrue(self.allows(2000.0))
 
@@ -193,19 +193,19 @@
         self.assertTrue(self.state.cold(6999.0))
         self.assertFalse(self.state.cold(7000.0))
 
-    def test_an_endpoint_that_went_dark(self) -> None:
+    def test_an_endpoint_that_became_unreachable(self) -> None:
         self.state.gone(0.0, 0.0)
         self.assertTrue(self.state.cold(1000.0))
         # It was only cut off for a while, and nobody has asked it since.
         self.assertFalse(self.state.cold(UNPROVEN_MS))
 
-    def test_an_answer_of_a_warm_one_proves_nothing(self) -> None:
+    def test_an_answer_of_a_warm_endpoint_does_not_make_it_cold(self) -> None:
         self.state.proved(3000.0, 1000.0)
         self.assertFalse(self.state.cold(1001.0))
 
 
 class ListTest(testtools.TestCase):
-    def test_the_list_tells(self) -> None:
+    def test_the_list_reports_cold_endpoints(self) -> None:
         entry = (
             b'{"id":"i-1","service":"app","address":"10.0.0.1:80","zone":"a",'
             b'"version":"v1","slots":8,"state":"ready","coldLeftMs":1200}'
@@ -213,14 +213,14 @@
         page = decode_page(b'{"instances":[' + entry + b'],"nextToken":null}')
         self.assertEqual(1200.0, page.endpoints[0].cold_left_ms)
 
-    def test_the_configuration_tells(self) -> None:
+    def test_the_configuration_sets_times_and_rates(self) -> None:
         services = [{"name": "app", "coldS": 3.0, "coldPerS": 10.0}]
         document = standin.document(3, services=services)
         catalog = decode_catalog(standin.encoded(document))
         (service,) = catalog.services
         self.assertEqual((3000.0, 10.0), (service.cold_ms, service.cold_requests_per_s))
 
-    def test_counted_from_when_it_was_read(self) -> None:
+    def test_cold_time_counts_from_the_read_of_the_list(self) -> None:
         directory = Directory()
         listed = EndpointList(1, 1, (endpoint(cold_left_ms=2000.0),))
         directory.replace(listed, 10_000.0, age_ms=1500.0)
@@ -228,7 +228,7 @@
         self.assertTrue(state.cold(10_499.0))
         self.assertFalse(state.cold(10_501.0))
 
-    def test_told_once(self) -> None:
+    def test_cold_time_is_reported_once(self) -> None:
         """Time that runs down is no news; an endpoint that turns cold again is."""
         reads: list[tuple[Endpoint, ...]] = []
 
@@ -268,14 +268,14 @@
         mark_returned_cold(self.directory, self.table, before, evacuations, 0.0)
         return [s.endpoint.instance for s in self.directory.all() if s.cold(2999.0)]
 
-    def test_its_endpoints_are_taken_for_cold(self) -> None:
+    def test_its_endpoints_are_marked_cold(self) -> None:
         self.assertEqual(["i2"], self.cold(Evacuations(2, (), {"b": 2}), before=1))
 
     def test_one_that_was_given_back_before(self) -> None:
         returned = {"b": 2, "a": 4}
         self.assertEqual(["i1"], self.cold(Evacuations(4, (), returned), before=3))
 
-    def test_an_evacuation_that_was_never_heard_of(self) -> None:
+    def test_an_evacuation_that_was_never_received(self) -> None:
         """Begun and finished between two words of the core."""
         self.assertEqual(["i2"], self.cold(Evacuations(7, (), {"b": 7}), before=5))
 
@@ -313,7 +313,7 @@
         moves = list(keeper.moves((order,), cold, 6000.0))
         self.assertTrue(moves and moves[0].share > 0.0)
 
-    def test_a_load_test_leaves_cold_endpoints_alone(self) -> None:
+    def test_a_load_test_avoids_cold_endpoints(self) -> None:
         chooser = VersionChooser(SessionVersions(5000.0))
         chooser.apply_rollouts(
             [Rollout("app", "v1", RolloutStage.LOAD_TEST, 1.0, 1, 1000.0)]
--- a/tests/test_crash_load.py
+++ b/tests/test_crash_load.py
@@ -28,66 +28,66 @@
 SEEDS = range(1, 6)
 SMALL = (7, 5)
 LARGE = (61, 56)
-ENDS_MAX = 3
+CRASHES_MAX = 3
 AT_MS = 1_800_000_000_000
 KIND = TrafficKind.CRASHES
 
 
-def play(
+def run(
     load: CrashLoad,
     size: tuple[int, int] = SMALL,
-    holds: bool = True,
-    parts: bool = True,
+    quarantines: bool = True,
+    isolates: bool = True,
 ) -> list[CrashOutcome]:
-    return [CrashWorld(*size, seed, holds, parts).play(load) for seed in SEEDS]
+    return [CrashWorld(*size, seed, quarantines, isolates).run(load) for seed in SEEDS]
 
 
 class CrashLoadTest(testtools.TestCase):
-    def test_one_content(self) -> None:
+    def test_one_crashing_request(self) -> None:
         load = CrashLoad()
-        self.assertTrue(all(p.crashes > 30 for p in play(load, holds=False)))
-        played = play(load)
-        self.assertEqual({ENDS_MAX}, {p.crashes for p in played})
-        self.assertTrue(statistics.mean(p.held for p in played) < 3.0)
+        self.assertTrue(all(p.crashes > 30 for p in run(load, quarantines=False)))
+        played = run(load)
+        self.assertEqual({CRASHES_MAX}, {p.crashes for p in played})
+        self.assertTrue(statistics.mean(p.quarantined for p in played) < 3.0)
         for outcome in played:
-            self.assertTrue(outcome.failed <= outcome.held)
+            self.assertTrue(outcome.failed <= outcome.quarantined)
 
-    def test_several_contents(self) -> None:
+    def test_several_crashing_requests(self) -> None:
         """Each costs three engines, those that crash one together less."""
-        for outcome in play(CrashLoad(crashing=3)):
-            self.assertTrue(outcome.crashes <= 3 * ENDS_MAX)
+        for outcome in run(CrashLoad(crashing=3)):
+            self.assertTrue(outcome.crashes <= 3 * CRASHES_MAX)
             self.assertTrue(outcome.served > 0.9 * (outcome.served + outcome.failed))
 
-    def test_those_beside_it_part_from_it(self) -> None:
+    def test_requests_that_ran_beside_it_are_isolated(self) -> None:
         load = CrashLoad(requests_per_s=240.0, length_ms=20_000.0)
-        together = play(load, LARGE, parts=False)
-        apart = play(load, LARGE)
-        self.assertEqual({ENDS_MAX}, {p.crashes for p in apart})
-        self.assertTrue(statistics.mean(p.held for p in apart) < 3.0)
-        self.assertTrue(statistics.mean(p.held for p in together) > 6.0)
+        together = run(load, LARGE, isolates=False)
+        apart = run(load, LARGE)
+        self.assertEqual({CRASHES_MAX}, {p.crashes for p in apart})
+        self.assertTrue(statistics.mean(p.quarantined for p in apart) < 3.0)
+        self.assertTrue(statistics.mean(p.quarantined for p in together) > 6.0)
 
 
-class ToldTest(testtools.TestCase):
+class BroadcastTest(testtools.TestCase):
     """195 gateways in five halls: what it takes that all refuse a content.
 
     One record of three crashes is 69 bytes, told by 194 datagrams, 13.4 KB in all, of
     which four cross between halls; how long they take on a network was not measured.
     """
 
-    HALLS, EACH = 5, 39
+    HALLS, GATEWAYS_PER_HALL = 5, 39
 
-    def test_all_gateways_hold_it(self) -> None:
+    def test_all_gateways_quarantine_it(self) -> None:
         async def run() -> None:
-            world = World(self.HALLS, self.EACH, 1, 16, 1)
+            world = World(self.HALLS, self.GATEWAYS_PER_HALL, 1, 16, 1)
             first = world.gateways[0]
-            for number in range(ENDS_MAX):
+            for number in range(CRASHES_MAX):
                 at_ms = AT_MS + 2000 * number
                 record = first.quarantine.crashed(7, f"i-{number}", 0, at_ms)
             told = ContentCrashed(record)
             first.tell(told)
             held = [g.quarantine.held_ms(7, at_ms) > 0 for g in world.gateways]
-            self.assertEqual([True] * self.HALLS * self.EACH, held)
-            self.assertTrue(world.datagrams < self.HALLS * self.EACH)
+            self.assertEqual([True] * self.HALLS * self.GATEWAYS_PER_HALL, held)
+            self.assertTrue(world.datagrams < self.HALLS * self.GATEWAYS_PER_HALL)
             self.assertTrue(len(encode(told)) < 100)
             crossed = first.traffic.carried()
             (over,) = (c for c in crossed if c.crosses and c.kind is KIND)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -41,7 +41,7 @@
 
 # The bound that the users set: three ends, and this often after them, counted from
 # when all VMs that are in touch must know.
-ENDS_MAX = 3
+CRASHES_MAX = 3
 SENDS_MAX = 3
 KNOWN_AFTER_S = 3.0
 
@@ -51,7 +51,9 @@
 
     ENGINES = 6
 
-    def play(self, path: str, tries: int, events: int = 0) -> list[tuple[int, bytes]]:
+    def send_tries(
+        self, path: str, tries: int, events: int = 0
+    ) -> list[tuple[int, bytes]]:
         """The answers to so many tries; `log` holds what the engines saw."""
         self.log = CrashLog()
         ids = itertools.count()
@@ -81,40 +83,40 @@
         return answers
 
     def test_the_repeat_reaches_no_engine(self) -> None:
-        answers = self.play("/stream/1", 3)
-        self.assertEqual(ENDS_MAX, len(self.log.ended_s))
+        answers = self.send_tries("/stream/1", 3)
+        self.assertEqual(CRASHES_MAX, len(self.log.crashes_s))
         # The first may have run; the others have not, and say so.
         self.assertEqual([502, 503, 503], [status for status, _ in answers])
 
     def test_a_refusal_says_why_and_for_how_long(self) -> None:
-        _, answer = self.play("/stream/1", 2)[1]
+        _, answer = self.send_tries("/stream/1", 2)[1]
         self.assertIn(b"X-Ashlatch-Reason: quarantined", answer)
         wait_s = float(answer.partition(b"Retry-After: ")[2].partition(b"\r")[0])
         self.assertTrue(HOLD_MS / 1000.0 - 5.0 < wait_s <= HOLD_MS / 1000.0)
 
-    def test_what_may_not_be_repeated(self) -> None:
+    def test_a_request_that_may_not_be_repeated(self) -> None:
         """Each try ends one endpoint; nothing is sent again by the gateway."""
-        answers = self.play("/once/1", 5)
+        answers = self.send_tries("/once/1", 5)
         statuses = [status for status, _ in answers]
         self.assertEqual([502, 502, 502, 503, 503], statuses)
-        self.assertEqual(ENDS_MAX, len(self.log.came_s))
+        self.assertEqual(CRASHES_MAX, len(self.log.arrivals_s))
 
     def test_a_stream_that_has_begun(self) -> None:
         """The caller has events of it; it goes on behind them, and ends cut off."""
-        (status, answer), (second, _) = self.play("/stream/1", 2, events=1)
+        (status, answer), (second, _) = self.send_tries("/stream/1", 2, events=1)
         self.assertEqual(200, status)
-        for number in range(1, ENDS_MAX + 1):
+        for number in range(1, CRASHES_MAX + 1):
             self.assertEqual(1, answer.count(f"id: {number}\n".encode()))
         self.assertFalse(answer.endswith(LAST_CHUNK))
         self.assertEqual(503, second)
-        self.assertEqual(ENDS_MAX, len(self.log.ended_s))
+        self.assertEqual(CRASHES_MAX, len(self.log.crashes_s))
 
     def test_other_requests_of_the_caller_are_served(self) -> None:
         async def work() -> None:
             headers = [(b"Host", b"shop.example"), (b"X-Attempt-Id", b"r1")]
             asked = decode_ask(HttpRequest("GET", "/get/1", headers, b"", 0.0, ""))
             content = request_fingerprint(asked, "acme")
-            for number in range(ENDS_MAX):
+            for number in range(CRASHES_MAX):
                 at_ms = unix_ms() - 5000 * number
                 self.known.quarantine.crashed(content, f"i-{number}", 0, at_ms)
             self.assertEqual(503, (await self.call(ask("/get/1")))[0])
@@ -123,10 +125,10 @@
         self.run_gateway([StandIn([standin.answer()])], work)
 
 
-class CutConnectionTest(GatewayHarness):
+class AbortedConnectionTest(GatewayHarness):
     """A connection that ends is no crash while somebody listens there."""
 
-    def test_endpoints_that_cut_answers_off(self) -> None:
+    def test_endpoints_that_abort_answers(self) -> None:
         async def cut(request: Received, writer: asyncio.StreamWriter) -> None:
             writer.transport.abort()
 
@@ -139,7 +141,7 @@
 
         self.run_gateway(workers, work)
 
-    def test_a_good_run_clears_a_suspect(self) -> None:
+    def test_a_completed_run_clears_a_suspect(self) -> None:
         """An endpoint ends beside it; elsewhere it runs well, and counts anew."""
         good = StandIn([standin.answer()])
 
@@ -180,7 +182,7 @@
         ids = itertools.count()
         self.engines = [
             CrashingEngine(
-                self.platform.host, self.log, 1.0, ids, changed=self.list_engines
+                self.platform.host, self.log, 1.0, ids, on_start=self.list_engines
             )
             for _ in range(5)
         ]
@@ -216,13 +218,13 @@
     def send(self, host: str, body: bytes) -> int:
         return self.fleet.post(host, "/stream/1", body, port=FRONT_PORT)
 
-    def test_all_gateways_know_after_the_third_end(self) -> None:
+    def test_all_gateways_know_after_the_third_crash(self) -> None:
         for number in range(self.REPEATS):
             self.send(self.gateways[number % len(self.gateways)], CRASHING_BODY)
             time.sleep(self.PAUSE_S)
-        third_s = sorted(self.log.ended_s)[ENDS_MAX - 1]
-        sends = self.log.came_after(third_s + KNOWN_AFTER_S)
-        self.assertTrue(sends <= SENDS_MAX, f"{sends} sends, {len(self.log.ended_s)}")
+        third_s = sorted(self.log.crashes_s)[CRASHES_MAX - 1]
+        sends = self.log.arrivals_after(third_s + KNOWN_AFTER_S)
+        self.assertTrue(sends <= SENDS_MAX, f"{sends} sends, {len(self.log.crashes_s)}")
 
     def test_at_every_gateway_at_once(self) -> None:
         """Three tries in the same moment may end all five engines, and that is all."""
@@ -233,16 +235,16 @@
                     for host in self.gateways
                 ]
                 self.assertFalse(200 in [call.result() for call in tries])
-        ended = len(self.log.ended_s)
-        self.assertTrue(ENDS_MAX <= ended <= len(self.engines), str(ended))
+        ended = len(self.log.crashes_s)
+        self.assertTrue(CRASHES_MAX <= ended <= len(self.engines), str(ended))
         for host in self.gateways:
             self.assertEqual(503, self.send(host, CRASHING_BODY))
         time.sleep(2.0)
         for host in self.gateways:
             self.assertEqual(503, self.send(host, CRASHING_BODY))
-        self.assertEqual(ended, len(self.log.ended_s))
+        self.assertEqual(ended, len(self.log.crashes_s))
 
-    def test_the_gateway_that_knew_stands_still(self) -> None:
+    def test_the_gateway_that_knew_is_suspended(self) -> None:
         """It is stopped right after the third end, before it can tell the core."""
         self.send(self.gateways[0], CRASHING_BODY)
         process = self.fleet.processes[self.gateways[0]].popen
@@ -253,13 +255,13 @@
                 self.assertEqual(503, self.send(host, CRASHING_BODY))
         finally:
             process.send_signal(signal.SIGCONT)
-        self.assertEqual(ENDS_MAX, len(self.log.came_s))
+        self.assertEqual(CRASHES_MAX, len(self.log.arrivals_s))
 
     def test_it_is_known_after_a_loss_of_all(self) -> None:
         """All processes are killed at once; the caller comes back."""
         self.send(self.gateways[0], CRASHING_BODY)
         time.sleep(self.PAUSE_S)
-        self.assertEqual(ENDS_MAX, len(self.log.ended_s))
+        self.assertEqual(CRASHES_MAX, len(self.log.crashes_s))
         for process in self.fleet.processes.values():
             process.kill()
         for host in self.fleet.hosts:
@@ -270,9 +272,9 @@
             self.wait_ready(host)
         for host in self.gateways:
             self.assertEqual(503, self.send(host, CRASHING_BODY))
-        self.assertEqual(ENDS_MAX, len(self.log.came_s))
+        self.assertEqual(CRASHES_MAX, len(self.log.arrivals_s))
 
-    def test_the_gateway_that_knew_is_lost(self) -> None:
+    def test_the_gateway_that_knew_is_killed(self) -> None:
         """It is killed 0.3 s after the third end, and the leader of the core too."""
         self.send(self.gateways[0], CRASHING_BODY)
         time.sleep(0.3)
@@ -280,7 +282,7 @@
         self.fleet.processes[self.fleet.leader()].kill()
         for host in self.gateways[1:]:
             self.assertEqual(503, self.send(host, CRASHING_BODY))
-        self.assertEqual(ENDS_MAX, len(self.log.came_s))
+        self.assertEqual(CRASHES_MAX, len(self.log.arrivals_s))
 
     def test_other_requests_are_served(self) -> None:
         """A load of others, through the same engines, while the request comes."""
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -25,7 +25,7 @@
 SUBJECT = PromptPart("subject", 13_000)
 
 
-def asked(prompt_tokens: int, body_bytes: int, *parts: PromptPart) -> Ask:
+def make_request(prompt_tokens: int, body_bytes: int, *parts: PromptPart) -> Ask:
     return Ask(
         "r1",
         "POST",
@@ -46,11 +46,11 @@
     )
 
 
-LONG = asked(17_000, 17_000, SUBJECT, PromptPart("own", 4000))
-SHORT = asked(400, 400, PromptPart("own", 400))
+LONG = make_request(17_000, 17_000, SUBJECT, PromptPart("own", 4000))
+SHORT = make_request(400, 400, PromptPart("own", 400))
 
 
-def gateway_knowledge() -> Knowledge:
+def gateway_context() -> Knowledge:
     """A gateway in the hall `here`, before three engines with known paces."""
     known = Knowledge(
         "here",
@@ -76,46 +76,51 @@
 class ChooseEngineTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.known = gateway_knowledge()
+        self.context = gateway_context()
 
-    def choose(self, ask: Ask, model: str) -> Choice:
-        states = list(self.known.directory.of_service("app"))
+    def choose(self, request: Ask, model: str) -> Choice:
+        states = list(self.context.directory.of_service("app"))
         allowed = AllowedEndpoints(states, VersionReason.NO_ROLLOUT)
-        assert self.known.table is not None
-        service = self.known.table.services["app"]
+        assert self.context.table is not None
+        service = self.context.table.services["app"]
         chosen = choose_endpoint(
-            self.known, service, allowed, frozenset(), Send(ask, model, SLACK_MS), 100.0
+            self.context,
+            service,
+            allowed,
+            frozenset(),
+            Send(request, model, SLACK_MS),
+            100.0,
         )
         assert chosen is not None
         return chosen
 
-    def instance(self, ask: Ask, model: str) -> str:
-        return self.choose(ask, model).state.endpoint.instance
+    def instance(self, request: Ask, model: str) -> str:
+        return self.choose(request, model).state.endpoint.instance
 
-    def read(self, instance: str, model: str, *parts: PromptPart) -> None:
-        self.known.kept.read(instance, model, parts, 400_000, 0.0)
+    def cache_prompt(self, instance: str, model: str, *parts: PromptPart) -> None:
+        self.context.kept.read(instance, model, parts, 400_000, 0.0)
 
     def test_short_prompts_stay_in_the_hall(self) -> None:
         self.assertEqual("i-near", self.instance(SHORT, "small"))
-        self.read("i-far", "small", *SHORT.prompt_parts)
+        self.cache_prompt("i-far", "small", *SHORT.prompt_parts)
         self.assertEqual("i-near", self.instance(SHORT, "small"))
 
-    def test_long_prompts_go_where_they_are_kept(self) -> None:
-        self.read("i-far", "large", SUBJECT)
+    def test_long_prompts_go_where_they_are_cached(self) -> None:
+        self.cache_prompt("i-far", "large", SUBJECT)
         chosen = self.choose(LONG, "large")
         self.assertEqual("i-far", chosen.state.endpoint.instance)
         assert chosen.forecast is not None
         self.assertEqual(4000, chosen.forecast.prefill_tokens)
         # The small model reads it sooner than the body has crossed the halls.
-        self.read("i-far", "small", SUBJECT)
+        self.cache_prompt("i-far", "small", SUBJECT)
         self.assertEqual("i-near", self.instance(LONG, "small"))
 
-    def test_first_reads_meet_at_the_home(self) -> None:
+    def test_first_prefills_go_to_the_home_engine(self) -> None:
         home = rank(ENGINES, SUBJECT.part_id)[0]
         self.assertEqual(home, self.instance(LONG, "large"))
 
-    def test_work_at_an_engine_is_waited_for(self) -> None:
-        state = self.known.directory.state("i-near")
+    def test_queued_work_at_an_engine_is_counted(self) -> None:
+        state = self.context.directory.state("i-near")
         assert state is not None
         state.workload.add(200.0, 100.0)
         state.workload.add(300.0, 100.0)
@@ -156,8 +161,8 @@
         self.assertEqual(200.0, work.left_ms(30_100.0))
 
 
-class PaceRateTest(testtools.TestCase):
-    def test_waits_do_not_make_reading_slow(self) -> None:
+class PrefillRateTest(testtools.TestCase):
+    def test_waits_do_not_raise_the_prefill_time(self) -> None:
         """0.09 ms a token; three in four waited behind others, a few were kept."""
         pace = LatencyModel()
         for n in range(60):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -20,7 +20,7 @@
 from ashlatch.gateway.peers import GatewayPeers
 from ashlatch.gateway.traffic import HallTraffic
 from tests.system import HOST, free_port
-from tests.test_forecast import gateway_knowledge
+from tests.test_forecast import gateway_context
 
 ARRIVES_S = 0.1
 
@@ -28,8 +28,8 @@
 class GatewayPeersTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.teller = gateway_knowledge()
-        self.hearer = gateway_knowledge()
+        self.teller = gateway_context()
+        self.hearer = gateway_context()
 
     def with_sockets(self, work: Callable[[GatewayPeers], Awaitable[None]]) -> None:
         """Two gateways that know each other, and a third that is not there."""
@@ -80,7 +80,7 @@
 
         async def run() -> None:
             halls = ("here", "there", "there", "there")
-            knowns = [gateway_knowledge() for _ in halls]
+            knowns = [gateway_context() for _ in halls]
             gateways = tuple(GatewayVm(f"{HOST}:{free_port()}", hall) for hall in halls)
             peers = []
             for known, own in zip(knowns, gateways, strict=True):
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -46,13 +46,13 @@
         self.assertEqual(2.1, self.limit(b"2.1"))
         self.assertEqual(0.0, self.limit(b"0"))
 
-    def test_none_is_named(self) -> None:
+    def test_no_limit_is_named(self) -> None:
         self.assertEqual(NO_LIMIT, self.limit())
 
-    def test_the_least_of_several(self) -> None:
+    def test_the_lowest_of_several_limits(self) -> None:
         self.assertEqual(1.5, self.limit(b"3", b"1.5"))
 
-    def test_what_cannot_be_read_says_nothing(self) -> None:
+    def test_unreadable_limits_are_ignored(self) -> None:
         for value in (b"", b"many", b"nan", b"inf", b"-1", b"2,1"):
             self.assertIs(None, self.limit(value), str(value))
 
@@ -60,7 +60,7 @@
 class OneGatewayTest(GatewayHarness):
     """One gateway, an endpoint that names a limit and one that does not."""
 
-    def test_a_limited_endpoint_gets_what_it_takes(self) -> None:
+    def test_a_limited_endpoint_gets_what_its_limit_allows(self) -> None:
         """The other one has room for all."""
         limited = LimitedEndpoint(2.0)
         other = LimitedEndpoint()
@@ -72,14 +72,14 @@
                 await asyncio.sleep(0.05)
 
         self.run_gateway([limited.worker, other.worker], work)
-        most = most_within(limited.came_s)
-        self.assertTrue(most <= allowed(2.0), f"{most} of {len(limited.came_s)}")
+        most = most_within(limited.arrivals_s)
+        self.assertTrue(most <= allowed(2.0), f"{most} of {len(limited.arrivals_s)}")
 
 
 class OtherRequestsTest(GatewayHarness):
     """What is no first send at an endpoint of the only version."""
 
-    def play(
+    def send_requests(
         self, workers: list[LimitedEndpoint], data: list[bytes], pause_s: float = 0.02
     ) -> list[int]:
         """The statuses of requests that come one after the other."""
@@ -102,10 +102,10 @@
     def test_repeats_after_an_error(self) -> None:
         """The first endpoint fails each request; the repeats keep the limit too."""
         failing, limited = LimitedEndpoint(status=500), LimitedEndpoint(1.0)
-        self.play([failing, limited], [ask(f"/get/{n}") for n in range(60)])
-        self.assertTrue(most_within(limited.came_s) <= allowed(1.0))
+        self.send_requests([failing, limited], [ask(f"/get/{n}") for n in range(60)])
+        self.assertTrue(most_within(limited.arrivals_s) <= allowed(1.0))
 
-    def test_a_silent_endpoint_is_not_left_for_a_limited_one(self) -> None:
+    def test_a_silent_endpoint_is_not_abandoned_for_a_limited_one(self) -> None:
         """The room there may be gone before the send; the answer comes at last."""
         silent, limited = LimitedEndpoint(answer_s=1.0), LimitedEndpoint()
 
@@ -117,10 +117,10 @@
             state.limit.set_rate(5.0, Sharers(), 0.0, now_ms)
 
         self.prepare = prepare  # type: ignore[method-assign]
-        self.assertEqual([200], self.play([silent, limited], [ask("/get/1")]))
-        self.assertEqual((1, 0), (len(silent.came_s), len(limited.came_s)))
+        self.assertEqual([200], self.send_requests([silent, limited], [ask("/get/1")]))
+        self.assertEqual((1, 0), (len(silent.arrivals_s), len(limited.arrivals_s)))
 
-    def test_nothing_has_room(self) -> None:
+    def test_no_endpoint_has_capacity(self) -> None:
         """Refused at once, not run, and told when to come back."""
         limited = LimitedEndpoint(0.5)
         answers = []
@@ -153,9 +153,9 @@
         self.prepare = prepare  # type: ignore[method-assign]
         one_id = ask("/get/1")
         data = [one_id.replace(b"Id: r1", f"Id: r{n}".encode()) for n in range(60)]
-        statuses = self.play([new, old], data)
+        statuses = self.send_requests([new, old], data)
         self.assertEqual({200}, set(statuses))
-        self.assertTrue(most_within(new.came_s) <= allowed(0.5))
+        self.assertTrue(most_within(new.arrivals_s) <= allowed(0.5))
 
 
 class FleetTest(testtools.TestCase):
@@ -194,7 +194,7 @@
         known = f"event=gateways_learnt gateways={len(self.gateways)}"
         return all(known in self.fleet.processes[g].log for g in self.gateways)
 
-    def play(self, length_s: float) -> list[int]:
+    def run_load(self, length_s: float) -> list[int]:
         """Ask all gateways in turn; the statuses of the answers."""
         pending: list[Future[int]] = []
         with ThreadPoolExecutor(24) as callers:
@@ -208,26 +208,26 @@
 
     def test_all_gateways_together(self) -> None:
         begun_s = time.monotonic()
-        statuses = self.play(self.LENGTH_S)
+        statuses = self.run_load(self.LENGTH_S)
         self.assertEqual({200}, set(statuses))
-        came_s = self.limited.came_since(begun_s + self.KNOWN_S)
+        came_s = self.limited.arrivals_since(begun_s + self.KNOWN_S)
         most = most_within(came_s)
         self.assertTrue(most <= allowed(self.LIMIT_PER_S), str(most))
 
     def test_a_gateway_stands_still_and_one_is_killed(self) -> None:
         """The limit holds, but for what the two send before they have heard of it."""
-        faults = threading.Thread(target=self.stop_and_kill)
+        faults = threading.Thread(target=self.suspend_and_kill)
         faults.start()
         begun_s = time.monotonic()
-        statuses = self.play(11.0)
+        statuses = self.run_load(11.0)
         faults.join()
-        came_s = self.limited.came_since(begun_s + self.KNOWN_S)
+        came_s = self.limited.arrivals_since(begun_s + self.KNOWN_S)
         most = most_within(came_s)
         # The one that wakes and the one that starts each send a few.
         self.assertTrue(most <= allowed(self.LIMIT_PER_S), str(most))
         self.assertTrue(statuses.count(200) > 0.6 * len(statuses))
 
-    def stop_and_kill(self) -> None:
+    def suspend_and_kill(self) -> None:
         """One gateway is frozen for two seconds, then another is killed and starts."""
         time.sleep(2.0)
         frozen = self.fleet.processes[self.gateways[1]].popen
@@ -240,10 +240,10 @@
 
     def test_the_limit_ends(self) -> None:
         """The endpoint is used like the other one within three seconds."""
-        self.play(3.0)
+        self.run_load(3.0)
         self.limited.limit_per_s = NO_LIMIT
-        self.play(3.0)
+        self.run_load(3.0)
         begun_s = time.monotonic()
-        statuses = self.play(2.0)
-        came = len(self.limited.came_since(begun_s))
+        statuses = self.run_load(2.0)
+        came = len(self.limited.arrivals_since(begun_s))
         self.assertTrue(came > 0.25 * len(statuses), f"{came} of {len(statuses)}")
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -24,13 +24,13 @@
         super().setUp()
         self.workers = [StandIn([standin.answer()]) for _ in range(3)]
 
-    def bind(self, route: list[str], organisation: list[str]) -> None:
+    def bind(self, route_regions: list[str], organisation_regions: list[str]) -> None:
         """Endpoints in three halls of three regions; the gateway is in the first."""
         document = standin.document(3)
         for each in document["routes"]:
-            each["allowedRegions"] = route
+            each["allowedRegions"] = route_regions
         for each in document["tenants"]:
-            each["allowedRegions"] = organisation
+            each["allowedRegions"] = organisation_regions
         self.known.table = RouteTable(decode_catalog(standin.encoded(document)))
         self.known.regions = REGIONS
         endpoints = tuple(
@@ -39,7 +39,9 @@
         )
         self.known.directory.replace(EndpointList(1, 2, endpoints), 0.0)
 
-    def answered(self, route: list[str], organisation: list[str]) -> list[int]:
+    def answers_by_endpoint(
+        self, route: list[str], organisation: list[str]
+    ) -> list[int]:
         """How many of 20 requests each endpoint got."""
 
         async def work() -> None:
@@ -51,15 +53,17 @@
         return [len(worker.seen) for worker in self.workers]
 
     def test_by_the_route(self) -> None:
-        self.assertEqual([0, 20, 0], self.answered(["south"], []))
+        self.assertEqual([0, 20, 0], self.answers_by_endpoint(["south"], []))
 
     def test_by_the_organisation(self) -> None:
-        self.assertEqual([0, 0, 20], self.answered([], ["west"]))
+        self.assertEqual([0, 0, 20], self.answers_by_endpoint([], ["west"]))
 
-    def test_both_bind(self) -> None:
-        self.assertEqual([0, 20, 0], self.answered(["north", "south"], ["south"]))
+    def test_both_are_bound(self) -> None:
+        self.assertEqual(
+            [0, 20, 0], self.answers_by_endpoint(["north", "south"], ["south"])
+        )
 
-    def refused(self, route: list[str], organisation: list[str]) -> None:
+    def check_refused(self, route: list[str], organisation: list[str]) -> None:
         async def work() -> None:
             self.bind(route, organisation)
             status, got = await self.call(ask("/once/1", method="POST"))
@@ -72,10 +76,10 @@
 
     def test_where_none_can_serve(self) -> None:
         """It is refused at once, and no endpoint elsewhere gets its body."""
-        self.refused(["east"], [])
+        self.check_refused(["east"], [])
 
     def test_regions_that_exclude_each_other(self) -> None:
-        self.refused(["north"], ["south"])
+        self.check_refused(["north"], ["south"])
 
     def test_a_hall_of_no_known_region(self) -> None:
         async def work() -> None:
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -75,7 +75,7 @@
 DURATION_MS = 20_000.0
 # About as long as an application service takes.
 ANSWER_S = 0.03
-EXPLAINS = (
+EXPLAINED_EVENTS = (
     "rollout_decided",
     "rollout_learnt",
     "standing_changed",
@@ -87,7 +87,7 @@
 )
 
 
-def good_rollout(answers_each_step: int) -> list[Rollout]:
+def good_rollout(answers_per_step: int) -> list[Rollout]:
     """The records of a whole roll-out of a version that is well."""
     evidence = Evidence()
     rollout = Rollout("app", "v2", RolloutStage.TRIAL, 0.0, 1, DURATION_MS)
@@ -95,7 +95,7 @@
     for elapsed_ms in range(100, int(DURATION_MS), 100):
         tallies = tuple(
             Tally(TallyKey("app", version, "r"), answered, 0, {10: answered})
-            for version, answered in (("v1", answers_each_step), ("v2", 1))
+            for version, answered in (("v1", answers_per_step), ("v2", 1))
         )
         evidence.add(tallies, float(elapsed_ms))
         decision = decide(rollout, elapsed_ms, evidence, elapsed_ms, listed=True)
@@ -138,7 +138,7 @@
                 seen = state.endpoint.version
 
 
-def gateway_knowledge() -> Knowledge:
+def gateway_context() -> Knowledge:
     """A gateway after a load test, which remembers sessions for 1.1 s."""
     known = Knowledge(
         "hall-1",
@@ -153,23 +153,23 @@
     return known
 
 
-def chosen_version(known: Knowledge, session: str, now_ms: float) -> str:
-    states = known.directory.of_service("app")
-    allowed = known.versions.allowed("app", session, "r", states, now_ms)
+def chosen_version(context: Knowledge, session: str, now_ms: float) -> str:
+    states = context.directory.of_service("app")
+    allowed = context.versions.allowed("app", session, "r", states, now_ms)
     (version,) = {state.endpoint.version for state in allowed.states}
     return version
 
 
-class ToldSessionsTest(GatewayHarness):
+class MovedSessionsTest(GatewayHarness):
     """Sessions that another gateway's load test has moved."""
 
     MOVED = encode(SessionMoved("app", "s1", "v2"))
 
-    def test_a_long_request_outlasts_what_was_told(self) -> None:
+    def test_a_move_outlasts_a_long_request(self) -> None:
         """The move was told when the request began; the next one comes much later."""
 
         async def run() -> None:
-            known = gateway_knowledge()
+            known = gateway_context()
             now_ms = asyncio.get_running_loop().time() * 1000.0
             self.assertEqual("v1", chosen_version(known, "s1", now_ms))
             GatewayPeers(known).datagram_received(self.MOVED, ("127.0.0.9", 1))
@@ -178,8 +178,8 @@
 
         asyncio.run(run())
 
-    def test_a_gateway_that_missed_the_message_goes_by_the_record(self) -> None:
-        known = gateway_knowledge()
+    def test_a_gateway_that_missed_the_message_uses_the_record(self) -> None:
+        known = gateway_context()
         self.assertEqual("v1", chosen_version(known, "s1", 0.0))
         mark = session_hash("v2", "s1")
         settled = Rollout("app", "v2", RolloutStage.SETTLE, 0.1, 2, DURATION_MS)
@@ -221,7 +221,7 @@
     def request(self, *gateways: GatewayVm) -> SyncRequest:
         return SyncRequest("vm", gateways, 0, (0, 0), 0, 0.0)
 
-    def test_a_new_leader_knows_the_gateways_of_the_one_before(self) -> None:
+    def test_a_new_leader_knows_the_gateways_of_its_predecessor(self) -> None:
         leader, follower = Spread(CORE), Spread(CORE)
         asked = self.request(*self.GATEWAYS)
         leader.asked(asked)
@@ -240,7 +240,7 @@
 
     def check(self, load: Load, seeds: int) -> None:
         for seed in range(seeds):
-            world = SessionWorld(load, seed).play()
+            world = SessionWorld(load, seed).run()
             self.assertTrue(world.moved <= self.MOVED_MAX, f"{load} {seed}")
 
     def test_no_message_is_lost(self) -> None:
@@ -252,22 +252,24 @@
             self.check(Load(gateways, 150.0, lost=0.1), 4)
         self.check(Load(195, 150.0, lost=0.1), 2)
 
-    def test_gateways_hear_late_that_the_trial_has_begun(self) -> None:
-        self.check(Load(61, 150.0, heard_within_ms=600.0, delay_ms=20.0), 3)
+    def test_gateways_receive_the_start_of_the_trial_late(self) -> None:
+        self.check(Load(61, 150.0, received_within_ms=600.0, delay_ms=20.0), 3)
 
-    def trial(self, known: Knowledge, share: float, now_ms: float) -> list[PeerNews]:
+    def apply_trial(
+        self, context: Knowledge, share: float, now_ms: float
+    ) -> list[PeerNews]:
         """Have a gateway learn of a trial; what it tells from then on."""
         number = 2 if share == 0.0 else 3
         trial = Rollout("app", "v2", RolloutStage.TRIAL, share, number, DURATION_MS)
-        known.versions.apply_rollouts([trial], now_ms)
+        context.versions.apply_rollouts([trial], now_ms)
         told: list[PeerNews] = []
-        known.tell = told.append
+        context.tell = told.append
         return told
 
-    def test_a_session_that_runs_before_the_trial_is_told_twice(self) -> None:
+    def test_a_session_that_runs_before_the_trial_is_broadcast_twice(self) -> None:
         """Each time by another gateway of a hall, since datagrams may be lost."""
-        known = gateway_knowledge()
-        told = self.trial(known, 0.0, 0.0)
+        known = gateway_context()
+        told = self.apply_trial(known, 0.0, 0.0)
         movable = next(
             s
             for s in (f"s{n}" for n in range(99))
@@ -279,18 +281,18 @@
 
     def test_a_session_that_begins_in_a_new_trial_stays_in_it(self) -> None:
         """Also at a gateway that has not heard that the trial has begun."""
-        there, late = gateway_knowledge(), gateway_knowledge()
-        self.trial(late, 0.0, 0.0)
-        self.trial(there, 0.0, 0.0)
-        told = self.trial(there, 0.07, 1000.0)
+        there, late = gateway_context(), gateway_context()
+        self.apply_trial(late, 0.0, 0.0)
+        self.apply_trial(there, 0.0, 0.0)
+        told = self.apply_trial(there, 0.07, 1000.0)
         announce_session(there, "app", "s1", "v2", 1100.0)
         self.assertEqual([SessionMoved("app", "s1", "v2")], told)
         self.assertEqual("v1", chosen_version(late, "s1", 1200.0))
         HEARD.call(late, told[0], Teller("g", 1200.0))
         self.assertEqual("v2", chosen_version(late, "s1", 1200.0))
 
-    def test_a_trial_that_goes_on_tells_nothing(self) -> None:
-        known = gateway_knowledge()
+    def test_a_running_trial_broadcasts_nothing(self) -> None:
+        known = gateway_context()
         for number, share in ((2, 0.0), (3, 0.07)):
             trial = Rollout("app", "v2", RolloutStage.TRIAL, share, number, DURATION_MS)
             known.versions.apply_rollouts([trial], 1000.0 * number)
@@ -309,7 +311,7 @@
     """
 
     ROLLOUT_S = 12.0
-    SESSIONS_EACH_S = 25.0
+    SESSIONS_PER_S = 25.0
     PAUSE_S = 0.6
 
     def setUp(self) -> None:
@@ -369,7 +371,7 @@
         self.start_gateways()
         self.roll_out(lambda: None)
 
-    def test_the_leader_dies_as_the_load_test_begins(self) -> None:
+    def test_the_leader_is_killed_as_the_load_test_begins(self) -> None:
         self.start_gateways()
         leader = self.fleet.leader()
         killed = False
@@ -383,19 +385,19 @@
         self.roll_out(kill_once)
         self.assertTrue(killed)
 
-    def explain(self) -> None:
+    def print_decisions(self) -> None:
         """Print what the processes decided, to trace a failure by."""
         lines: list[Line] = []
         for host, process in self.fleet.processes.items():
             lines += read_lines(host, process.log.splitlines())
         lines.sort(key=lambda line: line.at)
         for line in lines:
-            if line.event in EXPLAINS:
+            if line.event in EXPLAINED_EVENTS:
                 print(line.at, line.process, line.event, line.text())
         for text in explain_moves(lines):
             print(text)
 
-    def roll_out(self, meanwhile: Callable[[], None]) -> None:
+    def roll_out(self, on_session: Callable[[], None]) -> None:
         """A whole roll-out; `meanwhile` is called as often as a session begins."""
         fleet = self.fleet
         fleet.platform.add("i-2", "v2")
@@ -407,15 +409,15 @@
             while time.monotonic() < ends_s:
                 pool.submit(self.session, number, found)
                 number += 1
-                meanwhile()
-                time.sleep(1.0 / self.SESSIONS_EACH_S)
+                on_session()
+                time.sleep(1.0 / self.SESSIONS_PER_S)
         back = [ran for ran in found if ("i-2", "i-1") in itertools.pairwise(ran)]
         moved = [ran for ran in found if ("i-1", "i-2") in itertools.pairwise(ran)]
         self.assertTrue(len(found) > 100 and moved, (len(found), len(moved)))
         if back:
-            self.explain()
+            self.print_decisions()
         self.assertEqual([], back, f"{len(back)} of {len(found)} sessions")
         # Otherwise the requests after the roll-back were not looked at.
         if self.rolled_back:
-            self.explain()
+            self.print_decisions()
         self.assertFalse(self.rolled_back, "the version is good")
--- a/tests/test_shed_load.py
+++ b/tests/test_shed_load.py
@@ -3,8 +3,8 @@
 import testtools
 
 from ashlatch.policy.backoff import Backoff
-from tests.backoff_soak import play
-from tests.shed_simulation import play_shedding
+from tests.backoff_soak import run_world
+from tests.shed_simulation import run_shedding
 from tests.shedding import WITHIN_BACKOFF_MAX
 
 # Of the requests, and only until the gateways have heard of all endpoints that shed.
@@ -13,9 +13,11 @@
 
 
 class ShedLoadTest(testtools.TestCase):
-    def check(self, gateways: int, shedding: int, endpoints: int, per_s: float) -> None:
+    def check(
+        self, gateways: int, shedding: int, endpoints: int, requests_per_s: float
+    ) -> None:
         for seed in range(SEEDS):
-            world = play_shedding(gateways, shedding, endpoints, per_s, seed)
+            world = run_shedding(gateways, shedding, endpoints, requests_per_s, seed)
             asked = world.refused + world.answered
             self.assertTrue(world.refused < REFUSED_MAX * asked, str(world.refused))
             most = world.most_within_backoff()
@@ -36,7 +38,7 @@
         self.assertTrue(backoff.may_shed(4999.0))
         self.assertFalse(backoff.may_shed(5001.0))
 
-    def test_others_are_told_when_it_outlasts_what_they_know(self) -> None:
+    def test_a_backoff_is_broadcast_when_it_outlasts_the_known_one(self) -> None:
         backoff = Backoff()
         backoff.request(3000.0, now_ms=0.0)
         self.assertTrue(backoff.is_news(0.0))
@@ -51,4 +53,4 @@
 class RandomWorldsTest(testtools.TestCase):
     def test_seeds(self) -> None:
         for seed in range(1, 9):
-            play(seed)
+            run_world(seed)
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -18,7 +18,7 @@
 from tests.gateway import GatewayHarness, ask
 
 # An address at which nobody answers, nor refuses: packets to it are dropped.
-DARK = "198.51.100.1:80"
+UNREACHABLE = "198.51.100.1:80"
 
 
 def route(target_ms: float) -> Route:
@@ -26,13 +26,13 @@
     return msgspec.structs.replace(catalog.routes[0], target_ms=target_ms)
 
 
-class ConnectPatienceTest(testtools.TestCase):
-    def test_by_what_the_route_aims_at(self) -> None:
+class ConnectTimeoutTest(testtools.TestCase):
+    def test_the_timeout_follows_the_target_of_the_route(self) -> None:
         found = [connect_timeout_s(route(ms)) for ms in (0.0, 20.0, 162.0, 2000.0)]
         self.assertEqual([0.5, 0.1, 0.162, 0.5], found)
 
 
-class DarkEndpointTest(GatewayHarness):
+class UnreachableEndpointTest(GatewayHarness):
     def test_another_endpoint_answers_in_time(self) -> None:
         """The dark endpoint is in the own hall and idle: it is chosen first."""
         worker = standin.StandIn([standin.answer()])
@@ -40,10 +40,10 @@
         connect = Upstream.connect
 
         async def connect_or_wait(address: str, timeout_s: float) -> Upstream:
-            if address == DARK:
+            if address == UNREACHABLE:
                 asked.append(timeout_s)
                 await asyncio.sleep(timeout_s)
-                raise ConnectFailed(DARK, CONNECT_TIMED_OUT)
+                raise ConnectFailed(UNREACHABLE, CONNECT_TIMED_OUT)
             return await connect(address, timeout_s)
 
         self.patch(Upstream, "connect", connect_or_wait)
@@ -54,7 +54,7 @@
                 each["sloMs"] = 162
             self.known.table = RouteTable(decode_catalog(standin.encoded(document)))
             endpoints = (
-                Endpoint("i-0", "app", DARK, "hall-1", "v1", 8, False),
+                Endpoint("i-0", "app", UNREACHABLE, "hall-1", "v1", 8, False),
                 Endpoint("i-1", "app", worker.address, "hall-2", "v1", 8, False),
             )
             self.known.directory.replace(EndpointList(1, 2, endpoints), 0.0)
