--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -2,12 +2,13 @@
 
 import asyncio
 
+from tests.stub_server import ReceivedRequest, StubServer
+
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.platform.document import decode_catalog
 from tests import stub_server
 from tests.gateway import ASK_STREAM, GatewayHarness, ask
-from tests.stub_server import ReceivedRequest, StubServer
 
 REGIONS = {"hall-1": "north", "hall-2": "south", "hall-3": "west"}
 
@@ -26,13 +27,13 @@
         super().setUp()
         self.workers = [StubServer([stub_server.answer_with()]) for _ in range(3)]
 
-    def bind(self, route: list[str], organisation: list[str]) -> None:
+    def bind(self, route_regions: list[str], organisation_regions: list[str]) -> None:
         """Endpoints in three halls of three regions; the gateway is in the first."""
         document = stub_server.document(3)
         for each in document["routes"]:
-            each["allowedRegions"] = route
+            each["allowedRegions"] = route_regions
         for each in document["tenants"]:
-            each["allowedRegions"] = organisation
+            each["allowedRegions"] = organisation_regions
         self.known.table = RouteTable(
             decode_catalog(stub_server.encode_document(document))
         )
@@ -43,7 +44,9 @@
         )
         self.known.directory.replace(EndpointList(1, 2, endpoints), 0.0)
 
-    def answered(self, route: list[str], organisation: list[str]) -> list[int]:
+    def answers_by_endpoint(
+        self, route: list[str], organisation: list[str]
+    ) -> list[int]:
         """How many of 20 requests each endpoint got."""
 
         async def work() -> None:
@@ -55,15 +58,17 @@
         return [len(worker.requests) for worker in self.workers]
 
     def test_by_the_route(self) -> None:
-        self.assertEqual([0, 20, 0], self.answered(["south"], []))
+        self.assertEqual([0, 20, 0], self.answers_by_endpoint(["south"], []))
 
     def test_by_the_organisation(self) -> None:
-        self.assertEqual([0, 0, 20], self.answered([], ["west"]))
+        self.assertEqual([0, 0, 20], self.answers_by_endpoint([], ["west"]))
 
-    def test_both_bind(self) -> None:
-        self.assertEqual([0, 20, 0], self.answered(["north", "south"], ["south"]))
+    def test_both_are_bound(self) -> None:
+        self.assertEqual(
+            [0, 20, 0], self.answers_by_endpoint(["north", "south"], ["south"])
+        )
 
-    def refused(self, route: list[str], organisation: list[str]) -> None:
+    def check_refused(self, route: list[str], organisation: list[str]) -> None:
         async def work() -> None:
             self.bind(route, organisation)
             status, got = await self.call(ask("/once/1", method="POST"))
@@ -76,10 +81,10 @@
 
     def test_where_none_can_serve(self) -> None:
         """It is refused at once, and no endpoint elsewhere gets its body."""
-        self.refused(["east"], [])
+        self.check_refused(["east"], [])
 
     def test_regions_that_exclude_each_other(self) -> None:
-        self.refused(["north"], ["south"])
+        self.check_refused(["north"], ["south"])
 
     def test_a_hall_of_no_known_region(self) -> None:
         async def work() -> None:
