--- a/tests/backoff_soak.py
+++ b/tests/backoff_soak.py
@@ -1,12 +1,13 @@
-"""Random worlds of endpoints that shed and leave: backoffs of any length that are
-prolonged, shares of requests that are turned away, gateways that start again, stand
-still or are cut off, lists that lack an entry, messages that come late or are lost.
+"""Random worlds of endpoints that shed and leave, to be checked for broken rules.
+
+Backoffs of any length are prolonged, shares of requests refused, gateways restarted,
+suspended or cut off, lists lack an entry, and messages are late or lost.
 
 python -m tests.backoff_soak --seed 1 --worlds 200
 
-In each world no gateway that was not restarted or frozen since sends within a backoff,
-or to an endpoint that has told it that it leaves; and when all endpoints serve again,
-callers of all gateways are served.
+In each world no gateway that was not restarted or suspended since sends within a
+backoff, or to an endpoint that has reported to it that it leaves; and when all
+endpoints serve again, callers of all gateways are served.
 """
 
 from functools import partial
@@ -18,7 +19,7 @@
 
 GATEWAYS = (1, 2, 3, 7, 7, 11, 30)
 LENGTH_S = 30.0
-# All endpoints that do not leave serve from then on, and nothing befalls anybody.
+# From then on all endpoints that do not leave serve, and no fault occurs.
 FAULTS_END_S = 18.0
 # The longest backoff of a world is over by then.
 SETTLED_S = 26.0
@@ -26,11 +27,11 @@
 
 
 class RuleViolated(AssertionError):
-    """An endpoint got what it had asked not to get, or callers were not served."""
+    """Raised when an endpoint got refused sends, or callers were not served."""
 
 
 class SoakWorld(ShedWorld):
-    """A world with faults; `excused` are the gateways that one befell, and when."""
+    """A world with faults; `exempt` holds the gateways with a fault, and its time."""
 
     def __init__(self, plan: Plan) -> None:
         super().__init__(
@@ -42,7 +43,7 @@
         self._list_number = 1
 
     def draw(self) -> None:
-        """Plan what endpoints do and what befalls gateways, until the calm."""
+        """Schedules random behaviour of endpoints and faults of gateways."""
         for shedder in self.shedders:
             at_s = self.random.uniform(0.0, 4.0)
             while at_s < FAULTS_END_S:
@@ -70,11 +71,11 @@
         shedder.share = self.random.choice((0.1, 0.5, 1.0))
 
     def _list_without(self, number: int) -> None:
-        """A list that lacks an entry comes to all gateways; -1 for the whole one."""
+        """Gives all gateways a list without one entry; -1 for the complete list."""
         self._list_number += 1
         listed = tuple(e for n, e in enumerate(self._listed) if n != number)
-        for known in self.gateways:
-            known.directory.replace(
+        for context in self.gateways:
+            context.directory.replace(
                 EndpointList(1, self._list_number, listed), self.now_ms
             )
 
@@ -95,7 +96,7 @@
         self._record_exempting_fault("freeze", number, at_s, ends_s)
 
     def _disconnect(self, number: int, at_s: float) -> None:
-        """Nothing excuses a gateway that hears neither the others nor the core."""
+        """Cuts off a gateway from the others and the core; it is not exempt for that."""
         ends_s = at_s + self.random.uniform(1.0, 6.0)
         self.schedule_s(at_s, partial(self.cut_off, number))
         self.schedule_s(ends_s, partial(self.rejoin, number))
@@ -104,13 +105,13 @@
     def _settle(self) -> None:
         self.refused_before_settled = self.refused
 
-    # The checks.
+    # Checks.
 
     def check(self) -> None:
-        """Raise `RuleBroken` if a request went where none may, or callers had none."""
-        for gateway, index, asked_s, until_s in self.backoffs:
-            ends_s = min(until_s, self._next_fault_s(gateway, asked_s))
-            within = self.sends_within(gateway, index, asked_s, ends_s)
+        """Raises `RuleViolated` for a forbidden send, or if callers were not served."""
+        for gateway, index, requested_s, until_s in self.backoffs:
+            ends_s = min(until_s, self._next_fault_s(gateway, requested_s))
+            within = self.sends_within(gateway, index, requested_s, ends_s)
             if within > WITHIN_BACKOFF_MAX:
                 raise RuleViolated(
                     f"{within} within a backoff of {gateway}, {self.plan}"
@@ -125,7 +126,7 @@
             raise RuleViolated(f"{refused} refused when all serve, {self.plan}")
 
     def _next_fault_s(self, gateway: int, since_s: float) -> float:
-        """When something next befell a gateway; that excuses it from then on."""
+        """Returns the time of a gateway's next fault, which exempts it from then on."""
         later = (
             max(begin_s, since_s)
             for number, begin_s, end_s in self.exempt
@@ -135,7 +136,7 @@
 
 
 def run_world(seed: int) -> Plan:
-    """Play the world of a seed; raises `RuleBroken`."""
+    """Simulates the world of a seed; raises `RuleViolated`."""
     plan = draw_plan(seed, GATEWAYS)
     world = SoakWorld(plan)
     world.draw()
--- a/tests/crash_simulation.py
+++ b/tests/crash_simulation.py
@@ -1,11 +1,12 @@
-"""A load of ordinary requests with a few that crash the engines that run them, in one
-process and in virtual time.
-
-Gateways choose engines and hold contents back by the product's own code, each with its
-own knowledge. What they find of crashes reaches the others after `TOLD_MS`. Engines
-run any number of requests at once, end `CRASH_AFTER_MS` after they have begun the
-crashing one, and are back under another id after `BACK_MS`. Reading, queues, halls and
-lost messages are not modelled.
+"""Simulates a load of ordinary requests with a few that crash the engines that run
+them.
+
+All run in one process and in virtual time. Gateways choose engines and quarantine
+requests by the product's own code, each with its own context. The crashes that they
+record reach the others after `BROADCAST_MS`. Engines run any number of requests at
+once, crash `CRASH_AFTER_MS` after they have begun the crashing one, and are back under
+another id after `RESTART_MS`. Prefill times, queues, halls and lost messages are not
+modelled.
 """
 
 import heapq
@@ -40,16 +41,17 @@
 CRASH_AFTER_MS = 60.0
 RESTART_MS = 2000.0
 BROADCAST_MS = 100.0
-# A caller tries once more this long after it was told of a failure.
+# A caller tries once more this long after a failure.
 REPEAT_MS = 100.0
 BEGUN_UNIX_MS = 1_800_000_000_000
 
 
 @dataclass(frozen=True)
 class CrashLoad:
-    """Ordinary requests, each run for `held_ms`, and crashing ones.
+    """Ordinary requests, each running for `run_ms`, and crashing ones.
 
-    Each of `crashing` contents comes again every `again_ms`, and once more each time.
+    Each of the `crashing` requests is sent every `interval_ms`, and repeated once each
+    time.
     """
 
     requests_per_s: float = 40.0
@@ -61,8 +63,10 @@
 
 @dataclass
 class CrashOutcome:
-    """`crashes` of engines; of the ordinary requests, those that were `served`, that
-    `failed`, and whose content was `held` at the end.
+    """The number of engine crashes, and the outcomes of the ordinary requests.
+
+    Of those, `served` and `failed` count the ones with that outcome, and `quarantined`
+    the ones whose fingerprint was quarantined at the end.
     """
 
     crashes: int = 0
@@ -83,8 +87,10 @@
 
 
 class CrashWorld:
-    """Without `holds`, no content is refused; without `parts`, those that have run at
-    a crash go to the cheapest engine like all others.
+    """Simulates gateways and engines.
+
+    Without `quarantines`, no request is refused; without `isolates`, requests that have
+    run at a crash go to the cheapest engine like all others.
     """
 
     def __init__(
@@ -113,7 +119,7 @@
             self._start_engine()
 
     def _new_gateway(self, table: RouteTable, number: int, seed: int) -> Knowledge:
-        known = Knowledge(
+        context = Knowledge(
             "hall-1",
             f"vm-{number}",
             VersionChooser(SessionVersions(5000.0)),
@@ -121,13 +127,13 @@
             BudgetTerms(0.9, 50.0, 10_000.0),
             generator=random.Random(f"{number} {seed}"),
         )
-        known.table = table
+        context.table = table
         for n in range(20):
             tokens = SUBJECT_TOKENS
-            known.pace.record_first_event(
+            context.pace.record_first_event(
                 "app", MODEL, tokens, tokens * TOKEN_MS, float(n)
             )
-        return known
+        return context
 
     def _start_engine(self) -> None:
         self._at_engine[f"i-{next(self._incarnations)}"] = []
@@ -138,29 +144,29 @@
             Endpoint(name, "app", f"{name}:1", "hall-1", "v1", SLOTS, False)
             for name in self._at_engine
         )
-        for known in self.gateways:
-            number = known.directory.order[1] + 1
-            known.directory.replace(EndpointList(1, number, endpoints), self.now_ms)
+        for context in self.gateways:
+            number = context.directory.order[1] + 1
+            context.directory.replace(EndpointList(1, number, endpoints), self.now_ms)
 
     def run(self, load: CrashLoad) -> CrashOutcome:
-        """Play a load to its end."""
+        """Simulates a load to its end."""
         self._load = load
         at_ms = 0.0
-        for content in itertools.count(1000):
+        for fingerprint in itertools.count(1000):
             at_ms += self._random.expovariate(load.requests_per_s) * 1000.0
             if at_ms > load.length_ms:
                 break
-            self._schedule_request(at_ms, content, crashing=False)
-        for content in range(load.crashing):
+            self._schedule_request(at_ms, fingerprint, crashing=False)
+        for fingerprint in range(load.crashing):
             first_ms = self._random.uniform(0.1, 1.0) * load.interval_ms
             times = int((load.length_ms - first_ms) / load.interval_ms)
             for time in range(times):
                 self._schedule_request(
-                    first_ms + time * load.interval_ms, content, crashing=True
+                    first_ms + time * load.interval_ms, fingerprint, crashing=True
                 )
         while self._events:
-            self.now_ms, _, what = heapq.heappop(self._events)
-            what()
+            self.now_ms, _, action = heapq.heappop(self._events)
+            action()
         self.outcome.quarantined = sum(self._is_quarantined(c) for c in self._ordinary)
         return self.outcome
 
@@ -179,27 +185,29 @@
     def _schedule_request(self, at_ms: float, fingerprint: int, crashing: bool) -> None:
         if not crashing:
             self._ordinary.add(fingerprint)
-        known = self._random.choice(self.gateways)
-        request = _Request(fingerprint, crashing, _make_request(fingerprint), known, 1)
+        context = self._random.choice(self.gateways)
+        request = _Request(
+            fingerprint, crashing, _make_request(fingerprint), context, 1
+        )
         self._schedule(at_ms, lambda: self._send(request))
 
-    # One request.
+    # Requests.
 
     def _send(self, request: _Request) -> None:
-        known = request.context
-        quarantine = known.quarantine
+        context = request.context
+        quarantine = context.quarantine
         if self._quarantines and quarantine.held_ms(request.fingerprint, self._unix_ms):
             self._fail(request)
             return
-        assert known.table is not None
-        states = list(known.directory.of_service("app"))
-        apart = self._isolates and quarantine.crashes(request.fingerprint) > 0
+        assert context.table is not None
+        states = list(context.directory.of_service("app"))
+        isolated = self._isolates and quarantine.crashes(request.fingerprint) > 0
         chosen = choose_endpoint(
-            known,
-            known.table.services["app"],
+            context,
+            context.table.services["app"],
             AllowedEndpoints(states, VersionReason.NO_ROLLOUT),
             frozenset(request.tried),
-            Send(request.ask, MODEL, 1500.0, apart),
+            Send(request.ask, MODEL, 1500.0, isolated),
             self.now_ms,
         )
         if chosen is None or request.sends >= ATTEMPTS_MAX:
@@ -245,8 +253,8 @@
             self._send(request)
 
     def _broadcast(self, record: CrashRecord) -> None:
-        for known in self.gateways:
-            known.quarantine.learn(record)
+        for context in self.gateways:
+            context.quarantine.learn(record)
 
     def _fail(self, request: _Request) -> None:
         if request.tries_left:
--- a/tests/crashing.py
+++ b/tests/crashing.py
@@ -1,5 +1,5 @@
-"""Engines that end when they run a certain request, as a process that crashes: all
-connections are closed and nobody listens until they are back under another id.
+"""Engines that crash when they run a certain request: all their connections are closed
+and nothing listens until they are back under another id.
 """
 
 import asyncio
@@ -18,31 +18,31 @@
     head,
 )
 
-# What the request that ends engines asks for.
+# The body of the request that crashes engines.
 CRASHING_BODY = b"the request that ends engines"
-# From the beginning of an answer to the end of the engine.
+# The time from the beginning of an answer to the crash of the engine.
 CRASH_AFTER_S = 0.05
-# How long an ordinary answer takes.
+# The duration of an ordinary answer.
 ANSWER_S = 0.2
 
 
 @dataclass
 class CrashLog:
-    """What engines saw of the request: when it came, and when it ended one."""
+    """When the crashing request arrived at engines, and when it crashed one."""
 
     arrivals_s: list[float] = field(default_factory=list)
     crashes_s: list[float] = field(default_factory=list)
 
     def arrivals_after(self, at_s: float) -> int:
-        """How often it came to an engine later than at a time."""
-        return sum(came > at_s for came in self.arrivals_s)
+        """Returns how often the request arrived at an engine after a time."""
+        return sum(arrival_s > at_s for arrival_s in self.arrivals_s)
 
 
 @dataclass
 class CrashingEngine:
-    """One address; its process begins again `back_s` after it has ended.
+    """One address; its process restarts `restart_s` after a crash.
 
-    It sends so many `events` of the crashing request before it ends.
+    It sends `events` events of the crashing request before it crashes.
     """
 
     host: str
@@ -56,7 +56,7 @@
     running: StandIn | None = None
 
     async def start(self) -> None:
-        """Begin a life of its own under a new id."""
+        """Starts an incarnation under a new id."""
         self.instance = f"i-{next(self.ids)}"
         self.running = StandIn([self._script()])
         await self.running.start(self.host, self.port)
--- a/tests/limit_simulation.py
+++ b/tests/limit_simulation.py
@@ -1,9 +1,9 @@
-"""Endpoints that name rate limits and the gateways before them, in one process and in
-virtual time.
+"""Simulates endpoints that name rate limits and the gateways before them.
 
-Gateways choose endpoints, learn limits and tell each other by the product's own code,
-each with its own knowledge. A datagram takes a drawn time and may be lost. Endpoints
-answer after a fixed time and name the limit that they have at that moment.
+All run in one process and in virtual time. Gateways choose endpoints, apply limits and
+broadcast to each other by the product's own code, each with its own context. A datagram
+takes a random time and may be lost. Endpoints answer after a fixed time and name the
+limit that they have at that moment.
 """
 
 import asyncio
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Network:
-    """Datagrams take up to `delay_ms`, and this share of them is lost."""
+    """Datagrams take up to `delay_ms`, and the share `lost` of them is lost."""
 
     delay_ms: float = 5.0
     lost: float = 0.0
@@ -52,7 +52,7 @@
 
 @dataclass
 class SimulatedEndpoint:
-    """One endpoint: its limit now, and when requests came."""
+    """One endpoint: its current limit, and the arrival times of requests."""
 
     limit_per_s: float = NO_LIMIT
     arrivals_s: list[float] = field(default_factory=list)
@@ -60,14 +60,14 @@
 
 @dataclass
 class Refusal:
-    """A request that found no endpoint: when, and after what time to come back."""
+    """A request that found no endpoint: its time, and the time until the retry."""
 
     at_s: float
     after_s: float
 
 
 class LimitWorld:
-    """`gateways` before `endpoints`, all of one plain service."""
+    """Simulates `gateways` and `endpoints`, all of one plain service."""
 
     def __init__(
         self,
@@ -85,11 +85,11 @@
         self.refusals: list[Refusal] = []
         self.served = [0] * gateways
         self.disconnected: set[int] = set()
-        # What has come for gateways that stand still, in its order.
+        # The events for suspended gateways, in their order.
         self.suspended: dict[int, list[Callable[[], None]]] = {}
-        # When requests came to each endpoint, and from which gateway.
+        # For each endpoint, the times and gateways of its requests.
         self.sends: list[list[tuple[float, int]]] = [[] for _ in range(endpoints)]
-        # When answers that name a limit came from each, and to which gateway.
+        # For each endpoint, the times and gateways of its answers that name a limit.
         self.limit_answers: list[list[tuple[float, int]]] = [
             [] for _ in range(endpoints)
         ]
@@ -108,15 +108,15 @@
         self.gateways: list[Knowledge] = []
         self._peers: list[GatewayPeers] = []
         for number in range(gateways):
-            known, peers = self._new_gateway(number, -GATEWAYS_KNOWN_MS)
-            self.gateways.append(known)
+            context, peers = self._new_gateway(number, -GATEWAYS_KNOWN_MS)
+            self.gateways.append(context)
             self._peers.append(peers)
 
     def _new_gateway(
         self, number: int, core_received_ms: float
     ) -> tuple[Knowledge, GatewayPeers]:
         vm = self._vms[number]
-        known = Knowledge(
+        context = Knowledge(
             vm.hall,
             vm.address,
             VersionChooser(SessionVersions(5000.0)),
@@ -124,47 +124,47 @@
             BudgetTerms(0.9, 50.0, 10_000.0),
             generator=random.Random(self.random.random()),
         )
-        known.table = self._table
-        known.gateways = self._vms
-        known.cold = ColdSendLimiter(vm)
-        known.cold.gateways_received(core_received_ms)
-        known.directory.replace(EndpointList(1, 1, self._listed), self.now_ms)
-        peers = GatewayPeers(known)
+        context.table = self._table
+        context.gateways = self._vms
+        context.cold = ColdSendLimiter(vm)
+        context.cold.gateways_received(core_received_ms)
+        context.directory.replace(EndpointList(1, 1, self._listed), self.now_ms)
+        peers = GatewayPeers(context)
         peers._own = vm
         peers._transport = cast(Any, self)
-        known.tell = peers.tell
-        return known, peers
+        context.tell = peers.tell
+        return context, peers
 
     def restart(self, number: int) -> None:
-        """A gateway begins anew, and knows nothing of limits."""
-        known, peers = self._new_gateway(number, self.now_ms)
-        self.gateways[number], self._peers[number] = known, peers
+        """Restarts a gateway, which forgets all limits."""
+        context, peers = self._new_gateway(number, self.now_ms)
+        self.gateways[number], self._peers[number] = context, peers
 
     def cut_off(self, number: int) -> None:
-        """A gateway hears neither the others nor the core, and knows that."""
+        """Disconnects a gateway from the others and the core; it knows that."""
         self.disconnected.add(number)
         self.gateways[number].core_in_touch = False
 
     def rejoin(self, number: int) -> None:
-        """A gateway hears the others and the core again."""
+        """Reconnects a gateway to the others and the core."""
         self.disconnected.discard(number)
         self.gateways[number].core_in_touch = True
 
     def resume(self, number: int) -> None:
-        """A gateway goes on with all that has come for it meanwhile."""
-        for what in self.suspended.pop(number, ()):
-            what()
+        """Resumes a gateway with all events since its suspension."""
+        for action in self.suspended.pop(number, ()):
+            action()
 
-    # The network.
+    # Network.
 
     def sendto(self, data: bytes, to: tuple[str, int]) -> None:
-        """Bring a datagram to a gateway, or lose it."""
+        """Delivers a datagram to a gateway, or loses it."""
         self.datagrams += 1
         number = self._numbers[f"{to[0]}:{to[1]}"]
         if number in self.disconnected or self.random.random() < self.network.lost:
             return
         after_ms = self.random.uniform(0.2, 1.0) * self.network.delay_ms
-        # To whoever has the address by then.
+        # It goes to the gateway that has the address by then.
         self.schedule(self.now_ms + after_ms, lambda: self._deliver(number, data))
 
     def _deliver(self, number: int, data: bytes) -> None:
@@ -173,14 +173,14 @@
             return
         self._peers[number].datagram_received(data, ("g", 1))
 
-    # Time.
+    # Time and load.
 
     def schedule(self, at_ms: float, action: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Schedules an action at a time."""
         heapq.heappush(self._events, (at_ms, next(self._order), action))
 
     def limit(self, number: int, per_s: float, at_s: float = 0.0) -> None:
-        """An endpoint takes this many requests a second from a time on."""
+        """Sets the requests per second that an endpoint accepts from a time on."""
 
         def change() -> None:
             self.endpoints[number].limit_per_s = per_s
@@ -188,7 +188,7 @@
         self.schedule(at_s * 1000.0, change)
 
     def run(self, requests_per_s: float, length_s: float, from_s: float = 0.0) -> None:
-        """Play a load; gateways get uneven shares of it."""
+        """Simulates a load; gateways get uneven shares of it."""
         weights = [0.3 + self.random.random() for _ in self.gateways]
         at_s = from_s
         while (at_s := at_s + self.random.expovariate(requests_per_s)) < length_s:
@@ -201,8 +201,8 @@
             loop.time = lambda: self.now_ms / 1000.0
             try:
                 while self._events:
-                    self.now_ms, _, what = heapq.heappop(self._events)
-                    what()
+                    self.now_ms, _, action = heapq.heappop(self._events)
+                    action()
             finally:
                 loop.time = real_time
 
@@ -212,10 +212,10 @@
         if number in self.suspended:
             self.suspended[number].append(partial(self._arrive, number))
             return
-        known = self.gateways[number]
-        states = list(known.directory.of_service("app"))
+        context = self.gateways[number]
+        states = list(context.directory.of_service("app"))
         chosen = choose_endpoint(
-            known,
+            context,
             self._table.services["app"],
             AllowedEndpoints(states, VersionReason.NO_ROLLOUT),
             frozenset(),
@@ -224,12 +224,12 @@
         )
         if chosen is None:
             service = self._table.services["app"]
-            found = find_retry_time(known, service, states, self.now_ms)
-            assert found is not None
-            self.refusals.append(Refusal(self.now_ms / 1000.0, found.after_s))
+            retry_time = find_retry_time(context, service, states, self.now_ms)
+            assert retry_time is not None
+            self.refusals.append(Refusal(self.now_ms / 1000.0, retry_time.after_s))
             return
         state = chosen.state
-        record_limited_send(known, state, self.now_ms)
+        record_limited_send(context, state, self.now_ms)
         state.sent(self.now_ms)
         self.served[number] += 1
         index = int(state.endpoint.instance.partition("-")[2])
@@ -239,7 +239,7 @@
         sent_ms = self.now_ms
 
         def answer() -> None:
-            self._receive_answer(number, known, state, endpoint.limit_per_s, sent_ms)
+            self._receive_answer(number, context, state, endpoint.limit_per_s, sent_ms)
 
         self.schedule(self.now_ms + self.answer_ms, answer)
 
@@ -251,7 +251,7 @@
         limit_per_s: float,
         sent_ms: float,
     ) -> None:
-        """An answer that named this limit when it was made comes to a gateway."""
+        """Handles an answer that named this limit when it was sent."""
         if number in self.suspended:
             later = partial(
                 self._receive_answer, number, context, state, limit_per_s, sent_ms
@@ -262,8 +262,8 @@
             index = int(state.endpoint.instance.partition("-")[2])
             self.limit_answers[index].append((self.now_ms / 1000.0, number))
         state.load.finished(self.now_ms, None)
-        answered = LimitReport("r", limit_per_s, sent_ms, True)
-        apply_answer_limit(context, state, answered, self.now_ms)
+        report = LimitReport("r", limit_per_s, sent_ms, True)
+        apply_answer_limit(context, state, report, self.now_ms)
 
 
 REQUEST = Ask(
--- a/tests/limit_soak.py
+++ b/tests/limit_soak.py
@@ -1,12 +1,13 @@
-"""Random worlds of limited endpoints: limits that change at any moment, gateways that
-start again, stand still or are cut off, endpoints that begin another life, messages
-that are late or lost.
+"""Random worlds of limited endpoints, to be checked for broken bounds.
+
+Limits change at any moment, gateways restart, are suspended or cut off, endpoints
+restart, and messages are late or lost.
 
 python -m tests.limit_soak --seed 1 --worlds 200
 
-In each world, whatever befalls, an endpoint gets within any span no more than users
-allow, from gateways that nothing has befallen lately; and when all limits have ended,
-the gateways of its hall find that out.
+In each world, whatever fault occurs, an endpoint gets within any window no more than
+users allow, from gateways that had no fault lately; and when all limits have ended, the
+gateways of its hall find that out.
 """
 
 from functools import partial
@@ -18,26 +19,26 @@
 
 GATEWAYS = (1, 2, 3, 7, 7, 11, 30, 61)
 LENGTH_S = 40.0
-# All limits have ended from then on, and nothing befalls anybody.
+# All limits end by then, and no fault occurs afterwards.
 FAULTS_END_S = 28.0
-# Then an endpoint that takes nothing has been asked again; a gateway with so many sends
-# for each endpoint since has asked each of its hall.
+# By then an endpoint with a limit of zero has been probed again; a gateway with this
+# many sends for each endpoint since then has sent to each endpoint of its hall.
 SETTLED_S = 36.0
 BUSY_SENDS = 5
-# How long a fault excuses its gateway, and how long after its first naming a limit
-# begins to bind.
+# How long a gateway is exempt after a fault, and how long after its first naming a
+# limit begins to bind.
 TOLERANCE_S = 3.0
-# A gateway is bound when it has had such an answer for this long.
+# A gateway is bound when it has had an answer with the limit for this long.
 APPLIED_AFTER_S = 0.5
 LIMITS = (0.0, 0.3, 1.0, 2.0, 5.0, 20.0, NO_LIMIT)
 
 
 class BoundExceeded(AssertionError):
-    """An endpoint got more than users allow."""
+    """Raised when an endpoint got more than users allow."""
 
 
 class SoakWorld(LimitWorld):
-    """A world with faults; `excused` are spans of gateways, from their faults on."""
+    """A world with faults; `exempt` holds the spans of gateways after their faults."""
 
     def __init__(self, plan: Plan) -> None:
         super().__init__(
@@ -50,7 +51,7 @@
         ]
 
     def draw(self) -> None:
-        """Plan limits and faults until the calm."""
+        """Schedules random limits and faults until the end of the faults."""
         for number in range(self.plan.endpoints):
             at_s = self.random.uniform(0.0, 3.0)
             while at_s < FAULTS_END_S:
@@ -92,11 +93,11 @@
         self._record_fault("cut", number, at_s, ends_s)
 
     def _restart_endpoint(self, number: int, at_s: float) -> None:
-        """An endpoint's process ends, as all are told, and comes back unlimited."""
+        """Restarts an endpoint without a limit, as all gateways receive."""
 
         def begin() -> None:
-            for known in self.gateways:
-                state = known.directory.state(f"i-{number}")
+            for context in self.gateways:
+                state = context.directory.state(f"i-{number}")
                 assert state is not None
                 state.refuses(self.now_ms)
 
@@ -104,26 +105,26 @@
         self.plan.faults.append(f"endpoint {number} begins anew at {at_s:.1f}")
         self._change(number, NO_LIMIT, at_s)
 
-    # The checks.
+    # Checks.
 
     def check(self) -> None:
-        """Raise `BoundPassed` if an endpoint got too much, or is left alone."""
+        """Raises `BoundExceeded` if an endpoint got too much, or is avoided."""
         for number in range(self.plan.endpoints):
             self._check_bound(number)
             self._check_limit_ended(number)
 
     def _check_limit_ended(self, number: int) -> None:
-        """Gateways of the endpoint's hall have found out that its limit has ended.
+        """Checks that gateways of the endpoint's hall know that its limit has ended.
 
-        Those that have had requests enough since to choose it for one.
+        Only gateways count that had enough requests since then to choose it for one.
         """
         state = self.gateways[0].directory.state(f"i-{number}")
         assert state is not None
-        for gateway, known in enumerate(self.gateways):
-            own = known.directory.state(f"i-{number}")
-            assert own is not None
-            near = known.hall == state.endpoint.hall
-            if near and own.limit.limited and self._was_busy(gateway):
+        for gateway, context in enumerate(self.gateways):
+            local = context.directory.state(f"i-{number}")
+            assert local is not None
+            in_hall = context.hall == state.endpoint.hall
+            if in_hall and local.limit.limited and self._was_busy(gateway):
                 raise BoundExceeded(f"i-{number} is left alone, {self.plan}")
 
     def _was_busy(self, gateway: int) -> bool:
@@ -141,26 +142,26 @@
         for (begin_s, per_s), end_s in zip(changes, ends, strict=True):
             if per_s == NO_LIMIT:
                 continue
-            told_s = self._first_named_s(number, begin_s)
-            counts_s = min(told_s.values(), default=LENGTH_S) + TOLERANCE_S
-            came_s = [
+            first_named_s = self._first_named_s(number, begin_s)
+            bound_s = min(first_named_s.values(), default=LENGTH_S) + TOLERANCE_S
+            arrivals_s = [
                 at_s
                 for at_s, gateway in self.sends[number]
-                if counts_s <= at_s < end_s
-                and at_s > told_s.get(gateway, LENGTH_S) + APPLIED_AFTER_S
+                if bound_s <= at_s < end_s
+                and at_s > first_named_s.get(gateway, LENGTH_S) + APPLIED_AFTER_S
                 and not self._is_exempt(gateway, at_s)
             ]
-            most = most_within(came_s, WINDOW_S)
+            most = most_within(arrivals_s, WINDOW_S)
             if most > allowed(per_s):
                 raise BoundExceeded(f"i-{number}: {most} at {per_s}, {self.plan}")
 
     def _first_named_s(self, number: int, begin_s: float) -> dict[int, float]:
-        """When each gateway had its first answer that named the limit of a time."""
-        told_s: dict[int, float] = {}
+        """Returns when each gateway first got an answer that named a limit's value."""
+        first_named_s: dict[int, float] = {}
         for at_s, gateway in self.limit_answers[number]:
             if at_s >= begin_s:
-                told_s.setdefault(gateway, at_s)
-        return told_s
+                first_named_s.setdefault(gateway, at_s)
+        return first_named_s
 
     def _is_exempt(self, gateway: int, at_s: float) -> bool:
         return any(
@@ -170,7 +171,7 @@
 
 
 def run_world(seed: int) -> Plan:
-    """Play the world of a seed; raises `BoundPassed`."""
+    """Simulates the world of a seed; raises `BoundExceeded`."""
     plan = draw_plan(seed, GATEWAYS)
     world = SoakWorld(plan)
     world.draw()
--- a/tests/limited.py
+++ b/tests/limited.py
@@ -1,4 +1,4 @@
-"""Endpoints that name a rate limit in their answers, and how much they got."""
+"""Endpoints that name a rate limit in their answers, and counts of their requests."""
 
 import asyncio
 import time
@@ -7,20 +7,20 @@
 from ashlatch.policy.rate_limit import NO_LIMIT
 from tests.standin import Received, StandIn, whole
 
-# The users' bound: within any of these spans an endpoint gets no more than one and a
-# half times what its limit allows, and some requests.
+# The users' bound: within any window of this length an endpoint gets no more than one
+# and a half times what its limit allows, and some extra requests.
 WINDOW_S = 4.0
 OVERRUN = 1.5
 EXTRA = 5.0
 
 
 def allowed(limit_per_s: float) -> float:
-    """How many requests the users allow within a span."""
+    """Returns how many requests the users allow within a window."""
     return OVERRUN * WINDOW_S * limit_per_s + EXTRA
 
 
 def most_within(times_s: list[float], window_s: float = WINDOW_S) -> int:
-    """The most that came within a span."""
+    """Returns the most requests that arrived within a window."""
     times_s = sorted(times_s)
     most = first = 0
     for last, at_s in enumerate(times_s):
@@ -32,9 +32,7 @@
 
 @dataclass
 class LimitedEndpoint:
-    """A stand-in that answers after `answer_s` with a status, and names a limit while
-    it has one.
-    """
+    """A stand-in that answers after `answer_s`, and names its limit if it has one."""
 
     limit_per_s: float = NO_LIMIT
     answer_s: float = 0.0
@@ -53,5 +51,5 @@
         writer.write(whole(request, b"body", self.status, *headers))
 
     def arrivals_since(self, at_s: float) -> list[float]:
-        """When requests came after a time."""
-        return [came_s for came_s in self.arrivals_s if came_s > at_s]
+        """Returns the arrival times of requests after a time."""
+        return [arrival_s for arrival_s in self.arrivals_s if arrival_s > at_s]
--- a/tests/random_worlds.py
+++ b/tests/random_worlds.py
@@ -1,5 +1,5 @@
-"""What random worlds of endpoints and gateways have in common: the draw of their size
-and load, and the command that plays many of them.
+"""The common parts of random worlds of endpoints and gateways: the random size and
+load, and the command that runs many of them.
 """
 
 import argparse
@@ -12,7 +12,7 @@
 
 @dataclass
 class Plan:
-    """What a seed has drawn: the size, the load and the faults."""
+    """The random choices of a seed: the size, the load and the faults."""
 
     seed: int
     gateways: int
@@ -24,29 +24,31 @@
 
 
 def draw_plan(seed: int, gateways: tuple[int, ...]) -> Plan:
-    """The plan of a seed, with one of these numbers of gateways."""
-    drawn = random.Random(seed)
+    """Returns the plan of a seed, with one of these numbers of gateways."""
+    generator = random.Random(seed)
     return Plan(
         seed,
-        drawn.choice(gateways),
-        drawn.choice((1, 2, 3, 5, 9)),
-        drawn.choice((20.0, 60.0, 150.0)),
-        Network(drawn.choice((1.0, 5.0, 25.0)), drawn.choice((0.0, 0.0, 0.03, 0.1))),
-        drawn.choice((20.0, 100.0, 800.0)),
+        generator.choice(gateways),
+        generator.choice((1, 2, 3, 5, 9)),
+        generator.choice((20.0, 60.0, 150.0)),
+        Network(
+            generator.choice((1.0, 5.0, 25.0)), generator.choice((0.0, 0.0, 0.03, 0.1))
+        ),
+        generator.choice((20.0, 100.0, 800.0)),
     )
 
 
 def run_worlds(run: Callable[[int], object]) -> None:
-    """Play the worlds that the command line names, and print those that fail."""
+    """Runs the worlds given on the command line, and prints those that fail."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--worlds", type=int, default=50)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     failed = 0
-    for seed in range(given.seed, given.seed + given.worlds):
+    for seed in range(arguments.seed, arguments.seed + arguments.worlds):
         try:
             run(seed)
         except AssertionError as error:
             failed += 1
             print(error, flush=True)
-    print(f"{given.worlds} worlds from seed {given.seed}, {failed} failed")
+    print(f"{arguments.worlds} worlds from seed {arguments.seed}, {failed} failed")
--- a/tests/session_simulation.py
+++ b/tests/session_simulation.py
@@ -1,7 +1,7 @@
-"""Sessions whose requests come by many gateways while a trial begins, in virtual time.
+"""Simulates sessions whose requests use many gateways while a trial begins.
 
-python -m tests.session_play prints how many requests run on another version than the
-one before them in their session, with and without messages between gateways.
+`python -m tests.session_simulation` prints how many requests run on another version
+than the previous one of their session, with and without messages between gateways.
 """
 
 import heapq
@@ -29,14 +29,14 @@
 COMMAND_MS, TRIAL_MS, LENGTH_MS = 1000.0, 3000.0, 13_000.0
 SHARE = 0.07
 DURATION_MS = 24_000.0
-# A gateway tells the core which sessions run with each question, and the leader hears
-# that from another core VM with its next one.
+# The interval at which a gateway reports its running sessions to the core, and the one
+# at which the leader receives that from another core VM.
 SYNC_INTERVAL_MS, FOLLOWER_SYNC_MS = 500.0, 300.0
 
 
 @dataclass(frozen=True)
 class Load:
-    """Gateways, sessions a second, and what becomes of the messages between them."""
+    """Gateways, sessions per second, and the network between the gateways."""
 
     gateways: int
     sessions_per_s: float
@@ -55,7 +55,10 @@
 
 @dataclass
 class SessionWorld:
-    """One roll-out; `moved` are requests on another version than the one before."""
+    """One roll-out.
+
+    `moved` counts requests on another version than the previous one of their session.
+    """
 
     load: Load
     seed: int
@@ -79,7 +82,7 @@
         self.gateways: list[Knowledge] = []
         self._peers: list[GatewayPeers] = []
         for vm in self._vms:
-            known = Knowledge(
+            context = Knowledge(
                 vm.hall,
                 vm.address,
                 VersionChooser(SessionVersions(SESSION_MS)),
@@ -87,22 +90,22 @@
                 BudgetTerms(0.9, 50.0, 10_000.0),
                 generator=random.Random(self.random.random()),
             )
-            known.gateways = self._vms
-            known.directory.replace(EndpointList(1, 1, listed), 0.0)
-            peers = GatewayPeers(known)
+            context.gateways = self._vms
+            context.directory.replace(EndpointList(1, 1, listed), 0.0)
+            peers = GatewayPeers(context)
             peers._own = vm
             peers._transport = cast(Any, self)
             if self.load.broadcasts:
-                known.tell = peers.tell
-            self.gateways.append(known)
+                context.tell = peers.tell
+            self.gateways.append(context)
             self._peers.append(peers)
 
     def schedule(self, at_ms: float, action: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Schedules an action at a time."""
         heapq.heappush(self._events, (at_ms, next(self._order), action))
 
     def sendto(self, data: bytes, to: tuple[str, int]) -> None:
-        """Bring a datagram to a gateway, or lose it."""
+        """Delivers a datagram to a gateway, or loses it."""
         self.datagrams += 1
         if self.random.random() < self.load.lost:
             return
@@ -111,13 +114,13 @@
         self.schedule(self.now_ms + after_ms, partial(self._deliver, number, data))
 
     def _deliver(self, number: int, data: bytes) -> None:
-        news: PeerNews = decode(data, PeerNews)
-        HEARD.call(self.gateways[number], news, Teller("g", self.now_ms))
-        if isinstance(news, HallNews) and news.for_hall:
-            self._peers[number]._relay(news)
+        update: PeerNews = decode(data, PeerNews)
+        HEARD.call(self.gateways[number], update, Teller("g", self.now_ms))
+        if isinstance(update, HallNews) and update.for_hall:
+            self._peers[number]._relay(update)
 
     def run(self) -> "SessionWorld":
-        """Play all of it."""
+        """Runs the simulation to its end."""
         self._distribute(Rollout("app", "v2", RolloutStage.TRIAL, 0.0, 1, DURATION_MS))
         self.schedule(TRIAL_MS, self._begin_trial)
         at_ms = 0.0
@@ -126,28 +129,32 @@
             session = _Session(f"s{at_ms}", self.random.randrange(1, 5))
             self.schedule(at_ms, partial(self._send_request, session))
         while self._events:
-            self.now_ms, _, what = heapq.heappop(self._events)
-            what()
+            self.now_ms, _, action = heapq.heappop(self._events)
+            action()
         return self
 
     def _distribute(self, rollout: Rollout) -> None:
-        """All gateways learn a record within a time."""
+        """Distributes a roll-out's record to all gateways within some time."""
         begun_ms = COMMAND_MS if rollout.share == 0.0 else self.now_ms
-        for known in self.gateways:
-            heard_ms = begun_ms + self.random.uniform(0.0, self.load.received_within_ms)
-            self.schedule(heard_ms, partial(self._apply_rollout, known, rollout))
+        for context in self.gateways:
+            received_ms = begun_ms + self.random.uniform(
+                0.0, self.load.received_within_ms
+            )
+            self.schedule(received_ms, partial(self._apply_rollout, context, rollout))
 
     def _apply_rollout(self, context: Knowledge, rollout: Rollout) -> None:
         context.versions.apply_rollouts([rollout], self.now_ms)
 
     def _begin_trial(self) -> None:
         held: set[int] = set()
-        for known in self.gateways:
+        for context in self.gateways:
             age_ms = self.random.uniform(0.0, SYNC_INTERVAL_MS)
             age_ms += self.random.uniform(0.0, FOLLOWER_SYNC_MS)
-            for told in known.versions.sessions_to_report(self.now_ms):
-                begun = self._hashes_running_at(known, self.now_ms - age_ms)
-                held.update(mark for mark in told.marks if mark in begun)
+            for reported in context.versions.sessions_to_report(self.now_ms):
+                running = self._hashes_running_at(context, self.now_ms - age_ms)
+                held.update(
+                    hash_value for hash_value in reported.marks if hash_value in running
+                )
         self._distribute(
             Rollout(
                 "app", "v2", RolloutStage.TRIAL, SHARE, 2, DURATION_MS, 2000.0,
@@ -156,19 +163,27 @@
         )  # fmt: skip
 
     def _hashes_running_at(self, context: Knowledge, at_ms: float) -> set[int]:
-        """The marks of the sessions that ran at a gateway when it last told of them."""
+        """Returns the hashes of the sessions in the last report of a gateway."""
         versions = context.versions.sessions
-        kept = {k: s for k, s in versions._last_requests.items() if s.at_ms <= at_ms}
-        older = VersionChooser(SessionVersions(SESSION_MS, kept))
+        last_requests = {
+            k: s for k, s in versions._last_requests.items() if s.at_ms <= at_ms
+        }
+        older = VersionChooser(SessionVersions(SESSION_MS, last_requests))
         older.apply_rollouts(context.versions.rollouts.values())
-        return {m for told in older.sessions_to_report(at_ms) for m in told.marks}
+        return {
+            hash_value
+            for reported in older.sessions_to_report(at_ms)
+            for hash_value in reported.marks
+        }
 
     def _send_request(self, session: _Session) -> None:
-        known = self.random.choice(self.gateways)
-        states = known.directory.of_service("app")
-        allowed = known.versions.allowed("app", session.name, "r", states, self.now_ms)
+        context = self.random.choice(self.gateways)
+        states = context.directory.of_service("app")
+        allowed = context.versions.allowed(
+            "app", session.name, "r", states, self.now_ms
+        )
         version = allowed.states[0].endpoint.version
-        announce_session(known, "app", session.name, version, self.now_ms)
+        announce_session(context, "app", session.name, version, self.now_ms)
         self.requests += 1
         self.moved += bool(session.version) and version != session.version
         session.version = version
@@ -180,14 +195,14 @@
 
 def main() -> None:
     for gateways in (7, 61, 195):
-        for told in (False, True):
+        for broadcasts in (False, True):
             for lost in (0.0, 0.1):
-                load = Load(gateways, 150.0, told, lost)
+                load = Load(gateways, 150.0, broadcasts, lost)
                 worlds = [SessionWorld(load, seed).run() for seed in range(3)]
                 moved = [world.moved for world in worlds]
                 datagrams = sum(world.datagrams for world in worlds) / len(worlds)
                 print(
-                    f"{gateways} gateways, told {told}, lost {lost}: moved {moved}"
+                    f"{gateways} gateways, broadcasts {broadcasts}, lost {lost}: moved {moved}"
                     f" of {worlds[0].requests}, {datagrams:.0f} datagrams"
                 )
 
--- a/tests/shed_simulation.py
+++ b/tests/shed_simulation.py
@@ -1,9 +1,9 @@
-"""Endpoints that shed, ask for backoffs or leave, before many gateways in virtual time.
+"""Simulates endpoints that shed, request backoffs or leave, and many gateways.
 
-The gateways run the product's choice, notices, budgets and datagrams; a request is sent
-to one endpoint after another as an exchange does it.
+The gateways run the product's choice, notices, budgets and datagrams in virtual time; a
+request is sent to one endpoint after another as `ashlatch.gateway.exchange` does.
 
-python -m tests.shed_play prints what callers get while a part of the endpoints shed.
+`python -m tests.shed_simulation` prints what callers get while some endpoints shed.
 """
 
 from collections.abc import Callable
@@ -27,7 +27,7 @@
 
 @dataclass
 class Shedder:
-    """One endpoint: until when it sheds, and the backoff that it asks for then."""
+    """One endpoint: until when it sheds, and the backoff that it requests then."""
 
     sheds_until_s: float = 0.0
     backoff_s: float = 3.0
@@ -37,7 +37,7 @@
 
 @dataclass
 class _ActiveRequest:
-    """One caller's request under way at a gateway."""
+    """One caller's request at a gateway."""
 
     gateway: int
     context: Knowledge
@@ -45,7 +45,7 @@
 
 
 class ShedWorld(LimitWorld):
-    """`gateways` before `endpoints`; counts callers that are answered and refused."""
+    """Simulates `gateways` and `endpoints`; counts answered and refused callers."""
 
     def __init__(
         self,
@@ -60,24 +60,25 @@
         self.answered = 0
         self.refused = 0
         self.shed = 0
-        # Who was asked for a backoff when, by which endpoint, and until when.
+        # The requested backoffs: gateway, endpoint, time of the request and end of the
+        # backoff.
         self.backoffs: list[tuple[int, int, float, float]] = []
-        # Who had an answer that announces the end of which endpoint, and when.
+        # The answers that announce that an endpoint leaves: gateway, endpoint and time.
         self.leaving_notices: list[tuple[int, int, float]] = []
 
     def _arrive(self, number: int) -> None:
         if number in self.suspended:
             self.suspended[number].append(partial(self._arrive, number))
             return
-        known = self.gateways[number]
-        known.budget("app").record_request(self.now_ms)
-        self._send(_ActiveRequest(number, known))
+        context = self.gateways[number]
+        context.budget("app").record_request(self.now_ms)
+        self._send(_ActiveRequest(number, context))
 
     def _send(self, request: _ActiveRequest) -> None:
-        known = request.context
-        states = list(known.directory.of_service("app"))
+        context = request.context
+        states = list(context.directory.of_service("app"))
         chosen = choose_endpoint(
-            known,
+            context,
             self._table.services["app"],
             AllowedEndpoints(states, VersionReason.NO_ROLLOUT),
             frozenset(request.tried),
@@ -147,28 +148,30 @@
         if head.leaving:
             self.leaving_notices.append((gateway, index, now_s))
 
-    def schedule_s(self, at_s: float, what: Callable[[], None]) -> None:
-        """Do something at a time in seconds."""
-        self.schedule(at_s * 1000.0, what)
+    def schedule_s(self, at_s: float, action: Callable[[], None]) -> None:
+        """Schedules an action at a time in seconds."""
+        self.schedule(at_s * 1000.0, action)
 
     def sends_within(
-        self, gateway: int, index: int, asked_s: float, until_s: float
+        self, gateway: int, index: int, requested_s: float, until_s: float
     ) -> int:
-        """The sends of a gateway to an endpoint in a span, but for its first moment."""
+        """Counts a gateway's sends to an endpoint in a span after the grace time."""
         return sum(
-            sender == gateway and asked_s + GRACE_S < at_s < until_s
+            sender == gateway and requested_s + GRACE_S < at_s < until_s
             for at_s, sender in self.sends[index]
         )
 
     def most_within_backoff(self) -> int:
-        """The most sends of a gateway within a backoff that it was asked for."""
-        return max((self.sends_within(*asked) for asked in self.backoffs), default=0)
+        """Returns the most sends of a gateway within a backoff requested from it."""
+        return max(
+            (self.sends_within(*backoff) for backoff in self.backoffs), default=0
+        )
 
 
 def run_shedding(
     gateways: int, shedding: int, endpoints: int, per_s: float, seed: int
 ) -> ShedWorld:
-    """Some endpoints shed from 2 to 14 s, and serve again; 20 s in all."""
+    """Simulates 20 s in which some endpoints shed from 2 to 14 s."""
     world = ShedWorld(gateways, endpoints, seed)
     for shedder in world.shedders[:shedding]:
         world.schedule_s(2.0, partial(setattr, shedder, "sheds_until_s", 14.0))
--- a/tests/shedding.py
+++ b/tests/shedding.py
@@ -1,4 +1,6 @@
-"""Endpoints that turn requests away and ask for a backoff, and what they got in it."""
+"""Endpoints that refuse requests and request a backoff, and the count of requests in
+it.
+"""
 
 import asyncio
 import time
@@ -7,8 +9,8 @@
 
 from tests.standin import Received, StandIn, whole
 
-# The users' bound: no more requests than these from one gateway, from so long after its
-# answer on and until the backoff is over.
+# The users' bound: no more requests than these from one gateway, from this long after
+# the answer until the backoff is over.
 GRACE_S = 0.5
 WITHIN_BACKOFF_MAX = 2
 
@@ -19,10 +21,10 @@
 
 @dataclass
 class SheddingEndpoint:
-    """A stand-in that sheds until a time, asking for a backoff in `Retry-After`.
+    """A stand-in that sheds while `sheds` is set, with a backoff in `Retry-After`.
 
-    `gateway_of` names the gateway that a request comes from. Before and after, it
-    answers 200. Without a limit in time, `sheds` turns it on and off.
+    `gateway_of` returns the gateway that a request comes from. While `sheds` is not
+    set, it answers 200.
     """
 
     retry_after: str = "2"
@@ -33,7 +35,7 @@
     answer_s: float = 0.0
     gateway_of: Callable[[Received], str] = _one_gateway
     arrivals: list[tuple[float, str]] = field(default_factory=list)
-    # When each backoff was asked for, of which gateway, and for how many seconds.
+    # The requested backoffs: time, gateway and length in seconds.
     backoffs: list[tuple[float, str, float]] = field(default_factory=list)
     worker: StandIn = field(init=False)
 
@@ -54,9 +56,9 @@
         writer.write(whole(request, b"", self.status, *headers))
 
     def most_within_backoff(self) -> int:
-        """The most requests that came from a gateway within a backoff."""
-        return max((self._within(*asked) for asked in self.backoffs), default=0)
+        """Returns the most requests that a gateway sent within a backoff."""
+        return max((self._within(*backoff) for backoff in self.backoffs), default=0)
 
-    def _within(self, asked_s: float, gateway: str, backoff_s: float) -> int:
-        begin_s, end_s = asked_s + GRACE_S, asked_s + backoff_s
+    def _within(self, requested_s: float, gateway: str, backoff_s: float) -> int:
+        begin_s, end_s = requested_s + GRACE_S, requested_s + backoff_s
         return sum(g == gateway and begin_s < at < end_s for at, g in self.arrivals)
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -1,4 +1,6 @@
-"""Endpoints that ask for a backoff, or say that they leave, get no requests then."""
+"""Tests that endpoints that request a backoff, or report that they leave, get no
+requests.
+"""
 
 import asyncio
 import time
@@ -31,7 +33,7 @@
     """One gateway, an endpoint that sheds or leaves and one that serves."""
 
     def run_load(self, endpoints: list[SheddingEndpoint], length_s: float) -> list[int]:
-        """The statuses of 20 requests a second."""
+        """Sends 20 requests a second, and returns their statuses."""
         statuses = []
 
         async def work() -> None:
@@ -62,7 +64,7 @@
 
 
 class OtherSendsTest(GatewayHarness):
-    """What is no first send, or no plain one."""
+    """Sends other than first sends of plain requests."""
 
     def now_ms(self) -> float:
         return asyncio.get_running_loop().time() * 1000.0
@@ -75,15 +77,15 @@
     def send_requests(
         self,
         workers: list[StandIn],
-        data: list[bytes],
+        requests: list[bytes],
         prepare: Callable[[], None] = lambda: None,
     ) -> list[tuple[int, bytes]]:
-        """The answers to requests that come one after the other."""
+        """Sends requests one after the other, and returns the answers."""
         answers = []
 
         async def work() -> None:
             prepare()
-            for request in data:
+            for request in requests:
                 answers.append(await self.call(request))
 
         self.run_gateway(workers, work)
@@ -98,7 +100,7 @@
         self.assertEqual(1, len(shedding.arrivals))
 
     def test_a_larger_model_is_not_asked_within_a_backoff(self) -> None:
-        """The endpoint asks for a backoff while it runs a request for a small model."""
+        """The endpoint requests a backoff while it runs a request for a small model."""
         small = StandIn([stream(2, "X-Confidence: 10")])
 
         def prepare() -> None:
@@ -117,14 +119,14 @@
         self.assertEqual(1, len(small.seen))
 
     def test_a_stream_is_not_resumed_within_a_backoff(self) -> None:
-        async def cut(request: Received, writer: asyncio.StreamWriter) -> None:
+        async def abort(request: Received, writer: asyncio.StreamWriter) -> None:
             self.state("i-1").backoff.request(2000.0, self.now_ms())
             writer.write(head(request, 200) + b"Transfer-Encoding: chunked\r\n\r\n")
             writer.write(chunk(event(1)))
             await writer.drain()
             writer.transport.abort()
 
-        first, second = StandIn([cut]), StandIn([stream(2)])
+        first, second = StandIn([abort]), StandIn([stream(2)])
         third = StandIn([stream(2)])
 
         def prepare() -> None:
@@ -152,12 +154,12 @@
         async def work() -> None:
             self.state("i-1").breaker.gone(self.now_ms())
             await self.call(ask("/get/1"))
-            # As if the second one had been chosen a moment before the first answer.
-            self.state("i-0").backoff, kept = Backoff(), self.state("i-0").backoff
+            # As if the second endpoint had been chosen just before the first answer.
+            self.state("i-0").backoff, backoff = Backoff(), self.state("i-0").backoff
             self.state("i-1").breaker.gone(self.now_ms())
             second = asyncio.create_task(self.call(ask("/get/2")))
             await asyncio.sleep(0.1)
-            self.state("i-0").backoff = kept
+            self.state("i-0").backoff = backoff
             status, _ = await second
             self.assertEqual(200, status)
 
@@ -186,11 +188,11 @@
             workers, [ask(f"/get/{n}") for n in range(5)], prepare
         )
         self.assertEqual([200] * 5, [status for status, _ in answers])
-        # No other one is tested in its place: all gateways test the same.
+        # No other endpoint is tested in its place: all gateways test the same one.
         self.assertEqual((0, 0), (len(new.arrivals), len(spare.arrivals)))
 
     def test_all_endpoints_back_off(self) -> None:
-        """Refused at once, not run, and told when the first backoff is over."""
+        """Refused at once, not run, with the end of the first backoff as retry time."""
         endpoints = [SheddingEndpoint("3"), SheddingEndpoint("1.5")]
         workers = [e.worker for e in endpoints]
         begun_s = time.monotonic()
@@ -228,7 +230,7 @@
         self.assertTrue(2.5 <= wait_s <= 3.1, str(wait_s))
 
     def test_one_request_probes_an_endpoint_after_its_backoff(self) -> None:
-        """The others go elsewhere until its answer is there."""
+        """The other requests go elsewhere until its answer is received."""
         shedding = SheddingEndpoint("0.3", answer_s=0.05)
         other = SheddingEndpoint(sheds=False)
 
@@ -236,11 +238,11 @@
             await self.call(ask("/get/1"))
             await self.call(ask("/get/2"))
             await asyncio.sleep(0.4)
-            came = len(shedding.arrivals)
+            arrivals = len(shedding.arrivals)
             calls = (self.call(ask(f"/get/{n}")) for n in range(20))
             statuses = {status for status, _ in await asyncio.gather(*calls)}
             self.assertEqual({200}, statuses)
-            self.assertTrue(len(shedding.arrivals) - came <= 1)
+            self.assertTrue(len(shedding.arrivals) - arrivals <= 1)
 
         self.run_gateway([shedding.worker, other.worker], work)
 
@@ -271,7 +273,7 @@
 
 
 class LeavingTest(testtools.TestCase):
-    """What a gateway knows of an endpoint that has said that it leaves."""
+    """What a gateway knows of an endpoint that has reported that it leaves."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -290,8 +292,8 @@
         headers = [(b"X-Attempt-Id", b"r1")]
         if leaving:
             headers.append((b"Server-Leaving", b"1"))
-        answered = decode_answer(h11.Response(status_code=200, headers=headers))
-        apply_notice(self.context, self.state(), answered, 0.0, 1.0)
+        head = decode_answer(h11.Response(status_code=200, headers=headers))
+        apply_notice(self.context, self.state(), head, 0.0, 1.0)
 
     def test_leaving_is_broadcast_once(self) -> None:
         self.receive_answer(True)
@@ -299,8 +301,8 @@
         self.assertEqual([EndpointAnnouncesLeaving("i-0")], self.broadcast)
 
     def test_a_gateway_that_received_it_sends_nothing_there(self) -> None:
-        news = EndpointAnnouncesLeaving("i-0")
-        HEARD.call(self.context, news, Teller("10.0.0.1", 0.0))
+        update = EndpointAnnouncesLeaving("i-0")
+        HEARD.call(self.context, update, Teller("10.0.0.1", 0.0))
         self.assertEqual(Barrier.LEAVING, self.state().permission(0.0).barrier)
         self.assertEqual([], self.broadcast)
 
@@ -324,8 +326,9 @@
 
 
 class FleetTest(testtools.TestCase):
-    """Real processes: five core VMs, three gateways, three endpoints, two of which
-    shed at once.
+    """Real processes: five core VMs, three gateways, three endpoints.
+
+    Two of the endpoints shed from the start.
     """
 
     REQUESTS_PER_S = 60
@@ -356,14 +359,14 @@
         )
 
     def gateway_of(self, request: Received) -> str:
-        """Each gateway is asked for paths of its own."""
+        """Returns the gateway of a request: each gateway gets paths of its own."""
         return request.target.split("/")[2]
 
     def is_ready(self, host: str) -> bool:
         return self.fleet.call(host, "GET", "/-/readyz", port=READY_PORT)[0] == 200
 
     def run_load(self, length_s: float) -> list[int]:
-        """Ask all gateways in turn; the statuses of the answers."""
+        """Sends requests to all gateways in turn, and returns their statuses."""
         pending: list[Future[int]] = []
         with ThreadPoolExecutor(24) as callers:
             ends_s = time.monotonic() + length_s
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -1,4 +1,4 @@
-"""Tests of a gateway's choices: versions, budgets, routes, paces, events."""
+"""Tests of a gateway's choices: versions, budgets, routes, latencies, events."""
 
 import random
 
@@ -40,13 +40,13 @@
         return {state.endpoint.version for state in allowed.states}
 
     def test_only_without_a_session_the_old_version_may_serve(self) -> None:
-        """A session that was drawn stays drawn, at any gateway."""
+        """A session that was drawn for the new version stays there, at any gateway."""
         self.apply(RolloutStage.SHIFT, 1.0, 1)
         states = self.states
         drawn = self.chooser.allowed("app", "", "r1", states, 0.0)
         assert drawn.fallback is not None
-        spared = {s.endpoint.version for s in drawn.fallback.states}
-        self.assertEqual({"v1"}, spared)
+        fallback = {s.endpoint.version for s in drawn.fallback.states}
+        self.assertEqual({"v1"}, fallback)
         session = self.chooser.allowed("app", "s", "r1", states, 0.0)
         self.assertIs(None, session.fallback)
 
@@ -78,21 +78,21 @@
         self.assertEqual({"v2"}, self.versions("old", 7000.0))
 
     def test_sessions_that_ran_elsewhere_stay_in_the_trial(self) -> None:
-        """A session may come by another gateway than before."""
+        """The requests of a session may come through different gateways."""
         self.apply(RolloutStage.TRIAL, 0.0, 1)
         sessions = [f"s{n}" for n in range(400)]
         for session in sessions:
             self.sessions.record("app", session, "v1", 0.0)
         self.sessions.record("other", "s", "v1", 0.0)
-        (told,) = self.chooser.sessions_to_report(1000.0)
-        self.assertTrue(60 < len(told.marks) < 140, len(told.marks))
+        (reported,) = self.chooser.sessions_to_report(1000.0)
+        self.assertTrue(60 < len(reported.marks) < 140, len(reported.marks))
         self.assertEqual((), self.chooser.sessions_to_report(20_000.0)[0].marks)
         elsewhere = VersionChooser(SessionVersions(5000.0))
-        begun = Rollout(
-            "app", "v2", RolloutStage.TRIAL, 0.25, 2, 1000.0, held=told.marks
+        trial = Rollout(
+            "app", "v2", RolloutStage.TRIAL, 0.25, 2, 1000.0, held=reported.marks
         )
         for chooser in (elsewhere, self.chooser):
-            chooser.apply_rollouts([begun])
+            chooser.apply_rollouts([trial])
             for session in sessions:
                 allowed = chooser.allowed("app", session, "r", self.states, 20_000.0)
                 self.assertEqual("v1", allowed.states[0].endpoint.version)
@@ -105,7 +105,7 @@
         self.assertEqual({"v1"}, self.versions("other", 1000.0))
 
     def test_the_end_of_a_request_moves_no_session(self) -> None:
-        """An answer of the old version ends behind the next request's beginning."""
+        """An answer of the old version ends after the session's next request began."""
         self.sessions.record("app", "s", "v2", 0.0)
         self.sessions.record_end("app", "s", "v1", 1000.0)
         self.assertEqual("v2", self.sessions.version("app", "s", 2000.0))
@@ -124,7 +124,7 @@
         self.assertEqual(set(), self.versions("s"))
 
     def test_load_test(self) -> None:
-        """One endpoint of the new version, until it is busy enough."""
+        """One endpoint of the new version is tested, until it is busy enough."""
         self.states += [self.state("v2", 2), self.state("v2", 3)]
         self.apply(RolloutStage.LOAD_TEST, 0.1, 1)
         tested = self.chooser.allowed("app", "s", "r", self.states, 0.0)
@@ -138,7 +138,7 @@
         self.assertEqual({"v2"}, self.versions("s"))
 
     def test_a_load_test_without_its_endpoint(self) -> None:
-        """It was tried already, or another endpoint has its address."""
+        """The endpoint was tried already, or another endpoint has its address."""
         self.apply(RolloutStage.LOAD_TEST, 0.0, 1)
         tested = self.states[1]
         self.assertEqual({"v2"}, self.versions("s"))
@@ -150,7 +150,7 @@
         self.assertEqual({"v2"}, self.versions("s", REPLACED_MS))
 
     def test_the_trials_sessions_stay_in_the_load_test(self) -> None:
-        """They came by other gateways before, and the tested endpoint is busy."""
+        """They used other gateways before, and the endpoint under test is busy."""
         self.apply(RolloutStage.TRIAL, 0.1, 1)
         sessions = [f"s{n}" for n in range(400)]
         moved = [s for s in sessions if self.versions(s) == {"v2"}]
@@ -166,20 +166,20 @@
         return self.chooser.sessions_to_report(0.0)
 
     def test_moves_are_reported_until_the_record_names_them(self) -> None:
-        """A session of the share is none: all gateways know it by the share."""
+        """Sessions of the share are not reported: all gateways know them already."""
         self.apply(RolloutStage.LOAD_TEST, 0.1, 1)
         sessions = [f"s{n}" for n in range(100)]
-        told = [s for s in sessions if self.chooser.record_move("app", s, "v2")]
-        self.assertTrue(80 <= len(told) < 100, len(told))
-        self.assertFalse(self.chooser.record_move("app", told[0], "v2"))
-        marks = tuple(sorted(session_hash("v2", s) for s in told))
-        self.assertEqual((SessionHashes("app", (), marks),), self.unreported_moves())
+        reported = [s for s in sessions if self.chooser.record_move("app", s, "v2")]
+        self.assertTrue(80 <= len(reported) < 100, len(reported))
+        self.assertFalse(self.chooser.record_move("app", reported[0], "v2"))
+        hashes = tuple(sorted(session_hash("v2", s) for s in reported))
+        self.assertEqual((SessionHashes("app", (), hashes),), self.unreported_moves())
         record = Rollout(
-            "app", "v2", RolloutStage.SETTLE, 0.1, 2, 1000.0, moved=marks[1:]
+            "app", "v2", RolloutStage.SETTLE, 0.1, 2, 1000.0, moved=hashes[1:]
         )
         self.chooser.apply_rollouts([record])
         self.assertEqual(
-            (SessionHashes("app", (), marks[:1]),), self.unreported_moves()
+            (SessionHashes("app", (), hashes[:1]),), self.unreported_moves()
         )
         self.assertFalse(self.chooser.record_move("app", "later", "v2"))
 
@@ -216,10 +216,10 @@
 
 class RoutingTest(testtools.TestCase):
     def test_longest_prefix(self) -> None:
-        made = document(
+        catalog = document(
             routes=[route("a", "/"), route("b", "/x/"), route("c", "/x/y/")]
         )
-        table = RouteTable(decode_catalog(encoded(made)))
+        table = RouteTable(decode_catalog(encoded(catalog)))
         for path, name in (
             ("/", "a"),
             ("/x", "a"),
@@ -227,9 +227,9 @@
             ("/x/y", "b"),
             ("/x/y/z/1", "c"),
         ):
-            found = table.route("shop.example", path)
-            assert found is not None
-            self.assertEqual(name, found.name)
+            route_found = table.route("shop.example", path)
+            assert route_found is not None
+            self.assertEqual(name, route_found.name)
         self.assertIsNone(table.route("other.example", "/x/"))
 
     def test_split(self) -> None:
@@ -239,36 +239,36 @@
             {"service": "new", "weight": 10},
             {"service": "none", "weight": 0},
         ]
-        made = document(routes=[route("a", "/", split=split)], services=services)
-        table = RouteTable(decode_catalog(encoded(made)))
-        found = table.route("shop.example", "/")
-        assert found is not None
-        names = [table.service(found, f"r{n}").name for n in range(2000)]
+        catalog = document(routes=[route("a", "/", split=split)], services=services)
+        table = RouteTable(decode_catalog(encoded(catalog)))
+        route_found = table.route("shop.example", "/")
+        assert route_found is not None
+        names = [table.service(route_found, f"r{n}").name for n in range(2000)]
         self.assertTrue(140 < names.count("new") < 260)
         self.assertNotIn("none", names)
 
 
 class LatencyModelTest(testtools.TestCase):
     def test_the_wait_is_estimated_and_decays(self) -> None:
-        pace = LatencyModel()
-        self.assertEqual(0.0, pace.expected_ms("app", "m", 10, 0.0))
+        model = LatencyModel()
+        self.assertEqual(0.0, model.expected_ms("app", "m", 10, 0.0))
         for at_ms in range(0, 3000, 100):
-            pace.record_first_event("app", "m", 10, 1000.0, float(at_ms))
-        self.assertTrue(950 < pace.expected_ms("app", "m", 10, 3000.0) < 1100)
-        self.assertTrue(pace.expected_ms("app", "m", 10, 10_000.0) < 100)
+            model.record_first_event("app", "m", 10, 1000.0, float(at_ms))
+        self.assertTrue(950 < model.expected_ms("app", "m", 10, 3000.0) < 1100)
+        self.assertTrue(model.expected_ms("app", "m", 10, 10_000.0) < 100)
 
     def test_long_prompts(self) -> None:
-        """0.03 ms a token, and a wait that comes on top now and then."""
-        pace = LatencyModel()
+        """0.03 ms a token, with an additional wait at times."""
+        model = LatencyModel()
         for n in range(200):
             wait_ms = 400.0 if n % 5 == 0 else 40.0
             tokens = 2000 + 100 * (n % 30)
-            pace.record_first_event(
+            model.record_first_event(
                 "app", "m", tokens, 0.03 * tokens + wait_ms, n * 50.0
             )
-        expected_ms = pace.expected_ms("app", "m", 50_000, 10_000.0)
+        expected_ms = model.expected_ms("app", "m", 50_000, 10_000.0)
         self.assertTrue(1500 < expected_ms < 3500, expected_ms)
-        self.assertTrue(pace.expected_ms("app", "m", 500, 10_000.0) < 500)
+        self.assertTrue(model.expected_ms("app", "m", 500, 10_000.0) < 500)
 
 
 class StallTest(testtools.TestCase):
@@ -283,42 +283,42 @@
 
 
 class HallAffinityTest(testtools.TestCase):
-    def choose(self, used: dict[str, float], prefix: str = "") -> set[str]:
-        """Endpoints named `near...` are local; 100 places each."""
+    def choose(self, utilisations: dict[str, float], prefix: str = "") -> set[str]:
+        """Returns the chosen endpoints; `near...` are local, with 100 slots each."""
         policy = ENDPOINT_POLICIES.get("hall_affinity")()
         candidates = tuple(
             Candidate(name, u * 100, 0, 100, 0.0, name.startswith("near"))
-            for name, u in used.items()
+            for name, u in utilisations.items()
         )
         generator = random.Random(1)
         chosen = [policy.choose(candidates, prefix, generator) for _ in range(50)]
         return {candidate.endpoint for candidate in chosen}
 
     def test_near_while_it_is_not_busier(self) -> None:
-        used = {"near-1": 0.10, "far-1": 0.0, "far-2": 0.0}
-        self.assertEqual({"near-1"}, self.choose(used))
-        used = {"near-1": 0.28, "far-1": 0.06, "far-2": 0.05}
-        self.assertEqual({"near-1"}, self.choose(used))
-        used = {"near-1": 0.55, "far-1": 0.06, "far-2": 0.05}
-        self.assertEqual({"far-2"}, self.choose(used))
-        used = {"near-1": 0.8, "far-1": 0.75, "far-2": 0.7}
-        self.assertEqual({"near-1"}, self.choose(used))
+        utilisations = {"near-1": 0.10, "far-1": 0.0, "far-2": 0.0}
+        self.assertEqual({"near-1"}, self.choose(utilisations))
+        utilisations = {"near-1": 0.28, "far-1": 0.06, "far-2": 0.05}
+        self.assertEqual({"near-1"}, self.choose(utilisations))
+        utilisations = {"near-1": 0.55, "far-1": 0.06, "far-2": 0.05}
+        self.assertEqual({"far-2"}, self.choose(utilisations))
+        utilisations = {"near-1": 0.8, "far-1": 0.75, "far-2": 0.7}
+        self.assertEqual({"near-1"}, self.choose(utilisations))
 
     def test_prefix(self) -> None:
-        used = {"near-1": 0.05, "near-2": 0.05, "near-3": 0.04, "far-1": 0.0}
+        utilisations = {"near-1": 0.05, "near-2": 0.05, "near-3": 0.04, "far-1": 0.0}
         for prefix in ("a", "b", "c"):
-            (chosen,) = self.choose(used, prefix)
+            (chosen,) = self.choose(utilisations, prefix)
             self.assertTrue(chosen.startswith("near"))
-            busy = self.choose({**used, chosen: 0.6}, prefix)
+            busy = self.choose({**utilisations, chosen: 0.6}, prefix)
             self.assertNotIn(chosen, busy)
 
 
 class EventsTest(testtools.TestCase):
     def test_a_stream_split_at_any_byte(self) -> None:
-        whole = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\n"
-        for cut in range(len(whole)):
+        stream = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\n"
+        for position in range(len(stream)):
             splitter = EventSplitter()
-            events = splitter.feed(whole[:cut]) + splitter.feed(whole[cut:])
+            events = splitter.feed(stream[:position]) + splitter.feed(stream[position:])
             self.assertEqual(["1", "2", ""], [e.event_id for e in events])
-            self.assertEqual(whole, b"".join(e.data for e in events))
+            self.assertEqual(stream, b"".join(e.data for e in events))
             self.assertEqual(b"", splitter.rest)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,8 +1,8 @@
-"""Endpoints that have just started: what all gateways together send to each.
+"""Tests of endpoints that have just started: what all gateways together send to each.
 
-On the code before, gateways took an endpoint that came back idle for the best choice,
-all at the same moment: one got 21 requests within a second where 20 are allowed, and
-falls over well above that.
+Before, all gateways at the same moment took an endpoint that came back idle for the
+best choice: one got 21 requests within a second where 20 are allowed, and it overloads
+well above that.
 """
 
 import asyncio
@@ -34,7 +34,8 @@
 from tests.gateway import GatewayHarness, ask
 
 HALLS = ("a", "b", "c")
-# Operators' figures: what a cold endpoint bears, and what it may get in a second.
+# Settings of operators: the rate that a cold endpoint can serve, and what it may get in
+# a second.
 RATE_PER_S = 10.0
 ALLOWED = 1.5 * RATE_PER_S + 5
 SERVICE = Service("app", 100, None, 3000.0, RATE_PER_S)
@@ -67,17 +68,19 @@
         rate_per_s: float = RATE_PER_S,
         demand_per_s: float = 40.0,
     ) -> list[float]:
-        """What reaches one cold endpoint in four seconds.
+        """Returns when requests arrive at one cold endpoint in four seconds.
 
-        Each gateway lacks a share of the others in what it knows, sends whenever it
-        may, and would all by itself send `wants_per_s`.
+        Each gateway lacks a share of the others in what it knows, sends whenever it is
+        permitted, and would send `demand_per_s` on its own.
         """
         everyone = gateways(count)
         cold = ColdEndpoint("i1", "a", rate_per_s)
         arrivals_ms = []
-        for own in everyone:
-            known = tuple(g for g in everyone if g == own or generator.random() >= lost)
-            least_ms = pause_ms(cold, own, known)
+        for local in everyone:
+            context = tuple(
+                g for g in everyone if g == local or generator.random() >= lost
+            )
+            least_ms = pause_ms(cold, local, context)
             if least_ms is None:
                 continue
             at_ms = generator.expovariate(demand_per_s / 1000.0)
@@ -87,7 +90,7 @@
         return arrivals_ms
 
     def test_the_bound_applies_to_all_gateways_together(self) -> None:
-        """From one gateway to 195, all wanting the endpoint at the same moment."""
+        """From one gateway to 195, all sending to the endpoint at the same moment."""
         for count in (1, 2, 6, 7, 11, 61, 195):
             for seed in range(20):
                 arrivals_ms = self.arrivals(count, random.Random(seed), lost=0.0)
@@ -95,7 +98,7 @@
                 self.assertTrue(most <= ALLOWED, (count, seed, most))
 
     def test_the_endpoint_is_used(self) -> None:
-        """It is sent more than half of what it bears."""
+        """It gets more than half of the rate that it can serve."""
         for count in (6, 61, 195):
             arrivals_ms = self.arrivals(count, random.Random(1), lost=0.0)
             self.assertTrue(len(arrivals_ms) > 0.5 * RATE_PER_S * 4.0, count)
@@ -116,19 +119,19 @@
         self.assertTrue(most_within_a_second(arrivals_ms) <= allowed)
 
     def test_all_share_alike_over_many_endpoints(self) -> None:
-        """Each gateway sends to some of a hall's endpoints that come back together."""
+        """Each gateway sends to some of a hall's endpoints that return together."""
         everyone = gateways(60)
         shares = []
-        for own in everyone:
-            if own.hall != "a":
+        for local in everyone:
+            if local.hall != "a":
                 continue
             colds = [ColdEndpoint(f"i{n}", "a", RATE_PER_S) for n in range(24)]
-            pauses = [pause_ms(cold, own, everyone) for cold in colds]
+            pauses = [pause_ms(cold, local, everyone) for cold in colds]
             shares.append(sum(pause is not None for pause in pauses))
         self.assertTrue(min(shares) >= 3, shares)
 
     def test_the_hall_is_away(self) -> None:
-        """With no gateway in the endpoint's hall, those of the others send."""
+        """Without a gateway in the endpoint's hall, gateways of the others send."""
         others = tuple(g for g in gateways(60) if g.hall != "a")
         cold = ColdEndpoint("i1", "a", RATE_PER_S)
         senders = [g for g in others if pause_ms(cold, g, others)]
@@ -176,7 +179,7 @@
         self.assertFalse(self.allows(0.0))
 
     def test_all_start_together(self) -> None:
-        """The first gateways that are heard of are not all that there are."""
+        """The first gateways that are received are not all that there are."""
         self.limiter = ColdSendLimiter(self.gateways[0])
         self.state.warms_up(60_000.0)
         self.assertFalse(self.allows(50_000.0))
@@ -186,7 +189,7 @@
         self.assertTrue(self.allows(2000.0))
 
     def test_an_endpoint_that_ended(self) -> None:
-        """It may be back at any moment, before any list tells that it is cold."""
+        """It may be back at any moment, before any list reports that it is cold."""
         self.state.refuses(0.0)
         self.assertTrue(self.state.cold(UNPROVEN_MS - 1.0))
         self.state.proved(3000.0, 4000.0)
@@ -196,7 +199,7 @@
     def test_an_endpoint_that_became_unreachable(self) -> None:
         self.state.gone(0.0, 0.0)
         self.assertTrue(self.state.cold(1000.0))
-        # It was only cut off for a while, and nobody has asked it since.
+        # It was only cut off for a while, and no gateway has sent to it since.
         self.assertFalse(self.state.cold(UNPROVEN_MS))
 
     def test_an_answer_of_a_warm_endpoint_does_not_make_it_cold(self) -> None:
@@ -229,7 +232,7 @@
         self.assertFalse(state.cold(10_501.0))
 
     def test_cold_time_is_reported_once(self) -> None:
-        """Time that runs down is no news; an endpoint that turns cold again is."""
+        """A shrinking time is no change; an endpoint that is cold again is one."""
         reads: list[tuple[Endpoint, ...]] = []
 
         class Reader:
@@ -250,7 +253,7 @@
         self.assertFalse(read(4000.0, 700.0))
         self.assertFalse(read(5000.0, 0.0))
         self.assertTrue(read(6000.0, 3000.0))
-        # It has started once more since.
+        # It has restarted since.
         self.assertTrue(read(7000.0, 3000.0))
 
 
@@ -276,13 +279,13 @@
         self.assertEqual(["i1"], self.cold(Evacuations(4, (), returned), before=3))
 
     def test_an_evacuation_that_was_never_received(self) -> None:
-        """Begun and finished between two words of the core."""
+        """It began and ended between two replies of the core."""
         self.assertEqual(["i2"], self.cold(Evacuations(7, (), {"b": 7}), before=5))
 
 
 class RolloutTest(testtools.TestCase):
     def test_a_trial_waits_for_a_warm_endpoint(self) -> None:
-        """Few gateways may send to a cold one, and a session may come by any."""
+        """Few gateways may send to a cold one, but sessions may use any gateway."""
         keeper = RolloutKeeper()
         order = Rollout("app", "v1", RolloutStage.TRIAL, 0.0, 1, 20_000.0)
         keeper.observe((order,), 0.0)
@@ -293,19 +296,19 @@
         self.assertTrue(move.share > 0.0)
 
     def test_time_that_runs_down_is_not_listed_again(self) -> None:
-        """The list tells once for how long an endpoint is cold."""
+        """The list reports once for how long an endpoint is cold."""
         keeper = RolloutKeeper()
         order = Rollout("app", "v1", RolloutStage.TRIAL, 0.0, 1, 20_000.0)
         keeper.observe((order,), 0.0)
         listed = EndpointList(1, 1, (endpoint(cold_left_ms=3000.0),))
-        # The time is noted, and nothing goes to the version yet.
+        # The time is recorded, and no request goes to the version yet.
         (early,) = keeper.moves((order,), listed, 2900.0, listed_age_ms=2900.0)
         self.assertEqual(0.0, early.share)
         (move,) = keeper.moves((order,), listed, 3100.0, listed_age_ms=3100.0)
         self.assertTrue(move.share > 0.0)
 
     def test_a_trial_does_not_wait_for_ever(self) -> None:
-        """Endpoints that stay cold for longer than that are judged as they are."""
+        """Endpoints that stay cold for longer are evaluated as they are."""
         keeper = RolloutKeeper()
         order = Rollout("app", "v1", RolloutStage.TRIAL, 0.0, 1, 20_000.0)
         keeper.observe((order,), 0.0)
@@ -327,7 +330,7 @@
 
 class RequestTest(GatewayHarness):
     def test_requests_go_to_warm_endpoints_meanwhile(self) -> None:
-        """Retries too: a gateway that is no sender never touches the cold one."""
+        """Also retries: a gateway that isn't a sender never uses the cold endpoint."""
         cold = standin.StandIn([standin.answer()])
         warm = standin.StandIn([standin.answer()])
 
--- a/tests/test_crash_load.py
+++ b/tests/test_crash_load.py
@@ -1,17 +1,18 @@
-"""Plays of a load in which a few contents crash each engine that runs them.
+"""Simulated loads in which a few requests crash each engine that runs them.
 
-What was seen: seven gateways and five engines, 40 requests a second, two such contents:
-31 ends of engines in 80 s, and a fifth of all requests refused.
+Seven gateways and five engines, with 40 requests a second and two such requests, were
+seen to have 31 engine crashes in 80 s, and a fifth of all requests was refused.
 
-Figures of these plays, means of seeds 1 to 5; each crashing content comes again each
-7 s, with one repeat. Of the ordinary requests, those that fail, and those whose own
-content is held for having run beside it three times:
+Figures of these simulations, means of seeds 1 to 5; each crashing request is sent again
+every 7 s, with one repeat. Of the ordinary requests, those that failed, and those that
+were quarantined because they ran beside a crashing request three times:
 
-- 7 gateways, 5 engines, 60 s, 2,420 requests, one content: 39 ends of engines and
-  1,032 failed without holding it; 3 ends, 0.8 failed, 0.8 held with it. Three
-  contents: 9 ends, 126 failed, 22 held.
-- 61 gateways, 56 engines, 20 s, 4,817 requests, one content: 3 ends, 0.4 held; 14 when
-  those that have run at a crash go to the cheapest engine together.
+- 7 gateways, 5 engines, 60 s, 2,420 requests, one crashing request: 39 crashes and
+  1,032 failed without quarantine; 3 crashes, 0.8 failed, 0.8 quarantined with it. Three
+  crashing requests: 9 crashes, 126 failed, 22 quarantined.
+- 61 gateways, 56 engines, 20 s, 4,817 requests, one crashing request: 3 crashes, 0.4
+  quarantined; 14 if the requests that ran at a crash go to the cheapest engine
+  together.
 """
 
 import asyncio
@@ -33,7 +34,7 @@
 KIND = TrafficKind.CRASHES
 
 
-def run(
+def run_seeds(
     load: CrashLoad,
     size: tuple[int, int] = SMALL,
     quarantines: bool = True,
@@ -45,32 +46,32 @@
 class CrashLoadTest(testtools.TestCase):
     def test_one_crashing_request(self) -> None:
         load = CrashLoad()
-        self.assertTrue(all(p.crashes > 30 for p in run(load, quarantines=False)))
-        played = run(load)
-        self.assertEqual({CRASHES_MAX}, {p.crashes for p in played})
-        self.assertTrue(statistics.mean(p.quarantined for p in played) < 3.0)
-        for outcome in played:
+        self.assertTrue(all(p.crashes > 30 for p in run_seeds(load, quarantines=False)))
+        outcomes = run_seeds(load)
+        self.assertEqual({CRASHES_MAX}, {p.crashes for p in outcomes})
+        self.assertTrue(statistics.mean(p.quarantined for p in outcomes) < 3.0)
+        for outcome in outcomes:
             self.assertTrue(outcome.failed <= outcome.quarantined)
 
     def test_several_crashing_requests(self) -> None:
-        """Each costs three engines, those that crash one together less."""
-        for outcome in run(CrashLoad(crashing=3)):
+        """Each crashes three engines; those that crash one together, fewer."""
+        for outcome in run_seeds(CrashLoad(crashing=3)):
             self.assertTrue(outcome.crashes <= 3 * CRASHES_MAX)
             self.assertTrue(outcome.served > 0.9 * (outcome.served + outcome.failed))
 
     def test_requests_that_ran_beside_it_are_isolated(self) -> None:
         load = CrashLoad(requests_per_s=240.0, length_ms=20_000.0)
-        together = run(load, LARGE, isolates=False)
-        apart = run(load, LARGE)
-        self.assertEqual({CRASHES_MAX}, {p.crashes for p in apart})
-        self.assertTrue(statistics.mean(p.quarantined for p in apart) < 3.0)
+        together = run_seeds(load, LARGE, isolates=False)
+        isolated = run_seeds(load, LARGE)
+        self.assertEqual({CRASHES_MAX}, {p.crashes for p in isolated})
+        self.assertTrue(statistics.mean(p.quarantined for p in isolated) < 3.0)
         self.assertTrue(statistics.mean(p.quarantined for p in together) > 6.0)
 
 
 class BroadcastTest(testtools.TestCase):
-    """195 gateways in five halls: what it takes that all refuse a content.
+    """195 gateways in five halls: what it costs until all refuse a request.
 
-    One record of three crashes is 69 bytes, told by 194 datagrams, 13.4 KB in all, of
+    One record of three crashes is 69 bytes, sent in 194 datagrams, 13.4 KB in all, of
     which four cross between halls; how long they take on a network was not measured.
     """
 
@@ -83,12 +84,12 @@
             for number in range(CRASHES_MAX):
                 at_ms = AT_MS + 2000 * number
                 record = first.quarantine.crashed(7, f"i-{number}", 0, at_ms)
-            told = ContentCrashed(record)
-            first.tell(told)
-            held = [g.quarantine.held_ms(7, at_ms) > 0 for g in world.gateways]
-            self.assertEqual([True] * self.HALLS * self.GATEWAYS_PER_HALL, held)
+            update = ContentCrashed(record)
+            first.tell(update)
+            quarantined = [g.quarantine.held_ms(7, at_ms) > 0 for g in world.gateways]
+            self.assertEqual([True] * self.HALLS * self.GATEWAYS_PER_HALL, quarantined)
             self.assertTrue(world.datagrams < self.HALLS * self.GATEWAYS_PER_HALL)
-            self.assertTrue(len(encode(told)) < 100)
+            self.assertTrue(len(encode(update)) < 100)
             crossed = first.traffic.carried()
             (over,) = (c for c in crossed if c.crosses and c.kind is KIND)
             self.assertEqual(self.HALLS - 1, over.messages)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,22 +1,19 @@
-"""Regression tests: a request that ends each engine that runs it.
-
-What users saw: on a day of 90 s engines ended 38 times, each time all five within
-1.5 s; a fifth of all requests was refused meanwhile. One price list request, repeated
-by its caller, had been running at 11 of them.
-
-The order of events: an engine begins to answer the request and its process ends 50
-to 100 ms later; 10 to 30 other requests that it ran break too. The gateway sends all
-of them again at once, to the same next engine, which ends as well, and then a third
-time. The caller repeats, under another id and at another gateway, which begins
-anew. The engines are back after two seconds, and so is the caller.
-
-The cause: a gateway held a broken send against the endpoint and never against the
-request, and nothing that it learnt outlived the request's id or reached another
-gateway.
-
-The evidence, from logs of all gateways: in 18 s, sends of one content (session, length
-and organisation) broke at 11 engines, under six ids, at five gateways; no other
-content broke at more than five, and those with five only together with that one.
+"""Regression tests: a request that crashes each engine that runs it.
+
+On a day of 90 s engines crashed 38 times, each time all five within 1.5 s; a fifth of
+all requests was refused meanwhile. One price list request, repeated by its caller, had
+been running at 11 of them. An engine begins to answer the request and its process ends
+50 to 100 ms later; 10 to 30 other requests that it ran break too. The gateway sends all
+of them again at once, to the same next engine, which crashes as well, and then a third
+time. The caller repeats, under another id and at another gateway, which begins from the
+start. The engines are back after two seconds, and so is the caller.
+
+A gateway counted a broken send against the endpoint and never against the request, and
+nothing that it recorded outlived the request's id or reached another gateway.
+
+In the logs of all gateways, within 18 s, sends of one fingerprint (session, length and
+organisation) broke at 11 engines, under six ids, at five gateways; no other fingerprint
+broke at more than five, and those with five only together with that one.
 """
 
 import asyncio
@@ -39,8 +36,8 @@
 from tests.gateway import ASK_STREAM, GatewayHarness, ask
 from tests.standin import LAST_CHUNK, Received, StandIn
 
-# The bound that the users set: three ends, and this often after them, counted from
-# when all VMs that are in touch must know.
+# The bound set by users: three crashes, and this many sends after them, counted from
+# the time by which all connected VMs must know.
 CRASHES_MAX = 3
 SENDS_MAX = 3
 KNOWN_AFTER_S = 3.0
@@ -54,7 +51,7 @@
     def send_tries(
         self, path: str, tries: int, events: int = 0
     ) -> list[tuple[int, bytes]]:
-        """The answers to so many tries; `log` holds what the engines saw."""
+        """Returns the answers to the tries; `log` holds what the engines saw."""
         self.log = CrashLog()
         ids = itertools.count()
         engines = [
@@ -85,7 +82,7 @@
     def test_the_repeat_reaches_no_engine(self) -> None:
         answers = self.send_tries("/stream/1", 3)
         self.assertEqual(CRASHES_MAX, len(self.log.crashes_s))
-        # The first may have run; the others have not, and say so.
+        # The first may have run; the others have not, and their status says so.
         self.assertEqual([502, 503, 503], [status for status, _ in answers])
 
     def test_a_refusal_says_why_and_for_how_long(self) -> None:
@@ -102,7 +99,7 @@
         self.assertEqual(CRASHES_MAX, len(self.log.arrivals_s))
 
     def test_a_stream_that_has_begun(self) -> None:
-        """The caller has events of it; it goes on behind them, and ends cut off."""
+        """The stream is resumed after the caller's events, and finally cut off."""
         (status, answer), (second, _) = self.send_tries("/stream/1", 2, events=1)
         self.assertEqual(200, status)
         for number in range(1, CRASHES_MAX + 1):
@@ -114,11 +111,11 @@
     def test_other_requests_of_the_caller_are_served(self) -> None:
         async def work() -> None:
             headers = [(b"Host", b"shop.example"), (b"X-Attempt-Id", b"r1")]
-            asked = decode_ask(HttpRequest("GET", "/get/1", headers, b"", 0.0, ""))
-            content = request_fingerprint(asked, "acme")
+            request = decode_ask(HttpRequest("GET", "/get/1", headers, b"", 0.0, ""))
+            fingerprint = request_fingerprint(request, "acme")
             for number in range(CRASHES_MAX):
                 at_ms = unix_ms() - 5000 * number
-                self.known.quarantine.crashed(content, f"i-{number}", 0, at_ms)
+                self.known.quarantine.crashed(fingerprint, f"i-{number}", 0, at_ms)
             self.assertEqual(503, (await self.call(ask("/get/1")))[0])
             self.assertEqual(200, (await self.call(ask("/get/2")))[0])
 
@@ -126,13 +123,13 @@
 
 
 class AbortedConnectionTest(GatewayHarness):
-    """A connection that ends is no crash while somebody listens there."""
+    """A closed connection is no crash while a process listens there."""
 
     def test_endpoints_that_abort_answers(self) -> None:
-        async def cut(request: Received, writer: asyncio.StreamWriter) -> None:
+        async def abort(request: Received, writer: asyncio.StreamWriter) -> None:
             writer.transport.abort()
 
-        workers = [StandIn([cut]) for _ in range(4)]
+        workers = [StandIn([abort]) for _ in range(4)]
 
         async def work() -> None:
             for _ in range(4):
@@ -142,8 +139,8 @@
         self.run_gateway(workers, work)
 
     def test_a_completed_run_clears_a_suspect(self) -> None:
-        """An endpoint ends beside it; elsewhere it runs well, and counts anew."""
-        good = StandIn([standin.answer()])
+        """An endpoint crashes while it runs; it completes elsewhere and is cleared."""
+        healthy_worker = StandIn([standin.answer()])
 
         async def work() -> None:
             crashing = StandIn([])
@@ -153,18 +150,22 @@
 
             crashing.scripts.append(crash)
             await crashing.start()
-            bad = Endpoint("i-9", "app", crashing.address, "hall-1", "v1", 8, False)
-            only_bad = EndpointList(1, 2, (bad,))
+            crashing_endpoint = Endpoint(
+                "i-9", "app", crashing.address, "hall-1", "v1", 8, False
+            )
+            only_bad = EndpointList(1, 2, (crashing_endpoint,))
             self.known.directory.replace(only_bad, 0.0)
             self.assertEqual(502, (await self.call(ask("/get/1")))[0])
             self.assertEqual(1, len(self.known.quarantine.to_tell()))
-            well = Endpoint("i-0", "app", good.address, "hall-1", "v1", 8, False)
-            self.known.directory.replace(EndpointList(1, 3, (well,)), 0.0)
+            healthy = Endpoint(
+                "i-0", "app", healthy_worker.address, "hall-1", "v1", 8, False
+            )
+            self.known.directory.replace(EndpointList(1, 3, (healthy,)), 0.0)
             self.assertEqual(200, (await self.call(ask("/get/1")))[0])
             (record,) = self.known.quarantine.to_tell()
             self.assertEqual((), record.unsurvived)
 
-        self.run_gateway([good], work)
+        self.run_gateway([healthy_worker], work)
 
 
 class FleetTest(testtools.TestCase):
@@ -195,7 +196,7 @@
             self.fleet.start_gateway(host)
         for host in self.gateways:
             self.wait_ready(host)
-        # Until then a gateway tells nobody by datagrams, and the core alone.
+        # Until then a gateway sends no datagrams and reports to the core only.
         wait_for(self.all_know_each_other, "all gateways know each other")
 
     def all_know_each_other(self) -> bool:
@@ -203,7 +204,7 @@
         return all(known in self.fleet.processes[g].log for g in self.gateways)
 
     def list_engines(self) -> None:
-        """Show the engines' present lives in the platform's list."""
+        """Puts the engines' current incarnations on the platform's list."""
         self.platform.instances.clear()
         for engine in self.engines:
             if engine.instance:
@@ -227,7 +228,7 @@
         self.assertTrue(sends <= SENDS_MAX, f"{sends} sends, {len(self.log.crashes_s)}")
 
     def test_at_every_gateway_at_once(self) -> None:
-        """Three tries in the same moment may end all five engines, and that is all."""
+        """Three tries at the same moment may crash all five engines at most."""
         with ThreadPoolExecutor(len(self.gateways)) as callers:
             for _ in range(2):
                 tries = [
@@ -235,17 +236,17 @@
                     for host in self.gateways
                 ]
                 self.assertFalse(200 in [call.result() for call in tries])
-        ended = len(self.log.crashes_s)
-        self.assertTrue(CRASHES_MAX <= ended <= len(self.engines), str(ended))
+        crashes = len(self.log.crashes_s)
+        self.assertTrue(CRASHES_MAX <= crashes <= len(self.engines), str(crashes))
         for host in self.gateways:
             self.assertEqual(503, self.send(host, CRASHING_BODY))
         time.sleep(2.0)
         for host in self.gateways:
             self.assertEqual(503, self.send(host, CRASHING_BODY))
-        self.assertEqual(ended, len(self.log.crashes_s))
+        self.assertEqual(crashes, len(self.log.crashes_s))
 
     def test_the_gateway_that_knew_is_suspended(self) -> None:
-        """It is stopped right after the third end, before it can tell the core."""
+        """It is suspended after the third crash, before it can report to the core."""
         self.send(self.gateways[0], CRASHING_BODY)
         process = self.fleet.processes[self.gateways[0]].popen
         process.send_signal(signal.SIGSTOP)
@@ -275,7 +276,7 @@
         self.assertEqual(CRASHES_MAX, len(self.log.arrivals_s))
 
     def test_the_gateway_that_knew_is_killed(self) -> None:
-        """It is killed 0.3 s after the third end, and the leader of the core too."""
+        """It is killed 0.3 s after the third crash, as is the leader of the core."""
         self.send(self.gateways[0], CRASHING_BODY)
         time.sleep(0.3)
         self.fleet.processes[self.gateways[0]].kill()
@@ -285,7 +286,7 @@
         self.assertEqual(CRASHES_MAX, len(self.log.arrivals_s))
 
     def test_other_requests_are_served(self) -> None:
-        """A load of others, through the same engines, while the request comes."""
+        """Other requests use the same engines while the crashing request is sent."""
         statuses: list[int] = []
         with ThreadPoolExecutor(24) as callers:
             ends_s = time.monotonic() + 8.0
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -1,4 +1,4 @@
-"""Tests of what a send to an engine is expected to cost, and of the choice."""
+"""Tests of the predicted cost of a send to an engine, and of the choice by it."""
 
 import random
 
@@ -51,8 +51,8 @@
 
 
 def gateway_context() -> Knowledge:
-    """A gateway in the hall `here`, before three engines with known paces."""
-    known = Knowledge(
+    """Returns a gateway in the hall `here`, with three engines of known rates."""
+    context = Knowledge(
         "here",
         "vm-1",
         VersionChooser(SessionVersions(5000.0)),
@@ -60,17 +60,17 @@
         BudgetTerms(0.9, 50.0, 10_000.0),
         generator=random.Random(1),
     )
-    made = document(services=[engine_service("app")])
-    known.table = RouteTable(decode_catalog(encoded(made)))
+    catalog = document(services=[engine_service("app")])
+    context.table = RouteTable(decode_catalog(encoded(catalog)))
     endpoints = tuple(
         Endpoint(instance, "app", f"{instance}:1", hall, "v1", 8, False)
         for instance, hall in zip(ENGINES, HALLS, strict=True)
     )
-    known.directory.replace(EndpointList(1, 1, endpoints), 0.0)
+    context.directory.replace(EndpointList(1, 1, endpoints), 0.0)
     for n in range(20):
-        known.pace.record_first_event("app", "large", 5000, 400.0, float(n))
-        known.pace.record_first_event("app", "small", 5000, 40.0, float(n))
-    return known
+        context.pace.record_first_event("app", "large", 5000, 400.0, float(n))
+        context.pace.record_first_event("app", "small", 5000, 40.0, float(n))
+    return context
 
 
 class ChooseEngineTest(testtools.TestCase):
@@ -111,7 +111,8 @@
         self.assertEqual("i-far", chosen.state.endpoint.instance)
         assert chosen.forecast is not None
         self.assertEqual(4000, chosen.forecast.prefill_tokens)
-        # The small model reads it sooner than the body has crossed the halls.
+        # The prefill by the small model is faster than the transfer of the body between
+        # halls.
         self.cache_prompt("i-far", "small", SUBJECT)
         self.assertEqual("i-near", self.instance(LONG, "small"))
 
@@ -137,14 +138,14 @@
 class UrgencyTest(testtools.TestCase):
     def test_short_prompts_first(self) -> None:
         self.assertIsNone(engine_urgency(None, 1))
-        for read_ms, route_urgency, expected in (
+        for prefill_ms, route_urgency, expected in (
             (10.0, 0, 0),
             (10.0, 7, 2),
             (300.0, 0, 3),
             (300.0, 1, 4),
             (2000.0, 2, 8),
         ):
-            forecast = Forecast(0.0, 1000, read_ms, read_ms)
+            forecast = Forecast(0.0, 1000, prefill_ms, prefill_ms)
             self.assertEqual(expected, engine_urgency(forecast, route_urgency))
 
 
@@ -163,21 +164,21 @@
 
 class PrefillRateTest(testtools.TestCase):
     def test_waits_do_not_raise_the_prefill_time(self) -> None:
-        """0.09 ms a token; three in four waited behind others, a few were kept."""
-        pace = LatencyModel()
+        """0.09 ms a token; three in four prompts waited, a few were cached."""
+        model = LatencyModel()
         for n in range(60):
             wait_ms = (0.0, 300.0, 700.0, 1500.0)[n % 4]
             first_ms = 100.0 if n % 15 == 0 else 0.09 * 6000 + wait_ms
-            pace.record_first_event("app", "large", 6000, first_ms, n * 100.0)
-        self.assertTrue(0.08 < pace.token_ms("app", "large") < 0.11)
+            model.record_first_event("app", "large", 6000, first_ms, n * 100.0)
+        self.assertTrue(0.08 < model.token_ms("app", "large") < 0.11)
 
     def test_a_rate_that_is_too_high_is_corrected(self) -> None:
-        """After a start the first answer waited long; then all waits look long."""
-        pace = LatencyModel()
-        pace.record_first_event("app", "small", 6000, 2000.0, 0.0)
-        self.assertTrue(pace.token_ms("app", "small") > 0.3)
+        """The first answer after a start was slow, so predicted waits are long."""
+        model = LatencyModel()
+        model.record_first_event("app", "small", 6000, 2000.0, 0.0)
+        self.assertTrue(model.token_ms("app", "small") > 0.3)
         for n in range(3):
-            pace.record_first_event(
+            model.record_first_event(
                 "app", "small", 6000, 100.0, n * 100.0, predicted_ms=2000.0
             )
-        self.assertTrue(pace.token_ms("app", "small") < 0.02)
+        self.assertTrue(model.token_ms("app", "small") < 0.02)
--- a/tests/test_limit_load.py
+++ b/tests/test_limit_load.py
@@ -1,10 +1,10 @@
-"""Plays of loads before endpoints that name rate limits: what all gateways together
-send them, and what callers get.
+"""Simulated loads on endpoints that name rate limits: what all gateways together send
+to them, and what callers get.
 
-What was seen: two of five engines in need got 27 and 21 requests in four seconds where
-18 and 15 are allowed, from six gateways, none of which had sent many. So what each does
-alone cannot be looked at: all gateways are played together, from 7 to 195, with answers
-and messages that take their time.
+Two of five overloaded engines got 27 and 21 requests in four seconds where 18 and 15
+are allowed, from six gateways, none of which had sent many. A test of one gateway can't
+show that, so 7 to 195 gateways are simulated together, with delayed answers and
+messages.
 """
 
 import random
@@ -32,22 +32,22 @@
 from tests.limited import allowed, most_within
 
 SIZES = (7, 61, 195)
-# The users' time until all that are in touch must know.
+# The time that users allow until all connected gateways know a limit.
 KNOWN_S = 3.0
 
 
 class LimitCase(testtools.TestCase):
     def check(self, world: LimitWorld, number: int, per_s: float, from_s: float) -> int:
-        """The bound holds at an endpoint from a time on; the most in a span."""
-        came_s = [at for at in world.endpoints[number].arrivals_s if at >= from_s]
-        most = most_within(came_s)
+        """Checks the bound at an endpoint from a time on; returns its arrivals."""
+        arrivals_s = [at for at in world.endpoints[number].arrivals_s if at >= from_s]
+        most = most_within(arrivals_s)
         self.assertTrue(most <= allowed(per_s), f"{most} at a limit of {per_s}")
-        return len(came_s)
+        return len(arrivals_s)
 
 
 class LoadTest(LimitCase):
     def test_two_of_five_are_limited(self) -> None:
-        """Nobody is refused: the other three have room."""
+        """No request is refused: the other three have capacity."""
         for size in SIZES:
             world = LimitWorld(size, 5, size)
             world.limit(0, 2.1)
@@ -58,20 +58,20 @@
             self.assertEqual([], world.refusals)
 
     def test_all_are_limited(self) -> None:
-        """What they take is used, and gateways share it."""
+        """The limits are used up, and the gateways share them."""
         for size in SIZES:
             world = LimitWorld(size, 5, size)
             for number in range(5):
                 world.limit(number, 2.0)
             world.run(100.0, 33.0)
-            came = [self.check(world, n, 2.0, KNOWN_S) for n in range(5)]
-            for count in came:
+            arrivals = [self.check(world, n, 2.0, KNOWN_S) for n in range(5)]
+            for count in arrivals:
                 self.assertTrue(count > 0.75 * 2.0 * 30.0, f"{count} of 60, {size}")
             if size == 7:
                 self.assertTrue(min(world.served) > 0.3 * max(world.served))
 
     def test_gateways_share_the_limit_although_messages_are_lost(self) -> None:
-        """Who has missed a few does not send alone from then on."""
+        """A gateway that has missed a few messages does not take over all sends."""
         for seed in (1, 2, 3):
             world = LimitWorld(7, 1, seed, Network(delay_ms=20.0, lost=0.03))
             world.limit(0, 2.0)
@@ -94,7 +94,7 @@
             self.check(world, 0, 2.0, KNOWN_S)
 
     def test_answers_that_take_seconds(self) -> None:
-        """An engine reads for long before its answer names anything."""
+        """The prefill at an engine takes long before its answer can name a limit."""
         for size in SIZES:
             world = LimitWorld(size, 3, size, answer_ms=2000.0)
             world.limit(0, 2.0)
@@ -104,7 +104,7 @@
 
 class ChangingTest(LimitCase):
     def test_a_limit_falls(self) -> None:
-        """Within a second all keep the new one."""
+        """All gateways apply the new limit within a second."""
         for size in SIZES:
             world = LimitWorld(size, 3, size)
             world.limit(0, 8.0)
@@ -114,40 +114,42 @@
             self.check(world, 0, 1.0, 11.0)
 
     def test_a_limit_rises(self) -> None:
-        """It is used within three seconds."""
+        """The new limit is used within three seconds."""
         for size in SIZES:
             world = LimitWorld(size, 1, size)
             world.limit(0, 1.0)
             world.limit(0, 10.0, at_s=10.0)
             world.run(100.0, 23.0)
             self.check(world, 0, 10.0, KNOWN_S)
-            came = [at for at in world.endpoints[0].arrivals_s if at > 13.0]
-            self.assertTrue(len(came) > 0.7 * 100, f"{len(came)} of 100, {size}")
+            arrivals = [at for at in world.endpoints[0].arrivals_s if at > 13.0]
+            self.assertTrue(
+                len(arrivals) > 0.7 * 100, f"{len(arrivals)} of 100, {size}"
+            )
 
     def test_a_limit_ends(self) -> None:
-        """The endpoint is used like the others again; nobody holds on to the limit."""
+        """The endpoint is used like the others again; no gateway retains the limit."""
         for size in SIZES:
             world = LimitWorld(size, 3, size)
             world.limit(0, 2.0)
             world.limit(0, NO_LIMIT, at_s=10.0)
             world.run(90.0, 20.0)
-            came = [at for at in world.endpoints[0].arrivals_s if at > 12.0]
-            self.assertTrue(len(came) > 120, f"{len(came)} of 240, {size}")
+            arrivals = [at for at in world.endpoints[0].arrivals_s if at > 12.0]
+            self.assertTrue(len(arrivals) > 120, f"{len(arrivals)} of 240, {size}")
             limited = [g.directory.state("i-0").limit.limited for g in world.gateways]  # type: ignore[union-attr]
             self.assertFalse(any(limited))
 
     def test_a_limit_of_zero_ends(self) -> None:
-        """Its answers alone tell that it takes some again."""
+        """Only the answers of the endpoint report that it accepts requests again."""
         for size in SIZES:
             world = LimitWorld(size, 2, size)
             world.limit(0, 0.0)
             world.limit(0, NO_LIMIT, at_s=10.0)
             world.run(60.0, 26.0)
-            came = [at for at in world.endpoints[0].arrivals_s if at > 18.0]
-            self.assertTrue(len(came) > 120, f"{len(came)} of 240, {size}")
+            arrivals = [at for at in world.endpoints[0].arrivals_s if at > 18.0]
+            self.assertTrue(len(arrivals) > 120, f"{len(arrivals)} of 240, {size}")
 
     def test_the_end_of_a_limit_is_not_received(self) -> None:
-        """A gateway that missed it finds out by a request of its own."""
+        """A gateway that missed the end finds it out by a request of its own."""
         world = LimitWorld(7, 2, 1)
         world.limit(0, 2.0)
         world.limit(0, NO_LIMIT, at_s=10.0)
@@ -159,7 +161,7 @@
         self.assertFalse(state.limit.limited)
 
     def test_an_answer_older_than_the_limit(self) -> None:
-        """It names none, and the limit holds on."""
+        """The answer names no limit, but the limit still applies."""
         for seed in range(10):
             world = LimitWorld(7, 2, seed, answer_ms=800.0)
             world.limit(0, 2.0, at_s=5.0)
@@ -169,7 +171,7 @@
 
 class FaultTest(LimitCase):
     def test_gateways_restart(self) -> None:
-        """One after the other, each knowing nothing of the limit."""
+        """They restart one after the other, each without knowing the limit."""
         for size in SIZES:
             world = LimitWorld(size, 3, size)
             world.limit(0, 2.0)
@@ -179,7 +181,7 @@
             self.check(world, 0, 2.0, KNOWN_S)
 
     def test_all_gateways_restart(self) -> None:
-        """All begin anew at once; their first answers tell."""
+        """All restart at once; their first answers name the limit."""
         for size in SIZES:
             world = LimitWorld(size, 3, size)
             world.limit(0, 2.0)
@@ -189,7 +191,7 @@
             self.check(world, 0, 2.0, 8.0 + 1.0)
 
     def test_a_gateway_is_cut_off(self) -> None:
-        """It uses its own part, and the others do as before."""
+        """It uses its own share of the limit, and the others send as before."""
         for size in SIZES:
             world = LimitWorld(size, 2, size)
             world.limit(0, 2.0)
@@ -198,22 +200,22 @@
             self.check(world, 0, 2.0, KNOWN_S)
 
     def test_all_gateways_are_cut_off(self) -> None:
-        """No datagram arrives, and no core VM is in touch."""
+        """No datagram is received, and no core VM is reachable."""
         for size in SIZES:
             world = LimitWorld(size, 2, size, Network(lost=1.0))
             world.limit(0, 2.0)
-            for known in world.gateways:
-                known.core_in_touch = False
+            for context in world.gateways:
+                context.core_in_touch = False
             world.run(60.0, 40.0)
             self.check(world, 0, 2.0, 10.0)
 
     def test_an_endpoint_restarts(self) -> None:
-        """Nothing is left of the limit that it had."""
+        """The limit of its previous incarnation is forgotten."""
         world = LimitWorld(7, 2, 1)
         world.limit(0, 1.0)
         world.run(60.0, 5.0)
-        for known in world.gateways:
-            state = known.directory.state("i-0")
+        for context in world.gateways:
+            state = context.directory.state("i-0")
             assert state is not None and state.limit.limited
             state.refuses(world.now_ms)
             self.assertFalse(state.limit.limited)
@@ -225,13 +227,14 @@
         world.limit(0, 2.0)
         world.limit(1, 2.0)
         world.run(50.0, 12.0)
-        told = [r for r in world.refusals if r.at_s > KNOWN_S]
-        self.assertTrue(len(told) > 200)
-        times_s = sorted(r.at_s + r.after_s for r in told)
-        # Together they take 4 a second; no moment is told to all.
+        refusals = [r for r in world.refusals if r.at_s > KNOWN_S]
+        self.assertTrue(len(refusals) > 200)
+        times_s = sorted(r.at_s + r.after_s for r in refusals)
+        # Together the endpoints accept 4 requests a second; no single time is given to
+        # all callers.
         together = most_within(times_s, 0.1)
         self.assertTrue(together < 30, str(together))
-        self.assertTrue(all(0.1 <= r.after_s <= 5.0 for r in told))
+        self.assertTrue(all(0.1 <= r.after_s <= 5.0 for r in refusals))
 
     def test_the_first_caller_retries_at_the_next_token(self) -> None:
         world = LimitWorld(1, 1, 1)
@@ -241,7 +244,7 @@
 
 
 class ReportedLimitTest(testtools.TestCase):
-    """One gateway that has heard of a limit at 1,000 ms."""
+    """One gateway that has received a limit at 1,000 ms."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -253,13 +256,13 @@
         self.apply_peer(2.0, 0.0, 1000.0)
 
     def apply_peer(self, per_s: float, age_ms: float, now_ms: float) -> float:
-        """What is known after another gateway's word of an answer that old."""
-        news = LimitNamed("i-0", per_s, age_ms)
-        apply_peer_limit(self.context, self.state, news, "g-1:7000", now_ms)
+        """Applies a peer's report of an answer that old; returns the known limit."""
+        update = LimitNamed("i-0", per_s, age_ms)
+        apply_peer_limit(self.context, self.state, update, "g-1:7000", now_ms)
         return self.state.limit.per_s
 
     def test_the_report_of_a_suspended_gateway(self) -> None:
-        """It tells of requests that were sent before the limit was last named."""
+        """It reports on requests that were sent before the limit was last named."""
         self.assertEqual(2.0, self.apply_peer(20.0, 4000.0, 2000.0))
         self.assertEqual(2.0, self.apply_peer(NO_LIMIT, 4000.0, 2000.0))
         self.assertEqual(20.0, self.apply_peer(20.0, 900.0, 2000.0))
@@ -268,16 +271,16 @@
         self.assertEqual(1.0, self.apply_peer(1.0, 4000.0, 2000.0))
 
     def limited_after_answer(self, sent_ms: float, executed: bool = True) -> bool:
-        """Whether it is limited after an answer that names no limit."""
-        answered = LimitReport("r1", NO_LIMIT, sent_ms, executed)
-        apply_answer_limit(self.context, self.state, answered, 2000.0)
+        """Checks whether the endpoint is limited after an answer without a limit."""
+        report = LimitReport("r1", NO_LIMIT, sent_ms, executed)
+        apply_answer_limit(self.context, self.state, report, 2000.0)
         return self.state.limit.limited
 
     def test_an_answer_to_a_request_that_was_sent_before(self) -> None:
         self.assertTrue(self.limited_after_answer(999.0))
 
     def test_a_refusal(self) -> None:
-        """An endpoint that turns requests away may leave the limit out."""
+        """An endpoint that refuses requests may leave out the limit."""
         self.assertTrue(self.limited_after_answer(1500.0, executed=False))
 
     def test_an_answer_to_a_request_that_was_sent_since(self) -> None:
@@ -330,13 +333,13 @@
         self.assertEqual(OWED_MAX_S * 1000.0 + 500.0, wait_ms)
 
     def test_a_wait_drawn_while_cut_off_ends_after_reconnecting(self) -> None:
-        """A gateway that was cut off had to wait for more than is saved by all."""
+        """The wait drawn while cut off exceeds what all gateways can save."""
         limit = RateLimit()
         limit.set_rate(0.3, Sharers(7, in_touch=False), 0.99, 0.0)
         self.assertEqual(0.0, limit.wait_ms(Sharers(7), 60_000.0))
 
     def test_tokens_owed_at_another_rate_are_bounded(self) -> None:
-        """Twenty requests that crossed before a limit fell hold nobody up after it."""
+        """Twenty requests sent at once before a limit fell delay nothing after it."""
         limit = self.limit(20.0)
         for _ in range(20):
             limit.sent_elsewhere(self.SINGLE, 0.0, 0.0)
@@ -353,10 +356,10 @@
         self.assertTrue(limit.wait_ms(self.SINGLE, 0.0) > 0.0)
 
     def test_a_gateway_that_is_cut_off_uses_its_share(self) -> None:
-        apart = Sharers(10, in_touch=False)
+        cut_off = Sharers(10, in_touch=False)
         limit = RateLimit()
-        limit.set_rate(2.0, apart, 0.0, 0.0)
-        self.assertEqual(5000.0, limit.wait_ms(apart, 0.0))
+        limit.set_rate(2.0, cut_off, 0.0, 0.0)
+        self.assertEqual(5000.0, limit.wait_ms(cut_off, 0.0))
 
     def test_a_limit_of_zero_permits_rare_sends(self) -> None:
         limit = self.limit(0.0)
@@ -372,14 +375,14 @@
     def test_any_schedule(self) -> None:
         """One gateway, any rate and any times of sends."""
         for seed in range(200):
-            drawn = random.Random(seed)
-            per_s = drawn.choice((0.0, 0.3, 1.0, 2.0, 9.0, 50.0))
+            generator = random.Random(seed)
+            per_s = generator.choice((0.0, 0.3, 1.0, 2.0, 9.0, 50.0))
             limit = self.limit(per_s)
-            came_s = []
+            arrivals_s = []
             at_ms = 0.0
             for _ in range(400):
-                at_ms += drawn.choice((0.0, 1.0, 50.0, 900.0, 8000.0))
+                at_ms += generator.choice((0.0, 1.0, 50.0, 900.0, 8000.0))
                 if not limit.wait_ms(self.SINGLE, at_ms):
-                    limit.sent(self.SINGLE, drawn.random(), at_ms)
-                    came_s.append(at_ms / 1000.0)
-            self.assertTrue(most_within(came_s) <= allowed(per_s), str(seed))
+                    limit.sent(self.SINGLE, generator.random(), at_ms)
+                    arrivals_s.append(at_ms / 1000.0)
+            self.assertTrue(most_within(arrivals_s) <= allowed(per_s), str(seed))
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -1,22 +1,21 @@
-"""Regression tests: endpoints in need get more requests than they take.
-
-What users saw: two of five engines in need named a limit of 2.1 and 1.6 requests a
-second in their answers, and got 27 and 21 in four seconds from gateways that had passed
-such answers on, while the other three had room.
-
-The order of events: both engines name a limit from the same moment on. Each gateway
-passes such an answer on within a second, and goes on choosing among all five, first
-sends and sends for a larger model alike; with fewer requests than before the two look
-like good choices. After three seconds, when the bound holds, it is passed at once.
-
-The cause: gateways read of an answer what they choose by, and the limit was not among
-it. It is a bound on what all gateways send together, and none of them sent many: 1 to 5
-in the four seconds, where 8 would have been within the limit. Read and kept by each
-alone, it would still have been passed.
-
-The evidence, from logs of all gateways: sends to the two after they had named their
-limits had as many candidates as before; no line or counter knew of a limit. With that
-line, the gateways of the test below heard the limit within a second and sent on.
+"""Regression tests: rate-limited endpoints get more requests than their limit allows.
+
+Two of five overloaded engines named a limit of 2.1 and 1.6 requests a second in their
+answers, and got 27 and 21 requests in four seconds from gateways that had forwarded
+such answers, while the other three had capacity. Both engines name a limit from the
+same moment on. Each gateway forwards such an answer within a second, but still chooses
+among all five for first sends and sends to a larger model alike; since the two get
+fewer requests than before, they look like good choices. After three seconds, when the
+bound applies, it is exceeded at once.
+
+The limit was not part of what gateways use from an answer to choose an endpoint. It
+bounds the sends of all gateways together, and none of them sent many: 1 to 5 in the
+four seconds, where 8 would have been within the limit. If each gateway applied the
+limit alone, it would still be exceeded.
+
+In the logs of all gateways, sends to the two after they had named their limits had as
+many candidates as before, and no line or counter showed a limit. With a line for it,
+the gateways of the test below received the limit within a second and continued to send.
 """
 
 import asyncio
@@ -61,9 +60,9 @@
     """One gateway, an endpoint that names a limit and one that does not."""
 
     def test_a_limited_endpoint_gets_what_its_limit_allows(self) -> None:
-        """The other one has room for all."""
+        """The other endpoint has capacity for all requests."""
         limited = LimitedEndpoint(2.0)
-        other = LimitedEndpoint()
+        unlimited = LimitedEndpoint()
 
         async def work() -> None:
             for number in range(60):
@@ -71,23 +70,26 @@
                 self.assertEqual(200, status)
                 await asyncio.sleep(0.05)
 
-        self.run_gateway([limited.worker, other.worker], work)
+        self.run_gateway([limited.worker, unlimited.worker], work)
         most = most_within(limited.arrivals_s)
         self.assertTrue(most <= allowed(2.0), f"{most} of {len(limited.arrivals_s)}")
 
 
 class OtherRequestsTest(GatewayHarness):
-    """What is no first send at an endpoint of the only version."""
+    """Sends other than the first send to an endpoint of the only version."""
 
     def send_requests(
-        self, workers: list[LimitedEndpoint], data: list[bytes], pause_s: float = 0.02
+        self,
+        workers: list[LimitedEndpoint],
+        requests: list[bytes],
+        pause_s: float = 0.02,
     ) -> list[int]:
-        """The statuses of requests that come one after the other."""
+        """Sends requests one after the other, and returns their statuses."""
         statuses = []
 
         async def work() -> None:
             self.prepare()
-            for number, request in enumerate(data):
+            for number, request in enumerate(requests):
                 status, _ = await self.call(request)
                 statuses.append(status)
                 if number % 10 == 9:
@@ -97,23 +99,24 @@
         return statuses
 
     def prepare(self) -> None:
-        """What the gateway knows beforehand."""
+        """Sets what the gateway knows beforehand."""
 
     def test_repeats_after_an_error(self) -> None:
-        """The first endpoint fails each request; the repeats keep the limit too."""
+        """The first endpoint fails each request; repeats are limited too."""
         failing, limited = LimitedEndpoint(status=500), LimitedEndpoint(1.0)
         self.send_requests([failing, limited], [ask(f"/get/{n}") for n in range(60)])
         self.assertTrue(most_within(limited.arrivals_s) <= allowed(1.0))
 
     def test_a_silent_endpoint_is_not_abandoned_for_a_limited_one(self) -> None:
-        """The room there may be gone before the send; the answer comes at last."""
+        """The limited one may be full before the send; the silent one answers late."""
         silent, limited = LimitedEndpoint(answer_s=1.0), LimitedEndpoint()
 
         def prepare() -> None:
             now_ms = asyncio.get_running_loop().time() * 1000.0
             state = self.known.directory.state("i-1")
             assert state is not None
-            # There is room again before the first endpoint has been silent for long.
+            # There is capacity again before the first endpoint has been silent for
+            # long.
             state.limit.set_rate(5.0, Sharers(), 0.0, now_ms)
 
         self.prepare = prepare  # type: ignore[method-assign]
@@ -121,7 +124,7 @@
         self.assertEqual((1, 0), (len(silent.arrivals_s), len(limited.arrivals_s)))
 
     def test_no_endpoint_has_capacity(self) -> None:
-        """Refused at once, not run, and told when to come back."""
+        """Requests are refused at once, without having run, and with a retry time."""
         limited = LimitedEndpoint(0.5)
         answers = []
 
@@ -138,7 +141,7 @@
             self.assertTrue(0.1 <= wait_s <= 5.0, str(wait_s))
 
     def test_a_roll_out_whose_new_endpoint_is_limited(self) -> None:
-        """A request without a session may as well run on the version before."""
+        """A request without a session may also run on the previous version."""
         new, old = LimitedEndpoint(0.5), LimitedEndpoint()
 
         def prepare() -> None:
@@ -151,9 +154,9 @@
             self.known.versions.apply_rollouts([trial])
 
         self.prepare = prepare  # type: ignore[method-assign]
-        one_id = ask("/get/1")
-        data = [one_id.replace(b"Id: r1", f"Id: r{n}".encode()) for n in range(60)]
-        statuses = self.send_requests([new, old], data)
+        request = ask("/get/1")
+        requests = [request.replace(b"Id: r1", f"Id: r{n}".encode()) for n in range(60)]
+        statuses = self.send_requests([new, old], requests)
         self.assertEqual({200}, set(statuses))
         self.assertTrue(most_within(new.arrivals_s) <= allowed(0.5))
 
@@ -164,7 +167,7 @@
     LIMIT_PER_S = 1.0
     REQUESTS_PER_S = 60
     LENGTH_S = 8.0
-    # Until then a limit has been heard by all.
+    # All gateways have received a limit by then.
     KNOWN_S = 3.0
 
     def setUp(self) -> None:
@@ -195,7 +198,7 @@
         return all(known in self.fleet.processes[g].log for g in self.gateways)
 
     def run_load(self, length_s: float) -> list[int]:
-        """Ask all gateways in turn; the statuses of the answers."""
+        """Sends requests to all gateways in turn, and returns their statuses."""
         pending: list[Future[int]] = []
         with ThreadPoolExecutor(24) as callers:
             ends_s = time.monotonic() + length_s
@@ -210,30 +213,30 @@
         begun_s = time.monotonic()
         statuses = self.run_load(self.LENGTH_S)
         self.assertEqual({200}, set(statuses))
-        came_s = self.limited.arrivals_since(begun_s + self.KNOWN_S)
-        most = most_within(came_s)
+        arrivals_s = self.limited.arrivals_since(begun_s + self.KNOWN_S)
+        most = most_within(arrivals_s)
         self.assertTrue(most <= allowed(self.LIMIT_PER_S), str(most))
 
     def test_a_gateway_stands_still_and_one_is_killed(self) -> None:
-        """The limit holds, but for what the two send before they have heard of it."""
+        """The limit applies, except to sends of the two before they receive it."""
         faults = threading.Thread(target=self.suspend_and_kill)
         faults.start()
         begun_s = time.monotonic()
         statuses = self.run_load(11.0)
         faults.join()
-        came_s = self.limited.arrivals_since(begun_s + self.KNOWN_S)
-        most = most_within(came_s)
-        # The one that wakes and the one that starts each send a few.
+        arrivals_s = self.limited.arrivals_since(begun_s + self.KNOWN_S)
+        most = most_within(arrivals_s)
+        # The resumed gateway and the restarted one send a few requests each.
         self.assertTrue(most <= allowed(self.LIMIT_PER_S), str(most))
         self.assertTrue(statuses.count(200) > 0.6 * len(statuses))
 
     def suspend_and_kill(self) -> None:
-        """One gateway is frozen for two seconds, then another is killed and starts."""
+        """Suspends one gateway for two seconds, then kills and restarts another."""
         time.sleep(2.0)
-        frozen = self.fleet.processes[self.gateways[1]].popen
-        frozen.send_signal(signal.SIGSTOP)
+        suspended = self.fleet.processes[self.gateways[1]].popen
+        suspended.send_signal(signal.SIGSTOP)
         time.sleep(2.0)
-        frozen.send_signal(signal.SIGCONT)
+        suspended.send_signal(signal.SIGCONT)
         time.sleep(1.0)
         self.fleet.processes[self.gateways[2]].kill()
         self.fleet.start_gateway(self.gateways[2])
@@ -245,5 +248,7 @@
         self.run_load(3.0)
         begun_s = time.monotonic()
         statuses = self.run_load(2.0)
-        came = len(self.limited.arrivals_since(begun_s))
-        self.assertTrue(came > 0.25 * len(statuses), f"{came} of {len(statuses)}")
+        arrivals = len(self.limited.arrivals_since(begun_s))
+        self.assertTrue(
+            arrivals > 0.25 * len(statuses), f"{arrivals} of {len(statuses)}"
+        )
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -1,4 +1,4 @@
-"""Requests that are bound to regions, by their route or by their organisation."""
+"""Tests of requests that are bound to regions, by their route or their organisation."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 REGIONS = {"hall-1": "north", "hall-2": "south", "hall-3": "west"}
 
 
-async def break_off(request: Received, writer: asyncio.StreamWriter) -> None:
+async def abort_stream(request: Received, writer: asyncio.StreamWriter) -> None:
     writer.write(standin.head(request) + b"Transfer-Encoding: chunked\r\n\r\n")
     writer.write(standin.chunk(standin.event(1)))
     await writer.drain()
@@ -25,7 +25,7 @@
         self.workers = [StandIn([standin.answer()]) for _ in range(3)]
 
     def bind(self, route_regions: list[str], organisation_regions: list[str]) -> None:
-        """Endpoints in three halls of three regions; the gateway is in the first."""
+        """Sets up endpoints in three regions' halls, the gateway in the first."""
         document = standin.document(3)
         for each in document["routes"]:
             each["allowedRegions"] = route_regions
@@ -42,7 +42,7 @@
     def answers_by_endpoint(
         self, route: list[str], organisation: list[str]
     ) -> list[int]:
-        """How many of 20 requests each endpoint got."""
+        """Returns how many of 20 requests each endpoint got."""
 
         async def work() -> None:
             self.bind(route, organisation)
@@ -66,10 +66,10 @@
     def check_refused(self, route: list[str], organisation: list[str]) -> None:
         async def work() -> None:
             self.bind(route, organisation)
-            status, got = await self.call(ask("/once/1", method="POST"))
+            status, answer = await self.call(ask("/once/1", method="POST"))
             self.assertEqual(503, status)
-            self.assertIn(b"no_endpoint_in_region", got)
-            self.assertIn(b"Retry-After", got)
+            self.assertIn(b"no_endpoint_in_region", answer)
+            self.assertIn(b"Retry-After", answer)
 
         self.run_gateway(self.workers, work)
         self.assertEqual([], [seen for w in self.workers for seen in w.seen])
@@ -91,8 +91,8 @@
         self.assertEqual([], [seen for w in self.workers for seen in w.seen])
 
     def test_a_stream_is_resumed_within_its_region(self) -> None:
-        """The only endpoint there breaks off: the stream ends, and goes nowhere."""
-        self.workers[1].scripts = [break_off]
+        """The only endpoint there aborts: the stream ends, and is not resumed."""
+        self.workers[1].scripts = [abort_stream]
 
         async def work() -> None:
             self.bind(["south"], [])
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -1,25 +1,23 @@
 """Regression tests: sessions that were sent back to the version that a roll-out
 replaces.
 
-What users saw: on a day with a good new version, 7 requests ran on the old one
-although the request before them in their session had run on the new one.
-
-The order of events: a trial sends a share of the sessions to the new version; a
-load test makes one endpoint of it busy and moves further sessions for that; the
-next request of such a session comes by another gateway, which has not heard of the
-session and chooses for itself.
-
-The cause: where a session belongs was known for sure to one gateway only. The
-others got it by one datagram each, sent to whomever the sender knew at that moment
-and kept for some seconds; and the share, which all know, went down from the trial
-to the load test.
-
-The evidence, from logs of all gateways: 13 requests went back, eight of them 2.4 s
-after a load test had moved their session at another gateway. On a service with few
-requests a session of the trial's share (0.25) was sent back in the load test
-(share 0.1), if only after a pause in which it was forgotten. After a change of
-leader gateways learnt `gateways=0 before=6`; a session that was moved 0.08 s later
-went back at a gateway that nobody had told.
+On a day with a good new version, 7 requests ran on the old one although the previous
+request of their session had run on the new one. A trial sends a share of the sessions
+to the new version; a load test makes one endpoint of it busy and moves further sessions
+for that; the next request of such a session comes through another gateway, which has
+not received the move and chooses by itself.
+
+The version of a session was known for certain to one gateway only. The others received
+it in one datagram each, which was sent to the gateways that the sender knew at that
+moment, and kept it for some seconds; and the share, which all gateways know, fell from
+the trial to the load test.
+
+The logs of all gateways showed 13 requests that went back, eight of them 2.4 s after a
+load test had moved their session at another gateway. On a service with few requests a
+session of the trial's share (0.25) was sent back in the load test (share 0.1), although
+only after a pause in which it was forgotten. After a change of leader gateways logged
+`gateways=0 before=6`; a session that was moved 0.08 s later went back at a gateway that
+had not received the move.
 """
 
 import asyncio
@@ -73,7 +71,7 @@
 OLD = Endpoint("i-1", "app", "127.0.0.1:1", "hall-1", "v1", 8, False)
 NEW = Endpoint("i-2", "app", "127.0.0.1:2", "hall-1", "v2", 8, False)
 DURATION_MS = 20_000.0
-# About as long as an application service takes.
+# About the time in which an application service answers.
 ANSWER_S = 0.03
 EXPLAINED_EVENTS = (
     "rollout_decided",
@@ -88,7 +86,7 @@
 
 
 def good_rollout(answers_per_step: int) -> list[Rollout]:
-    """The records of a whole roll-out of a version that is well."""
+    """Returns the records of a whole roll-out of a healthy version."""
     evidence = Evidence()
     rollout = Rollout("app", "v2", RolloutStage.TRIAL, 0.0, 1, DURATION_MS)
     records = [rollout]
@@ -113,7 +111,7 @@
 
 
 class ShareTest(testtools.TestCase):
-    """Whoever knows nothing but the roll-out's record sends no session back."""
+    """A gateway that knows only the roll-out's record sends no session back."""
 
     def test_the_share_never_falls(self) -> None:
         for answers in (1, 3, 10, 100):
@@ -128,29 +126,31 @@
         for _ in range(8):
             busy.sent(0.0)
         for session in (f"s{n}" for n in range(200)):
-            seen = ""
+            version_before = ""
             for record in good_rollout(3):
                 chooser = VersionChooser(SessionVersions(5000.0))
                 chooser.apply_rollouts([record])
                 allowed = chooser.allowed("app", session, "r", states, 0.0)
                 (state,) = allowed.states
-                self.assertNotEqual(("v2", "v1"), (seen, state.endpoint.version))
-                seen = state.endpoint.version
+                self.assertNotEqual(
+                    ("v2", "v1"), (version_before, state.endpoint.version)
+                )
+                version_before = state.endpoint.version
 
 
 def gateway_context() -> Knowledge:
-    """A gateway after a load test, which remembers sessions for 1.1 s."""
-    known = Knowledge(
+    """Returns a gateway after a load test, which remembers sessions for 1.1 s."""
+    context = Knowledge(
         "hall-1",
         "vm-1",
         VersionChooser(SessionVersions(100.0)),
         ENDPOINT_POLICIES.get("hall_affinity")(),
         BudgetTerms(0.9, 10.0, 10_000.0),
     )
-    known.directory.replace(EndpointList(1, 1, (OLD, NEW)), 0.0)
+    context.directory.replace(EndpointList(1, 1, (OLD, NEW)), 0.0)
     stage = RolloutStage.SETTLE
-    known.versions.apply_rollouts([Rollout("app", "v2", stage, 0.1, 1, DURATION_MS)])
-    return known
+    context.versions.apply_rollouts([Rollout("app", "v2", stage, 0.1, 1, DURATION_MS)])
+    return context
 
 
 def chosen_version(context: Knowledge, session: str, now_ms: float) -> str:
@@ -166,32 +166,34 @@
     MOVED = encode(SessionMoved("app", "s1", "v2"))
 
     def test_a_move_outlasts_a_long_request(self) -> None:
-        """The move was told when the request began; the next one comes much later."""
+        """The move was broadcast when the request began, long before the next."""
 
         async def run() -> None:
-            known = gateway_context()
+            context = gateway_context()
             now_ms = asyncio.get_running_loop().time() * 1000.0
-            self.assertEqual("v1", chosen_version(known, "s1", now_ms))
-            GatewayPeers(known).datagram_received(self.MOVED, ("127.0.0.9", 1))
+            self.assertEqual("v1", chosen_version(context, "s1", now_ms))
+            GatewayPeers(context).datagram_received(self.MOVED, ("127.0.0.9", 1))
             for later_ms in (0.0, 1000.0, 8000.0):
-                self.assertEqual("v2", chosen_version(known, "s1", now_ms + later_ms))
+                self.assertEqual("v2", chosen_version(context, "s1", now_ms + later_ms))
 
         asyncio.run(run())
 
     def test_a_gateway_that_missed_the_message_uses_the_record(self) -> None:
-        known = gateway_context()
-        self.assertEqual("v1", chosen_version(known, "s1", 0.0))
-        mark = session_hash("v2", "s1")
+        context = gateway_context()
+        self.assertEqual("v1", chosen_version(context, "s1", 0.0))
+        hash_value = session_hash("v2", "s1")
         settled = Rollout("app", "v2", RolloutStage.SETTLE, 0.1, 2, DURATION_MS)
-        known.versions.apply_rollouts([msgspec.structs.replace(settled, moved=(mark,))])
-        self.assertEqual("v2", chosen_version(known, "s1", 0.0))
+        context.versions.apply_rollouts(
+            [msgspec.structs.replace(settled, moved=(hash_value,))]
+        )
+        self.assertEqual("v2", chosen_version(context, "s1", 0.0))
 
     def test_an_answer_of_the_old_version_ends_after_the_move(self) -> None:
-        moved, ended = asyncio.Event(), standin.stream(2, "X-Confidence: 90")
+        moved, answer_end = asyncio.Event(), standin.stream(2, "X-Confidence: 90")
 
         async def slow(request: Received, writer: asyncio.StreamWriter) -> None:
             await moved.wait()
-            await ended(request, writer)
+            await answer_end(request, writer)
 
         worker = StandIn([slow])
 
@@ -214,7 +216,7 @@
 
 
 class NewLeaderTest(testtools.TestCase):
-    """Datagrams, and each gateway's part of the repeats, go by this list."""
+    """Datagrams and each gateway's share of the repeats depend on this list."""
 
     GATEWAYS = tuple(GatewayVm(f"10.0.0.{n}:7000", "hall-1") for n in range(6))
 
@@ -223,19 +225,19 @@
 
     def test_a_new_leader_knows_the_gateways_of_its_predecessor(self) -> None:
         leader, follower = Spread(CORE), Spread(CORE)
-        asked = self.request(*self.GATEWAYS)
-        leader.asked(asked)
+        request = self.request(*self.GATEWAYS)
+        leader.asked(request)
         leader.lead(1, EndpointList(), 0.0, 0.0)
-        follower.learn(leader.reply(asked, True, (), FleetState()))
+        follower.learn(leader.reply(request, True, (), FleetState()))
         follower.lead(2, EndpointList(), 0.0, 0.0)
-        told = follower.reply(self.request(), True, (), FleetState())
-        self.assertEqual(self.GATEWAYS, told.gateways)
+        reply = follower.reply(self.request(), True, (), FleetState())
+        self.assertEqual(self.GATEWAYS, reply.gateways)
 
 
 class TrialBeginsTest(testtools.TestCase):
-    """Sessions that begin in the last moments before a trial stay where they run."""
+    """Sessions that begin in the last moments before a trial stay on their version."""
 
-    # Users allow so many requests on another version than the one before them.
+    # Users allow this many requests on another version than the request before them.
     MOVED_MAX = 3
 
     def check(self, load: Load, seeds: int) -> None:
@@ -258,56 +260,56 @@
     def apply_trial(
         self, context: Knowledge, share: float, now_ms: float
     ) -> list[PeerNews]:
-        """Have a gateway learn of a trial; what it tells from then on."""
+        """Applies a trial at a gateway; returns the list of its later broadcasts."""
         number = 2 if share == 0.0 else 3
         trial = Rollout("app", "v2", RolloutStage.TRIAL, share, number, DURATION_MS)
         context.versions.apply_rollouts([trial], now_ms)
-        told: list[PeerNews] = []
-        context.tell = told.append
-        return told
+        broadcasts: list[PeerNews] = []
+        context.tell = broadcasts.append
+        return broadcasts
 
     def test_a_session_that_runs_before_the_trial_is_broadcast_twice(self) -> None:
-        """Each time by another gateway of a hall, since datagrams may be lost."""
-        known = gateway_context()
-        told = self.apply_trial(known, 0.0, 0.0)
+        """Each copy is relayed by another gateway of a hall, as datagrams get lost."""
+        context = gateway_context()
+        broadcasts = self.apply_trial(context, 0.0, 0.0)
         movable = next(
             s
             for s in (f"s{n}" for n in range(99))
             if session_hash("v2", s) < MOVABLE_SHARE * HASH_RANGE
         )
         for _ in range(3):
-            announce_session(known, "app", movable, "v1", 100.0)
-        self.assertEqual(2, len(told))
+            announce_session(context, "app", movable, "v1", 100.0)
+        self.assertEqual(2, len(broadcasts))
 
     def test_a_session_that_begins_in_a_new_trial_stays_in_it(self) -> None:
-        """Also at a gateway that has not heard that the trial has begun."""
-        there, late = gateway_context(), gateway_context()
-        self.apply_trial(late, 0.0, 0.0)
-        self.apply_trial(there, 0.0, 0.0)
-        told = self.apply_trial(there, 0.07, 1000.0)
-        announce_session(there, "app", "s1", "v2", 1100.0)
-        self.assertEqual([SessionMoved("app", "s1", "v2")], told)
-        self.assertEqual("v1", chosen_version(late, "s1", 1200.0))
-        HEARD.call(late, told[0], Teller("g", 1200.0))
-        self.assertEqual("v2", chosen_version(late, "s1", 1200.0))
+        """Also at a gateway that has not received the start of the trial."""
+        sender, receiver = gateway_context(), gateway_context()
+        self.apply_trial(receiver, 0.0, 0.0)
+        self.apply_trial(sender, 0.0, 0.0)
+        broadcasts = self.apply_trial(sender, 0.07, 1000.0)
+        announce_session(sender, "app", "s1", "v2", 1100.0)
+        self.assertEqual([SessionMoved("app", "s1", "v2")], broadcasts)
+        self.assertEqual("v1", chosen_version(receiver, "s1", 1200.0))
+        HEARD.call(receiver, broadcasts[0], Teller("g", 1200.0))
+        self.assertEqual("v2", chosen_version(receiver, "s1", 1200.0))
 
     def test_a_running_trial_broadcasts_nothing(self) -> None:
-        known = gateway_context()
+        context = gateway_context()
         for number, share in ((2, 0.0), (3, 0.07)):
             trial = Rollout("app", "v2", RolloutStage.TRIAL, share, number, DURATION_MS)
-            known.versions.apply_rollouts([trial], 1000.0 * number)
-        told: list[PeerNews] = []
-        known.tell = told.append
+            context.versions.apply_rollouts([trial], 1000.0 * number)
+        broadcasts: list[PeerNews] = []
+        context.tell = broadcasts.append
         for number in range(100):
-            announce_session(known, "app", f"s{number}", "v2", 4500.0)
-            announce_session(known, "app", f"t{number}", "v1", 4500.0)
-        self.assertEqual([], told)
+            announce_session(context, "app", f"s{number}", "v2", 4500.0)
+            announce_session(context, "app", f"t{number}", "v1", 4500.0)
+        self.assertEqual([], broadcasts)
 
 
 class RunningSessionsTest(testtools.TestCase):
     """Real processes: three gateways, five core VMs.
 
-    Each session makes three requests, each by another gateway.
+    Each session makes three requests, each through another gateway.
     """
 
     ROLLOUT_S = 12.0
@@ -317,23 +319,24 @@
     def setUp(self) -> None:
         super().setUp()
 
-        async def tell_instance(
+        async def send_instance(
             request: Received, writer: asyncio.StreamWriter
         ) -> None:
-            # A version that gets few requests opens a connection for most of them:
-            # on a busy machine that is 3.4 times an answer of 1 ms, which is late.
+            # A version that gets few requests opens a connection for most of them: on a
+            # busy machine that takes 3.4 times as long as an answer of 1 ms, which
+            # counts as late.
             await asyncio.sleep(ANSWER_S)
             instance = request.headers["x-expect-instance"].encode()
             writer.write(standin.whole(request, instance))
 
-        self.fleet = Fleet(scripts=[tell_instance])
+        self.fleet = Fleet(scripts=[send_instance])
         self.addCleanup(self.fleet.close)
         self.fleet.found()
         self.gateways = [f"{self.fleet.net}.{n}" for n in (101, 102, 103)]
 
     @property
     def rolled_back(self) -> bool:
-        """Whether any core VM says so; asked after an answer that it may concern."""
+        """Whether a core VM logged a roll-back; checked after each answer."""
         cores = (self.fleet.processes[host] for host in self.fleet.hosts)
         return any("stage=rolled_back" in core.log for core in cores)
 
@@ -350,19 +353,20 @@
         )
         return all(status == 200 for status, _ in answers)
 
-    def session(self, number: int, found: list[list[str]]) -> None:
-        """The instances that a session's requests ran on.
+    def session(self, number: int, results: list[list[str]]) -> None:
+        """Records the instances that a session's requests ran on.
 
-        Once the version is rolled back, all sessions have to leave it.
+        Once the version is rolled back, requests are left out: all sessions have to
+        leave it.
         """
-        ran = []
+        instances = []
         for step in range(3):
             gateway = self.gateways[(number + step) % 3]
             status, instance = self.fleet.ask_in_session(gateway, f"session-{number}")
             if status == 200 and not self.rolled_back:
-                ran.append(instance)
+                instances.append(instance)
             time.sleep(self.PAUSE_S)
-        found.append(ran)
+        results.append(instances)
 
     def test_one_gateway_gets_no_datagrams(self) -> None:
         taken = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -386,7 +390,7 @@
         self.assertTrue(killed)
 
     def print_decisions(self) -> None:
-        """Print what the processes decided, to trace a failure by."""
+        """Prints the decisions of the processes, to trace a failure by."""
         lines: list[Line] = []
         for host, process in self.fleet.processes.items():
             lines += read_lines(host, process.log.splitlines())
@@ -398,26 +402,34 @@
             print(text)
 
     def roll_out(self, on_session: Callable[[], None]) -> None:
-        """A whole roll-out; `meanwhile` is called as often as a session begins."""
+        """Runs a roll-out; `on_session` is called at the start of each session."""
         fleet = self.fleet
         fleet.platform.add("i-2", "v2")
         fleet.begin_rollout("app", "v2", self.ROLLOUT_S)
-        found: list[list[str]] = []
+        results: list[list[str]] = []
         ends_s = time.monotonic() + self.ROLLOUT_S
         number = 0
         with ThreadPoolExecutor(100) as pool:
             while time.monotonic() < ends_s:
-                pool.submit(self.session, number, found)
+                pool.submit(self.session, number, results)
                 number += 1
                 on_session()
                 time.sleep(1.0 / self.SESSIONS_PER_S)
-        back = [ran for ran in found if ("i-2", "i-1") in itertools.pairwise(ran)]
-        moved = [ran for ran in found if ("i-1", "i-2") in itertools.pairwise(ran)]
-        self.assertTrue(len(found) > 100 and moved, (len(found), len(moved)))
+        back = [
+            instances
+            for instances in results
+            if ("i-2", "i-1") in itertools.pairwise(instances)
+        ]
+        moved = [
+            instances
+            for instances in results
+            if ("i-1", "i-2") in itertools.pairwise(instances)
+        ]
+        self.assertTrue(len(results) > 100 and moved, (len(results), len(moved)))
         if back:
             self.print_decisions()
-        self.assertEqual([], back, f"{len(back)} of {len(found)} sessions")
-        # Otherwise the requests after the roll-back were not looked at.
+        self.assertEqual([], back, f"{len(back)} of {len(results)} sessions")
+        # Otherwise the requests after the roll-back would not be checked.
         if self.rolled_back:
             self.print_decisions()
         self.assertFalse(self.rolled_back, "the version is good")
--- a/tests/test_shed_load.py
+++ b/tests/test_shed_load.py
@@ -1,4 +1,4 @@
-"""Many gateways before endpoints that shed, while others have room."""
+"""Simulations of many gateways and endpoints that shed, while others have capacity."""
 
 import testtools
 
@@ -7,7 +7,8 @@
 from tests.shed_simulation import run_shedding
 from tests.shedding import WITHIN_BACKOFF_MAX
 
-# Of the requests, and only until the gateways have heard of all endpoints that shed.
+# The share of refused requests, which occur only until the gateways know all endpoints
+# that shed.
 REFUSED_MAX = 0.05
 SEEDS = 2
 
@@ -18,8 +19,8 @@
     ) -> None:
         for seed in range(SEEDS):
             world = run_shedding(gateways, shedding, endpoints, requests_per_s, seed)
-            asked = world.refused + world.answered
-            self.assertTrue(world.refused < REFUSED_MAX * asked, str(world.refused))
+            requests = world.refused + world.answered
+            self.assertTrue(world.refused < REFUSED_MAX * requests, str(world.refused))
             most = world.most_within_backoff()
             self.assertTrue(most <= WITHIN_BACKOFF_MAX, str(most))
 
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -1,7 +1,7 @@
-"""How long a fast service's requests wait for an endpoint that does not answer.
+"""Tests of how long a fast service's requests wait for an unreachable endpoint.
 
-Half a second was waited for a connection whatever the route aims at: where that is
-0.16 s, each request that chose a dark endpoint was late.
+Connecting was allowed half a second whatever the route's target: with a target of 0.16
+s, each request that chose an unreachable endpoint was late.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 from tests import standin
 from tests.gateway import GatewayHarness, ask
 
-# An address at which nobody answers, nor refuses: packets to it are dropped.
+# An address that neither answers nor refuses: packets to it are dropped.
 UNREACHABLE = "198.51.100.1:80"
 
 
@@ -28,20 +28,20 @@
 
 class ConnectTimeoutTest(testtools.TestCase):
     def test_the_timeout_follows_the_target_of_the_route(self) -> None:
-        found = [connect_timeout_s(route(ms)) for ms in (0.0, 20.0, 162.0, 2000.0)]
-        self.assertEqual([0.5, 0.1, 0.162, 0.5], found)
+        timeouts_s = [connect_timeout_s(route(ms)) for ms in (0.0, 20.0, 162.0, 2000.0)]
+        self.assertEqual([0.5, 0.1, 0.162, 0.5], timeouts_s)
 
 
 class UnreachableEndpointTest(GatewayHarness):
     def test_another_endpoint_answers_in_time(self) -> None:
-        """The dark endpoint is in the own hall and idle: it is chosen first."""
+        """The unreachable endpoint is local and idle, so it is chosen first."""
         worker = standin.StandIn([standin.answer()])
-        asked: list[float] = []
+        timeouts_s: list[float] = []
         connect = Upstream.connect
 
         async def connect_or_wait(address: str, timeout_s: float) -> Upstream:
             if address == UNREACHABLE:
-                asked.append(timeout_s)
+                timeouts_s.append(timeout_s)
                 await asyncio.sleep(timeout_s)
                 raise ConnectFailed(UNREACHABLE, CONNECT_TIMED_OUT)
             return await connect(address, timeout_s)
@@ -65,4 +65,4 @@
             self.assertTrue(loop.time() - begun_s < 0.3)
 
         self.run_gateway([worker], work)
-        self.assertEqual([0.162], asked)
+        self.assertEqual([0.162], timeouts_s)
