--- a/tests/backoff_soak.py
+++ b/tests/backoff_soak.py
@@ -96,7 +96,7 @@
         self._record_exempting_fault("freeze", number, at_s, ends_s)
 
     def _disconnect(self, number: int, at_s: float) -> None:
-        """Cuts off a gateway from the others and the core; it is not exempt for that."""
+        """Cuts off a gateway from the others and the core without exempting it."""
         ends_s = at_s + self.random.uniform(1.0, 6.0)
         self.schedule_s(at_s, partial(self.cut_off, number))
         self.schedule_s(ends_s, partial(self.rejoin, number))
--- a/tests/session_simulation.py
+++ b/tests/session_simulation.py
@@ -202,8 +202,8 @@
                 moved = [world.moved for world in worlds]
                 datagrams = sum(world.datagrams for world in worlds) / len(worlds)
                 print(
-                    f"{gateways} gateways, broadcasts {broadcasts}, lost {lost}: moved {moved}"
-                    f" of {worlds[0].requests}, {datagrams:.0f} datagrams"
+                    f"{gateways} gateways, broadcasts {broadcasts}, lost {lost}:"
+                    f" moved {moved} of {worlds[0].requests}, {datagrams:.0f} datagrams"
                 )
 
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -292,8 +292,8 @@
         headers = [(b"X-Attempt-Id", b"r1")]
         if leaving:
             headers.append((b"Server-Leaving", b"1"))
-        head = decode_answer(h11.Response(status_code=200, headers=headers))
-        apply_notice(self.context, self.state(), head, 0.0, 1.0)
+        answer_head = decode_answer(h11.Response(status_code=200, headers=headers))
+        apply_notice(self.context, self.state(), answer_head, 0.0, 1.0)
 
     def test_leaving_is_broadcast_once(self) -> None:
         self.receive_answer(True)
