--- a/ashlatch/gateway/crash_detector.py
+++ b/ashlatch/gateway/crash_detector.py
@@ -56,8 +56,8 @@
     """
     if state.refuses(now_ms):
         endpoint = state.endpoint
-        not_listening = EndpointNotListening(endpoint.instance, endpoint.service)
-        emit(log, not_listening, logging.WARNING)
+        event = EndpointNotListening(endpoint.instance, endpoint.service)
+        emit(log, event, logging.WARNING)
         context.forget_life(endpoint.instance)
         context.tell(EndpointRefuses(endpoint.instance))
 
@@ -71,18 +71,18 @@
     quarantined_ms = quarantine.held_ms(fingerprint, unix_ms())
     if quarantined_ms > quarantined_before_ms:
         crashes = quarantine.crashes(fingerprint)
-        quarantined = ContentHeld(
+        event = ContentHeld(
             fingerprint_text(fingerprint), crashes, int(quarantined_ms), source
         )
-        emit(log, quarantined, logging.WARNING)
+        emit(log, event, logging.WARNING)
         context.metrics.count("contents_held")
 
 
 class CrashDetector:
     """Probes endpoints at which requests have broken.
 
-    Requests that break together share one probe: `Knowledge.probes` holds the probes
-    that are running or have just ended.
+    Requests that break together share one probe: `probes` of the gateway's context
+    holds the probes that are running or have just ended.
     """
 
     def __init__(self, context: Knowledge, connect: Connect = Upstream.connect) -> None:
@@ -137,14 +137,14 @@
         )
         crashes = len(record.unsurvived)
         quarantined_ms = context.quarantine.held_ms(fingerprint, now_unix_ms)
-        crash = CrashNoted(
+        event = CrashNoted(
             request_id,
             fingerprint_text(fingerprint),
             endpoint.instance,
             crashes,
             int(quarantined_ms),
         )
-        emit(log, crash, logging.WARNING)
+        emit(log, event, logging.WARNING)
         context.metrics.count("crashes_noted")
         context.crashes_found()
         if crashes >= BROADCAST_CRASHES_MIN:
--- a/ashlatch/gateway/latency_model.py
+++ b/ashlatch/gateway/latency_model.py
@@ -59,11 +59,13 @@
 
 @dataclass
 class LatencyModel:
-    """Estimates times to the first event, and how long an answer occupies its slot::
+    """Estimates times to the first event and slot times by recent answers.
 
-    model = LatencyModel()
-    model.record_first_event("chat", "small", tokens=4000, first_ms=90.0, now_ms=0.0)
-    model.expected_ms("chat", "small", tokens=8000, now_ms=100.0)
+    The slot time is how long an answer occupies its slot::
+
+        model = LatencyModel()
+        model.record_first_event("chat", "small", tokens=4000, first_ms=90.0, now_ms=0.0)
+        model.expected_ms("chat", "small", tokens=8000, now_ms=100.0)
     """
 
     _estimates: dict[tuple[str, str], _WaitEstimate] = field(default_factory=dict)
--- a/ashlatch/gateway/limits.py
+++ b/ashlatch/gateway/limits.py
@@ -129,10 +129,10 @@
     if per_s != before_per_s:
         context.metrics.count("limits_learnt")
         endpoint = state.endpoint
-        learnt = EndpointLimited(
+        event = EndpointLimited(
             endpoint.instance, endpoint.service, per_s, before_per_s, source
         )
-        emit(log, learnt)
+        emit(log, event)
 
 
 def limit_interval_ms(context: Knowledge, limited: Iterable[EndpointState]) -> float:
--- a/ashlatch/gateway/request_record.py
+++ b/ashlatch/gateway/request_record.py
@@ -275,8 +275,8 @@
         instance = state.endpoint.instance
         if not state.replaced(self._now_ms()):
             self._context.tell(EndpointReplaced(instance))
-            misdirected = EndpointMisdirected(instance, state.endpoint.service)
-            emit(log, misdirected, logging.WARNING)
+            event = EndpointMisdirected(instance, state.endpoint.service)
+            emit(log, event, logging.WARNING)
         state.replaced_ms = self._now_ms()
 
     def _count_against_endpoint(self, state: EndpointState, kind: FailureKind) -> None:
--- a/tests/limit_soak.py
+++ b/tests/limit_soak.py
@@ -102,7 +102,7 @@
                 state.refuses(self.now_ms)
 
         self.schedule(at_s * 1000.0, begin)
-        self.plan.faults.append(f"endpoint {number} begins anew at {at_s:.1f}")
+        self.plan.faults.append(f"endpoint {number} restarts at {at_s:.1f}")
         self._change(number, NO_LIMIT, at_s)
 
     # Checks.
@@ -125,7 +125,7 @@
             assert local is not None
             in_hall = context.hall == state.endpoint.hall
             if in_hall and local.limit.limited and self._was_busy(gateway):
-                raise BoundExceeded(f"i-{number} is left alone, {self.plan}")
+                raise BoundExceeded(f"i-{number} is avoided, {self.plan}")
 
     def _was_busy(self, gateway: int) -> bool:
         sends = [
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -118,7 +118,7 @@
         allowed = 1.5 * rate_per_s + 5
         self.assertTrue(most_within_a_second(arrivals_ms) <= allowed)
 
-    def test_all_share_alike_over_many_endpoints(self) -> None:
+    def test_gateways_share_many_endpoints_equally(self) -> None:
         """Each gateway sends to some of a hall's endpoints that return together."""
         everyone = gateways(60)
         shares = []
@@ -130,7 +130,7 @@
             shares.append(sum(pause is not None for pause in pauses))
         self.assertTrue(min(shares) >= 3, shares)
 
-    def test_the_hall_is_away(self) -> None:
+    def test_the_hall_has_no_gateway(self) -> None:
         """Without a gateway in the endpoint's hall, gateways of the others send."""
         others = tuple(g for g in gateways(60) if g.hall != "a")
         cold = ColdEndpoint("i1", "a", RATE_PER_S)
@@ -274,7 +274,7 @@
     def test_its_endpoints_are_marked_cold(self) -> None:
         self.assertEqual(["i2"], self.cold(Evacuations(2, (), {"b": 2}), before=1))
 
-    def test_one_that_was_given_back_before(self) -> None:
+    def test_a_hall_that_was_returned_before(self) -> None:
         returned = {"b": 2, "a": 4}
         self.assertEqual(["i1"], self.cold(Evacuations(4, (), returned), before=3))
 
@@ -307,7 +307,7 @@
         (move,) = keeper.moves((order,), listed, 3100.0, listed_age_ms=3100.0)
         self.assertTrue(move.share > 0.0)
 
-    def test_a_trial_does_not_wait_for_ever(self) -> None:
+    def test_a_trial_does_not_wait_forever(self) -> None:
         """Endpoints that stay cold for longer are evaluated as they are."""
         keeper = RolloutKeeper()
         order = Rollout("app", "v1", RolloutStage.TRIAL, 0.0, 1, 20_000.0)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -258,8 +258,8 @@
             process.send_signal(signal.SIGCONT)
         self.assertEqual(CRASHES_MAX, len(self.log.arrivals_s))
 
-    def test_it_is_known_after_a_loss_of_all(self) -> None:
-        """All processes are killed at once; the caller comes back."""
+    def test_the_quarantine_outlasts_a_kill_of_all_processes(self) -> None:
+        """All processes are killed at once; then the caller repeats the request."""
         self.send(self.gateways[0], CRASHING_BODY)
         time.sleep(self.PAUSE_S)
         self.assertEqual(CRASHES_MAX, len(self.log.crashes_s))
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -58,7 +58,7 @@
     def test_by_the_organisation(self) -> None:
         self.assertEqual([0, 0, 20], self.answers_by_endpoint([], ["west"]))
 
-    def test_both_are_bound(self) -> None:
+    def test_by_both(self) -> None:
         self.assertEqual(
             [0, 20, 0], self.answers_by_endpoint(["north", "south"], ["south"])
         )
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -336,7 +336,7 @@
 
     @property
     def rolled_back(self) -> bool:
-        """Whether a core VM logged a roll-back; checked after each answer."""
+        """True once a core VM has logged a roll-back."""
         cores = (self.fleet.processes[host] for host in self.fleet.hosts)
         return any("stage=rolled_back" in core.log for core in cores)
 
