--- a/ashlatch/gateway/latency_model.py
+++ b/ashlatch/gateway/latency_model.py
@@ -64,7 +64,7 @@
     The slot time is how long an answer occupies its slot::
 
         model = LatencyModel()
-        model.record_first_event("chat", "small", tokens=4000, first_ms=90.0, now_ms=0.0)
+        model.record_first_event("chat", "small", 4000, first_ms=90.0, now_ms=0.0)
         model.expected_ms("chat", "small", tokens=8000, now_ms=100.0)
     """
 
