--- a/ashlatch/fleet/following.py
+++ b/ashlatch/fleet/following.py
@@ -21,7 +21,7 @@
 from ashlatch.fleet.peers import PeerBook
 from ashlatch.fleet.protocol import SYNC, SyncReply, SyncRequest, gateways_digest
 from ashlatch.fleet.spread import Spread
-from ashlatch.gateway.kept import PromptRead
+from ashlatch.gateway.prefix_cache import PromptRead
 from ashlatch.gateway.tally import Tally
 from ashlatch.log import emit
 from ashlatch.raft.group import Standing
--- a/ashlatch/fleet/memories.py
+++ b/ashlatch/fleet/memories.py
@@ -20,7 +20,7 @@
 from ashlatch.catalog import Endpoint
 from ashlatch.errors import AshlatchError
 from ashlatch.fleet.logs import MemoriesRead, MemoryUnread
-from ashlatch.gateway.kept import PromptRead
+from ashlatch.gateway.prefix_cache import PromptRead
 from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
 from ashlatch.log import emit
 from ashlatch.platform.memory import (
--- a/ashlatch/fleet/protocol.py
+++ b/ashlatch/fleet/protocol.py
@@ -20,7 +20,7 @@
     SessionMarks,
 )
 from ashlatch.fleet.machine import Command, Outcome
-from ashlatch.gateway.kept import PromptRead
+from ashlatch.gateway.prefix_cache import PromptRead
 from ashlatch.gateway.tally import Tally
 from ashlatch.link import Method
 from ashlatch.policy.quarantine import CrashRecord
--- a/ashlatch/fleet/reads.py
+++ b/ashlatch/fleet/reads.py
@@ -13,7 +13,7 @@
 from collections import deque
 from itertools import islice
 
-from ashlatch.gateway.kept import PromptRead
+from ashlatch.gateway.prefix_cache import PromptRead
 
 __all__ = ["ReadLog"]
 
--- a/ashlatch/fleet/spread.py
+++ b/ashlatch/fleet/spread.py
@@ -17,7 +17,7 @@
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncReply, SyncRequest, gateways_digest
 from ashlatch.fleet.reads import ReadLog
-from ashlatch.gateway.kept import PromptRead
+from ashlatch.gateway.prefix_cache import PromptRead
 from ashlatch.gateway.tally import Tallies
 from ashlatch.policy.quarantine import UnloggedCrashes
 from ashlatch.policy.reading import ReadingRates
--- a/ashlatch/gateway/account.py
+++ b/ashlatch/gateway/account.py
@@ -17,10 +17,10 @@
 from ashlatch.gateway.attempt import Attempt, AttemptFailed, FailureKind
 from ashlatch.gateway.choice import Choice, Verdict
 from ashlatch.gateway.content import digest_text
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.crash import note_refusal
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Forecast
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.limits import LimitReport, apply_answer_limit, record_limited_send
 from ashlatch.gateway.logs import (
     AnswerWeighed,
@@ -31,15 +31,15 @@
     RequestEnded,
     RequestSent,
 )
-from ashlatch.gateway.news import (
-    EndpointReplaced,
-    PromptSent,
-)
 from ashlatch.gateway.notices import apply_notice
 from ashlatch.gateway.reports import pass_on_load
 from ashlatch.gateway.session_news import announce_session
 from ashlatch.gateway.tally import TallyKey
 from ashlatch.gateway.traffic import TrafficKind
+from ashlatch.gateway.updates import (
+    EndpointReplaced,
+    PromptSent,
+)
 from ashlatch.http.upstream import CONNECT_REFUSED
 from ashlatch.log import emit
 from ashlatch.policy.permission import Barrier
--- a/ashlatch/gateway/admission.py
+++ b/ashlatch/gateway/admission.py
@@ -15,7 +15,7 @@
 from ashlatch.catalog import Organisation, Route, Service
 from ashlatch.clock import unix_ms
 from ashlatch.gateway.content import content_digest, digest_text
-from ashlatch.gateway.knowledge import Knowledge
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.logs import RequestHeld
 from ashlatch.gateway.message import Ask, RefusalReason
 from ashlatch.http.connection import Responder
--- a/ashlatch/gateway/choice.py
+++ b/ashlatch/gateway/choice.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass, field
 
 from ashlatch.catalog import Route, Service
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Forecast, Forecaster, Send
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import Ask
 from ashlatch.gateway.permission import send_permission
 from ashlatch.gateway.versions import AllowedEndpoints
--- a/ashlatch/gateway/chooser.py
+++ b/ashlatch/gateway/chooser.py
@@ -14,9 +14,9 @@
 
 from ashlatch.gateway.admission import RETRY_AFTER_S, Admission, Refused
 from ashlatch.gateway.choice import Choice, choose_endpoint
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Send
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import RefusalReason
 from ashlatch.gateway.returns import find_return
 from ashlatch.gateway.versions import AllowedEndpoints
--- a/ashlatch/gateway/knowledge.py
+++ b/ashlatch/gateway/context.py
@@ -17,13 +17,13 @@
 from ashlatch.gateway.budget import BudgetTerms, RepeatBudget
 from ashlatch.gateway.cold import ColdGate
 from ashlatch.gateway.directory import Directory, EndpointState
-from ashlatch.gateway.kept import KeptParts
-from ashlatch.gateway.news import PeerNews
 from ashlatch.gateway.pace import Pace
 from ashlatch.gateway.pool import ConnectionPool
+from ashlatch.gateway.prefix_cache import KeptParts
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.tally import Tallies
 from ashlatch.gateway.traffic import HallTraffic
+from ashlatch.gateway.updates import PeerNews
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.metrics import Metrics
 from ashlatch.policy.endpoint import EndpointPolicy
--- a/ashlatch/gateway/corenews.py
+++ b/ashlatch/gateway/core_updates.py
@@ -17,8 +17,8 @@
 from ashlatch.catalog import EndpointList, Evacuations, GatewayVm, Rollout
 from ashlatch.fleet.protocol import SyncReply
 from ashlatch.gateway.cold import warm_up_returned
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.crash import learn_crashes
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.logs import (
     ConfigurationApplied,
     DocumentUnreadable,
--- a/ashlatch/gateway/crash.py
+++ b/ashlatch/gateway/crash.py
@@ -16,15 +16,15 @@
 from ashlatch.clock import unix_ms
 from ashlatch.gateway.attempt import AttemptFailed, FailureKind
 from ashlatch.gateway.content import digest_text
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.logs import (
     ContentHeld,
     ContentSurvived,
     CrashNoted,
     EndpointNotListening,
 )
-from ashlatch.gateway.news import ContentCrashed, EndpointRefuses
+from ashlatch.gateway.updates import ContentCrashed, EndpointRefuses
 from ashlatch.http.upstream import CONNECT_REFUSED, ConnectFailed, Upstream
 from ashlatch.log import emit
 from ashlatch.policy.quarantine import CrashRecord
--- a/ashlatch/gateway/daemon.py
+++ b/ashlatch/gateway/daemon.py
@@ -20,8 +20,9 @@
 from ashlatch.gateway.admission import Refused, admit, refuse
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.cold import ColdGate
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.exchange import Exchange
-from ashlatch.gateway.knowledge import Knowledge
+from ashlatch.gateway.liveness import SilenceWatch
 from ashlatch.gateway.logs import (
     HandlerFailed,
     RequestEnded,
@@ -34,7 +35,6 @@
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.sync import FleetLink
 from ashlatch.gateway.versions import VersionChooser
-from ashlatch.gateway.watch import SilenceWatch
 from ashlatch.http.connection import HttpBounds, HttpRequest, Responder
 from ashlatch.http.listener import HttpListener
 from ashlatch.log import emit
--- a/ashlatch/gateway/exchange.py
+++ b/ashlatch/gateway/exchange.py
@@ -30,9 +30,9 @@
     larger_models,
 )
 from ashlatch.gateway.chooser import RequestChooser
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.crash import CrashFinder
 from ashlatch.gateway.events import EventSplitter, StreamEvent
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import AnswerHead, Dispatch, RefusalReason
 from ashlatch.gateway.patience import (
     Patience,
--- a/ashlatch/gateway/forecast.py
+++ b/ashlatch/gateway/forecast.py
@@ -13,8 +13,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import Ask
 from ashlatch.policy.endpoint import rank
 
--- a/ashlatch/gateway/limits.py
+++ b/ashlatch/gateway/limits.py
@@ -13,10 +13,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.logs import EndpointLimited
-from ashlatch.gateway.news import LimitedSend, LimitNamed
+from ashlatch.gateway.updates import LimitedSend, LimitNamed
 from ashlatch.log import emit
 from ashlatch.policy.rate_limit import NO_LIMIT, RATE_MIN_PER_S, SECOND_MS, Sharers
 
--- a/ashlatch/gateway/notices.py
+++ b/ashlatch/gateway/notices.py
@@ -11,11 +11,11 @@
 
 import logging
 
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.logs import EndpointBackoff, EndpointLeaves
 from ashlatch.gateway.message import AnswerHead
-from ashlatch.gateway.news import EndpointAnnouncesLeaving, EndpointSheds
+from ashlatch.gateway.updates import EndpointAnnouncesLeaving, EndpointSheds
 from ashlatch.log import emit
 
 __all__ = ["apply_notice", "mark_leaving"]
--- a/ashlatch/gateway/hearing.py
+++ b/ashlatch/gateway/peer_updates.py
@@ -12,8 +12,8 @@
 import logging
 from dataclasses import dataclass
 
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.crash import learn_crashes
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.limits import apply_peer_limit, apply_peer_send
 from ashlatch.gateway.logs import (
     EndpointMisdirected,
@@ -21,7 +21,8 @@
     EndpointShedsElsewhere,
 )
 from ashlatch.gateway.message import LoadFigures
-from ashlatch.gateway.news import (
+from ashlatch.gateway.notices import mark_leaving
+from ashlatch.gateway.updates import (
     ContentCrashed,
     EndpointAnnouncesLeaving,
     EndpointRefuses,
@@ -34,7 +35,6 @@
     SessionMoved,
     SessionRuns,
 )
-from ashlatch.gateway.notices import mark_leaving
 from ashlatch.log import emit
 from ashlatch.policy.told_load import load_level
 from ashlatch.registry import Handlers
--- a/ashlatch/gateway/peers.py
+++ b/ashlatch/gateway/peers.py
@@ -17,17 +17,18 @@
 
 from ashlatch.catalog import GatewayVm
 from ashlatch.codec import decode, encode
-from ashlatch.gateway.audience import (
+from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.logs import PeersUnavailable
+from ashlatch.gateway.peer_updates import HEARD, Teller
+from ashlatch.gateway.recipients import (
     Audience,
     audience_of_all,
     audience_of_load,
     audience_of_prompt,
     gateways_of_hall,
 )
-from ashlatch.gateway.hearing import HEARD, Teller
-from ashlatch.gateway.knowledge import Knowledge
-from ashlatch.gateway.logs import PeersUnavailable
-from ashlatch.gateway.news import (
+from ashlatch.gateway.traffic import TrafficKind
+from ashlatch.gateway.updates import (
     ContentCrashed,
     EndpointAnnouncesLeaving,
     EndpointRefuses,
@@ -42,7 +43,6 @@
     SessionMoved,
     SessionRuns,
 )
-from ashlatch.gateway.traffic import TrafficKind
 from ashlatch.log import emit
 from ashlatch.policy.told_load import load_level
 from ashlatch.rpc import Address
--- a/ashlatch/gateway/permission.py
+++ b/ashlatch/gateway/permission.py
@@ -10,8 +10,8 @@
 """
 
 from ashlatch.catalog import Service
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.limits import limit_wait_ms
 from ashlatch.policy.permission import ALLOWED, Barrier, Permission, combine
 
--- a/ashlatch/gateway/reports.py
+++ b/ashlatch/gateway/reports.py
@@ -9,10 +9,10 @@
 :license: MIT, see LICENSE for details.
 """
 
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import LoadFigures
-from ashlatch.gateway.news import LoadSeen
+from ashlatch.gateway.updates import LoadSeen
 from ashlatch.policy.told_load import load_level
 
 __all__ = ["pass_on_load"]
--- a/ashlatch/gateway/returns.py
+++ b/ashlatch/gateway/returns.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 
 from ashlatch.catalog import Service
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.limits import limit_step_ms
 from ashlatch.gateway.permission import send_permission
 from ashlatch.policy.permission import Barrier
--- a/ashlatch/gateway/session_news.py
+++ b/ashlatch/gateway/session_news.py
@@ -9,8 +9,8 @@
 :license: MIT, see LICENSE for details.
 """
 
-from ashlatch.gateway.knowledge import Knowledge
-from ashlatch.gateway.news import SessionMoved, SessionRuns
+from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.updates import SessionMoved, SessionRuns
 
 __all__ = ["announce_session"]
 
--- a/ashlatch/gateway/sync.py
+++ b/ashlatch/gateway/sync.py
@@ -28,10 +28,9 @@
     gateways_digest,
 )
 from ashlatch.fleet.seeds import Seeds
-from ashlatch.gateway.contact import CoreContact
-from ashlatch.gateway.corenews import CoreNews
-from ashlatch.gateway.kept import PromptRead
-from ashlatch.gateway.knowledge import Knowledge
+from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.core_selection import CoreContact
+from ashlatch.gateway.core_updates import CoreNews
 from ashlatch.gateway.logs import (
     CoreChosen,
     CoreUnreached,
@@ -40,6 +39,7 @@
     ListUnread,
     UrgentUntold,
 )
+from ashlatch.gateway.prefix_cache import PromptRead
 from ashlatch.gateway.tally import Tally
 from ashlatch.gateway.traffic import TrafficKind
 from ashlatch.log import emit
--- a/bench/choice.py
+++ b/bench/choice.py
@@ -10,8 +10,8 @@
 from ashlatch.catalog import Endpoint, EndpointList, EngineSpec, Service
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.choice import choose_endpoint
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.forecast import Send
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import Ask, LoadFigures, PromptPart
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import VersionChooser
--- a/bench/watch.py
+++ b/bench/watch.py
@@ -9,7 +9,7 @@
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.clock import ClockLoop
 from ashlatch.gateway.directory import Directory
-from ashlatch.gateway.watch import SilenceWatch
+from ashlatch.gateway.liveness import SilenceWatch
 from bench.table import row, spread, title
 
 ENDPOINTS = (9, 70, 140)
--- a/tests/crash_play.py
+++ b/tests/crash_play.py
@@ -18,8 +18,8 @@
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.choice import choose_endpoint
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.forecast import Send
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import Ask, PromptPart
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
--- a/tests/engines.py
+++ b/tests/engines.py
@@ -19,16 +19,16 @@
 from ashlatch.codec import decode
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.choice import choose_endpoint
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.exchange import UNREACHABLE_MAX
 from ashlatch.gateway.forecast import Send
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import Ask, LoadFigures, PromptPart
-from ashlatch.gateway.news import EndpointRefuses, PeerNews, PromptSent
 from ashlatch.gateway.peers import GatewayPeers
 from ashlatch.gateway.reports import pass_on_load
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
+from ashlatch.gateway.updates import EndpointRefuses, PeerNews, PromptSent
 from ashlatch.gateway.versions import AllowedEndpoints, VersionChooser, VersionReason
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
--- a/tests/gateway.py
+++ b/tests/gateway.py
@@ -10,8 +10,8 @@
 from ashlatch.clock import ClockLoop
 from ashlatch.gateway.admission import Refused, admit, refuse
 from ashlatch.gateway.budget import BudgetTerms
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.exchange import Exchange
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import VersionChooser
--- a/tests/limit_play.py
+++ b/tests/limit_play.py
@@ -19,9 +19,9 @@
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.choice import choose_endpoint
 from ashlatch.gateway.cold import GATEWAYS_KNOWN_MS, ColdGate
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Send
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.limits import (
     LimitReport,
     apply_answer_limit,
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -34,11 +34,17 @@
 )
 SYNC = ("-m", "pytest", "-x", "tests/test_sync.py")
 CHOOSING = ("-m", "pytest", "-x", "tests/test_choosing.py")
-AUDIENCE = ("-m", "pytest", "-x", "tests/test_audience.py", "tests/test_contact.py")
+AUDIENCE = (
+    "-m",
+    "pytest",
+    "-x",
+    "tests/test_recipients.py",
+    "tests/test_core_selection.py",
+)
 CRASHING = ("-m", "pytest", "-x", "tests/test_crashing_requests.py")
 QUARANTINE = ("-m", "pytest", "-x", "tests/test_quarantine.py")
 CRASH_LOAD = ("-m", "pytest", "-x", "tests/test_crash_load.py")
-LIVES = ("-m", "pytest", "-x", "tests/test_lives.py")
+LIVES = ("-m", "pytest", "-x", "tests/test_incarnations.py")
 FOREIGN = ("-m", "pytest", "-x", "tests/test_foreign_entries.py")
 CLOCK = ("-m", "pytest", "-x", "tests/test_clock.py")
 ENGINES = ("-m", "pytest", "-x", "tests/test_full_engines.py")
@@ -381,14 +387,14 @@
     ),
     Mutant(
         "lost-core-vm-of-the-own-hall-first",
-        "ashlatch/gateway/contact.py",
+        "ashlatch/gateway/core_selection.py",
         "        others = [known for known in self.known() if known != address]\n",
         "        others = [c.address for c in self._cores if c.hall == self._hall]\n",
         AUDIENCE,
     ),
     Mutant(
         "one-relay-for-each-hall",
-        "ashlatch/gateway/audience.py",
+        "ashlatch/gateway/recipients.py",
         "            relays.append(generator.choice(there))\n",
         "            relays.append(there[0])\n",
         AUDIENCE,
@@ -402,7 +408,7 @@
     ),
     Mutant(
         "refusing-endpoints-kept-to-oneself",
-        "ashlatch/gateway/hearing.py",
+        "ashlatch/gateway/peer_updates.py",
         "    if state is None or not state.refuses(teller.now_ms):\n",
         "    if True:\n",
         ENGINES,
@@ -486,7 +492,7 @@
     ),
     Mutant(
         "reads-of-the-ended-life-believed",
-        "ashlatch/gateway/corenews.py",
+        "ashlatch/gateway/core_updates.py",
         "            if state is not None and state.ended_lately(now_ms):\n",
         "            if False:\n",
         LIVES,
--- a/tests/session_play.py
+++ b/tests/session_play.py
@@ -15,12 +15,12 @@
 from ashlatch.catalog import Endpoint, EndpointList, GatewayVm, Rollout, RolloutStage
 from ashlatch.codec import decode
 from ashlatch.gateway.budget import BudgetTerms
-from ashlatch.gateway.hearing import HEARD, Teller
-from ashlatch.gateway.knowledge import Knowledge
-from ashlatch.gateway.news import HallNews, PeerNews
+from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.peer_updates import HEARD, Teller
 from ashlatch.gateway.peers import GatewayPeers
 from ashlatch.gateway.session_news import announce_session
 from ashlatch.gateway.sessions import SessionVersions
+from ashlatch.gateway.updates import HallNews, PeerNews
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 
--- a/tests/shed_play.py
+++ b/tests/shed_play.py
@@ -11,9 +11,9 @@
 from functools import partial
 
 from ashlatch.gateway.choice import choose_endpoint
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Send
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import AnswerHead
 from ashlatch.gateway.notices import apply_notice
 from ashlatch.gateway.versions import AllowedEndpoints, VersionReason
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -13,9 +13,9 @@
 
 from ashlatch.catalog import Endpoint, EndpointList, Rollout, RolloutStage
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.hearing import HEARD, Teller
-from ashlatch.gateway.news import EndpointAnnouncesLeaving, PeerNews
 from ashlatch.gateway.notices import apply_notice
+from ashlatch.gateway.peer_updates import HEARD, Teller
+from ashlatch.gateway.updates import EndpointAnnouncesLeaving, PeerNews
 from ashlatch.http.upstream import Upstream
 from ashlatch.platform.headers import decode_answer
 from ashlatch.policy.backoff import Backoff
--- a/tests/test_contact.py
+++ b/tests/test_core_selection.py
@@ -9,7 +9,7 @@
 import testtools
 
 from ashlatch.catalog import CoreVm
-from ashlatch.gateway.contact import CoreContact
+from ashlatch.gateway.core_selection import CoreContact
 
 HALLS = ("north", "south", "east", "west", "centre")
 CORES = tuple(CoreVm(f"10.0.{n}.1:7000", hall) for n, hall in enumerate(HALLS))
--- a/tests/test_crash_load.py
+++ b/tests/test_crash_load.py
@@ -20,8 +20,8 @@
 import testtools
 
 from ashlatch.codec import encode
-from ashlatch.gateway.news import ContentCrashed
 from ashlatch.gateway.traffic import TrafficKind
+from ashlatch.gateway.updates import ContentCrashed
 from tests.crash_play import CrashLoad, CrashOutcome, CrashWorld
 from tests.engines import World
 
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -34,9 +34,9 @@
 from ashlatch.fleet.protocol import ReadReply, SyncRequest
 from ashlatch.fleet.spread import Spread, has_news
 from ashlatch.gateway.directory import Directory
+from ashlatch.gateway.liveness import SilenceWatch
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import VersionChooser
-from ashlatch.gateway.watch import SilenceWatch
 from ashlatch.http.connection import Headers, HttpRequest
 from ashlatch.http.upstream import Upstream
 from ashlatch.policy.table import TableBuilder
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -7,8 +7,8 @@
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.choice import Choice, choose_endpoint, engine_urgency
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.forecast import Forecast, Send
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import Ask, LoadFigures, PromptPart
 from ashlatch.gateway.pace import Pace
 from ashlatch.gateway.routing import RouteTable
--- a/tests/test_full_engines.py
+++ b/tests/test_full_engines.py
@@ -17,7 +17,7 @@
 import testtools
 
 from ashlatch.gateway.exchange import UNREACHABLE_MAX
-from ashlatch.gateway.news import EndpointRefuses, LoadSeen, PeerNews
+from ashlatch.gateway.updates import EndpointRefuses, LoadSeen, PeerNews
 from tests.engines import Load, Outcome, World
 
 TARGET_MS = 1000.0
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -5,7 +5,7 @@
 import struct
 
 from ashlatch.catalog import Endpoint, EndpointList, Rollout, RolloutStage
-from ashlatch.gateway.news import EndpointReplaced, SessionMoved
+from ashlatch.gateway.updates import EndpointReplaced, SessionMoved
 from tests import standin
 from tests.gateway import (
     ASK_STREAM,
--- a/tests/test_lives.py
+++ b/tests/test_incarnations.py
@@ -17,14 +17,14 @@
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.codec import encode
 from ashlatch.fleet.protocol import SyncReply
-from ashlatch.gateway.corenews import CoreNews
+from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.core_updates import CoreNews
 from ashlatch.gateway.crash import note_refusal
 from ashlatch.gateway.directory import Directory, EndpointState
-from ashlatch.gateway.kept import PromptRead
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import LoadFigures, PromptPart
-from ashlatch.gateway.news import EndpointRefuses
 from ashlatch.gateway.peers import GatewayPeers
+from ashlatch.gateway.prefix_cache import PromptRead
+from ashlatch.gateway.updates import EndpointRefuses
 from tests.gateway import GatewayHarness
 from tests.standin import StandIn, answer
 
--- a/tests/test_limit_load.py
+++ b/tests/test_limit_load.py
@@ -19,7 +19,7 @@
     apply_peer_limit,
     limit_wait_ms,
 )
-from ashlatch.gateway.news import LimitNamed
+from ashlatch.gateway.updates import LimitNamed
 from ashlatch.policy.rate_limit import (
     NO_LIMIT,
     OWED_MAX_S,
--- a/tests/test_watch.py
+++ b/tests/test_liveness.py
@@ -5,8 +5,8 @@
 
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.gateway.directory import Directory, EndpointState
+from ashlatch.gateway.liveness import SilenceWatch
 from ashlatch.gateway.routing import RouteTable
-from ashlatch.gateway.watch import SilenceWatch
 from ashlatch.http.upstream import CONNECT_TIMED_OUT, ConnectFailed, Upstream
 from ashlatch.platform.document import decode_catalog
 from tests import standin
--- a/tests/test_memories.py
+++ b/tests/test_memories.py
@@ -7,7 +7,7 @@
 
 from ashlatch.catalog import Endpoint
 from ashlatch.fleet.memories import PART_TOKENS_MIN, PARTS_MAX, read_memories
-from ashlatch.gateway.kept import PromptRead
+from ashlatch.gateway.prefix_cache import PromptRead
 from tests.gateway import hang
 from tests.standin import Script, StandIn, answer
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,14 +11,14 @@
     REPLACED_MS,
     EndpointState,
 )
-from ashlatch.gateway.news import (
+from ashlatch.gateway.peers import GatewayPeers
+from ashlatch.gateway.traffic import HallTraffic
+from ashlatch.gateway.updates import (
     EndpointRefuses,
     EndpointReplaced,
     PromptSent,
     SessionMoved,
 )
-from ashlatch.gateway.peers import GatewayPeers
-from ashlatch.gateway.traffic import HallTraffic
 from tests.system import HOST, free_port
 from tests.test_forecast import gateway_knowledge
 
--- a/tests/test_kept.py
+++ b/tests/test_prefix_cache.py
@@ -3,8 +3,8 @@
 import testtools
 
 from ashlatch.fleet.reads import READS_MAX, ReadLog
-from ashlatch.gateway.kept import FRESH_MS, KEPT_MS, KeptParts, PromptRead
 from ashlatch.gateway.message import PromptPart
+from ashlatch.gateway.prefix_cache import FRESH_MS, KEPT_MS, KeptParts, PromptRead
 
 SHARED = PromptPart("shared", 1000)
 SUBJECT = PromptPart("subject", 5000)
--- a/tests/test_audience.py
+++ b/tests/test_recipients.py
@@ -10,7 +10,7 @@
 import testtools
 
 from ashlatch.catalog import GatewayVm
-from ashlatch.gateway.audience import Audience, audience_of_prompt
+from ashlatch.gateway.recipients import Audience, audience_of_prompt
 
 HALLS = {"north": 36, "south": 40, "east": 44, "west": 38, "centre": 37}
 GATEWAYS = tuple(
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -48,10 +48,9 @@
 from ashlatch.fleet.spread import Spread
 from ashlatch.fleet.verdict import Evidence, decide
 from ashlatch.gateway.budget import BudgetTerms
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.hearing import HEARD, Teller
-from ashlatch.gateway.knowledge import Knowledge
-from ashlatch.gateway.news import PeerNews, SessionMoved
+from ashlatch.gateway.peer_updates import HEARD, Teller
 from ashlatch.gateway.peers import GatewayPeers
 from ashlatch.gateway.session_news import announce_session
 from ashlatch.gateway.sessions import (
@@ -61,6 +60,7 @@
     session_mark,
 )
 from ashlatch.gateway.tally import Tally, TallyKey
+from ashlatch.gateway.updates import PeerNews, SessionMoved
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 from tests import standin
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -6,7 +6,7 @@
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncReply, SyncRequest, gateways_digest
 from ashlatch.fleet.spread import GATEWAYS_SETTLE_MS, TOLD_MAX, Spread
-from ashlatch.gateway.kept import PromptRead
+from ashlatch.gateway.prefix_cache import PromptRead
 
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
 ONE = GatewayVm("10.0.0.1:7000", "hall-1")
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -23,7 +23,7 @@
 from ashlatch.fleet.spread import Spread
 from ashlatch.gateway import sync
 from ashlatch.gateway.budget import BudgetTerms
-from ashlatch.gateway.knowledge import Knowledge
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.sessions import SessionVersions, session_mark
 from ashlatch.gateway.sync import FleetLink
 from ashlatch.gateway.versions import VersionChooser
