--- a/ashlatch/fleet/leader_link.py
+++ b/ashlatch/fleet/leader_link.py
@@ -15,6 +15,7 @@
 from dataclasses import dataclass
 
 from ashlatch.fleet.soft_state import SoftState
+from ashlatch.gateway.prefix_cache import PromptRead
 
 from ashlatch.catalog import CoreVm
 from ashlatch.errors import TransportError
@@ -22,7 +23,6 @@
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.peers import PeerConnections
 from ashlatch.fleet.protocol import SYNC, SyncReply, SyncRequest, gateways_digest
-from ashlatch.gateway.kept import PromptRead
 from ashlatch.gateway.tally import Tally
 from ashlatch.log import emit
 from ashlatch.raft.group import GroupStatus
--- a/ashlatch/fleet/prefill_log.py
+++ b/ashlatch/fleet/prefill_log.py
@@ -13,9 +13,12 @@
 from collections import deque
 from itertools import islice
 
-from ashlatch.gateway.kept import PromptRead
+from ashlatch.gateway.prefix_cache import PromptRead
+
+__all__ = [
+    "PrefillLog",
+]
 
-__all__ = ["PrefillLog"]
 
 # The number of prefills retained for gateways that have just started: about 50 KB.
 PREFILLS_MAX = 1024
--- a/ashlatch/fleet/prefix_caches.py
+++ b/ashlatch/fleet/prefix_caches.py
@@ -17,10 +17,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from ashlatch.gateway.prefix_cache import PromptRead
+
 from ashlatch.catalog import Endpoint
 from ashlatch.errors import AshlatchError
 from ashlatch.fleet.logs import PrefixCacheReadFailed, PrefixCachesRead
-from ashlatch.gateway.kept import PromptRead
 from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
 from ashlatch.log import emit
 from ashlatch.platform.memory import (
@@ -31,7 +32,11 @@
 )
 from ashlatch.platform.reading import JsonUnreadable
 
-__all__ = ["MemoryUnreadable", "read_prefix_caches"]
+__all__ = [
+    "MemoryUnreadable",
+    "read_prefix_caches",
+]
+
 
 log = logging.getLogger("ashlatch.fleet")
 
--- a/ashlatch/fleet/protocol.py
+++ b/ashlatch/fleet/protocol.py
@@ -10,6 +10,7 @@
 
 import msgspec
 import xxhash
+from ashlatch.gateway.prefix_cache import PromptRead
 from ashlatch.policy.prefill_rate import PrefillRate
 
 from ashlatch.catalog import (
@@ -21,7 +22,6 @@
     SessionHashes,
 )
 from ashlatch.fleet.machine import Command, Outcome
-from ashlatch.gateway.kept import PromptRead
 from ashlatch.gateway.tally import Tally
 from ashlatch.link import Method
 from ashlatch.policy.quarantine import CrashRecord
--- a/ashlatch/gateway/admission.py
+++ b/ashlatch/gateway/admission.py
@@ -12,11 +12,11 @@
 import logging
 from dataclasses import dataclass
 
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.fingerprint import fingerprint_text, request_fingerprint
 
 from ashlatch.catalog import Organisation, Route, Service
 from ashlatch.clock import unix_ms
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.logs import RequestHeld
 from ashlatch.gateway.message import Ask, RefusalReason
 from ashlatch.http.connection import Responder
--- a/ashlatch/gateway/knowledge.py
+++ b/ashlatch/gateway/context.py
@@ -13,13 +13,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from ashlatch.gateway.latency_model import LatencyModel
+from ashlatch.gateway.prefix_cache import KeptParts
+from ashlatch.gateway.updates import PeerNews
+
 from ashlatch.catalog import GatewayVm, Service
 from ashlatch.gateway.budget import BudgetTerms, RepeatBudget
 from ashlatch.gateway.cold import ColdSendLimiter
 from ashlatch.gateway.directory import Directory, EndpointState
-from ashlatch.gateway.kept import KeptParts
-from ashlatch.gateway.latency_model import LatencyModel
-from ashlatch.gateway.news import PeerNews
 from ashlatch.gateway.pool import ConnectionPool
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.tally import Tallies
@@ -29,7 +30,9 @@
 from ashlatch.policy.endpoint import EndpointPolicy
 from ashlatch.policy.quarantine import Quarantine
 
-__all__ = ["Knowledge"]
+__all__ = [
+    "Knowledge",
+]
 
 
 def _tell_nobody(news: PeerNews) -> None:
--- a/ashlatch/gateway/daemon.py
+++ b/ashlatch/gateway/daemon.py
@@ -15,13 +15,15 @@
 import traceback
 from collections.abc import Callable
 
+from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.liveness import SilenceWatch
+
 from ashlatch.catalog import GatewayVm
 from ashlatch.fleet.seeds import Seeds
 from ashlatch.gateway.admission import Refused, admit, refuse
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.cold import ColdSendLimiter
 from ashlatch.gateway.exchange import Exchange
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.logs import (
     HandlerFailed,
     RequestEnded,
@@ -34,7 +36,6 @@
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.sync import FleetLink
 from ashlatch.gateway.versions import VersionChooser
-from ashlatch.gateway.watch import SilenceWatch
 from ashlatch.http.connection import HttpBounds, HttpRequest, Responder
 from ashlatch.http.listener import HttpListener
 from ashlatch.log import emit
@@ -46,7 +47,10 @@
 from ashlatch.settings import GatewaySettings
 from ashlatch.suspension import watch_suspension
 
-__all__ = ["GatewayDaemon"]
+__all__ = [
+    "GatewayDaemon",
+]
+
 
 log = logging.getLogger("ashlatch.gateway")
 
--- a/ashlatch/gateway/exchange.py
+++ b/ashlatch/gateway/exchange.py
@@ -12,6 +12,7 @@
 import asyncio
 from dataclasses import dataclass
 
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.crash_detector import CrashDetector
 from ashlatch.gateway.request_record import RequestRecord
 from ashlatch.gateway.timeouts import (
@@ -39,7 +40,6 @@
 )
 from ashlatch.gateway.chooser import EndpointChooser
 from ashlatch.gateway.events import EventSplitter, StreamEvent
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import AnswerHead, Dispatch, RefusalReason
 from ashlatch.http.connection import CallerGone, Headers, Responder
 
--- a/ashlatch/gateway/forecast.py
+++ b/ashlatch/gateway/forecast.py
@@ -13,8 +13,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
+from ashlatch.gateway.context import Knowledge
+
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import Ask
 from ashlatch.policy.endpoint import rank
 
--- a/ashlatch/gateway/hearing.py
+++ b/ashlatch/gateway/peer_updates.py
@@ -12,18 +12,9 @@
 import logging
 from dataclasses import dataclass
 
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.crash_detector import apply_peer_crashes
-from ashlatch.policy.load_advertisement import load_level
-
-from ashlatch.gateway.knowledge import Knowledge
-from ashlatch.gateway.limits import apply_peer_limit, apply_peer_send
-from ashlatch.gateway.logs import (
-    EndpointMisdirected,
-    EndpointNotListening,
-    EndpointShedsElsewhere,
-)
-from ashlatch.gateway.message import LoadFigures
-from ashlatch.gateway.news import (
+from ashlatch.gateway.updates import (
     ContentCrashed,
     EndpointAnnouncesLeaving,
     EndpointRefuses,
@@ -36,6 +27,15 @@
     SessionMoved,
     SessionRuns,
 )
+from ashlatch.policy.load_advertisement import load_level
+
+from ashlatch.gateway.limits import apply_peer_limit, apply_peer_send
+from ashlatch.gateway.logs import (
+    EndpointMisdirected,
+    EndpointNotListening,
+    EndpointShedsElsewhere,
+)
+from ashlatch.gateway.message import LoadFigures
 from ashlatch.gateway.notices import mark_leaving
 from ashlatch.log import emit
 from ashlatch.registry import Handlers
--- a/ashlatch/gateway/peers.py
+++ b/ashlatch/gateway/peers.py
@@ -14,20 +14,16 @@
 from typing import Any
 
 import msgspec
-
-from ashlatch.catalog import GatewayVm
-from ashlatch.codec import decode, encode
-from ashlatch.gateway.audience import (
+from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.peer_updates import HEARD, Teller
+from ashlatch.gateway.recipients import (
     Audience,
     audience_of_all,
     audience_of_load,
     audience_of_prompt,
     gateways_of_hall,
 )
-from ashlatch.gateway.hearing import HEARD, Teller
-from ashlatch.gateway.knowledge import Knowledge
-from ashlatch.gateway.logs import PeersUnavailable
-from ashlatch.gateway.news import (
+from ashlatch.gateway.updates import (
     ContentCrashed,
     EndpointAnnouncesLeaving,
     EndpointRefuses,
@@ -42,12 +38,19 @@
     SessionMoved,
     SessionRuns,
 )
+from ashlatch.policy.load_advertisement import load_level
+
+from ashlatch.catalog import GatewayVm
+from ashlatch.codec import decode, encode
+from ashlatch.gateway.logs import PeersUnavailable
 from ashlatch.gateway.traffic import TrafficKind
 from ashlatch.log import emit
-from ashlatch.policy.load_advertisement import load_level
 from ashlatch.rpc import Address
 
-__all__ = ["GatewayPeers"]
+__all__ = [
+    "GatewayPeers",
+]
+
 
 log = logging.getLogger("ashlatch.gateway")
 
--- a/ashlatch/gateway/permission.py
+++ b/ashlatch/gateway/permission.py
@@ -10,9 +10,10 @@
 :license: MIT, see LICENSE for details.
 """
 
+from ashlatch.gateway.context import Knowledge
+
 from ashlatch.catalog import Service
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.limits import limit_wait_ms
 from ashlatch.policy.permission import ALLOWED, DenialReason, Permission, combine
 
--- a/ashlatch/gateway/request_record.py
+++ b/ashlatch/gateway/request_record.py
@@ -13,16 +13,17 @@
 import logging
 import math
 
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.crash_detector import record_refusal
 from ashlatch.gateway.fingerprint import fingerprint_text
 from ashlatch.gateway.session_updates import announce_session
+from ashlatch.gateway.updates import EndpointReplaced, PromptSent
 
 from ashlatch.gateway.admission import Admission
 from ashlatch.gateway.attempt import Attempt, AttemptFailed, FailureKind
 from ashlatch.gateway.choice import Choice, EscalationDecision
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Forecast
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.limits import LimitReport, apply_answer_limit, record_limited_send
 from ashlatch.gateway.logs import (
     AnswerWeighed,
@@ -33,7 +34,6 @@
     RequestEnded,
     RequestSent,
 )
-from ashlatch.gateway.news import EndpointReplaced, PromptSent
 from ashlatch.gateway.notices import apply_notice
 from ashlatch.gateway.reports import pass_on_load
 from ashlatch.gateway.tally import TallyKey
--- a/ashlatch/gateway/session_updates.py
+++ b/ashlatch/gateway/session_updates.py
@@ -10,10 +10,13 @@
 :license: MIT, see LICENSE for details.
 """
 
-from ashlatch.gateway.knowledge import Knowledge
-from ashlatch.gateway.news import SessionMoved, SessionRuns
+from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.updates import SessionMoved, SessionRuns
+
+__all__ = [
+    "announce_session",
+]
 
-__all__ = ["announce_session"]
 
 # Datagrams are lost at times, so each update is sent this often. Each copy is relayed
 # within a hall by a different gateway.
--- a/ashlatch/gateway/sync.py
+++ b/ashlatch/gateway/sync.py
@@ -16,6 +16,10 @@
 import random
 from collections.abc import Callable
 
+from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.core_selection import CoreContact
+from ashlatch.gateway.core_updates import CoreNews
+from ashlatch.gateway.prefix_cache import PromptRead
 from ashlatch.policy.prefill_rate import PrefillRate
 
 from ashlatch.catalog import EndpointList, GatewayVm
@@ -25,10 +29,6 @@
 from ashlatch.fleet.peers import PeerConnections
 from ashlatch.fleet.protocol import SYNC, SyncReply, SyncRequest, gateways_digest
 from ashlatch.fleet.seeds import Seeds
-from ashlatch.gateway.contact import CoreContact
-from ashlatch.gateway.corenews import CoreNews
-from ashlatch.gateway.kept import PromptRead
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.logs import (
     CoreChosen,
     CoreUnreached,
--- a/tests/engines.py
+++ b/tests/engines.py
@@ -15,6 +15,8 @@
 from dataclasses import dataclass, field
 from typing import Any, cast
 
+from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.updates import EndpointRefuses, PeerNews, PromptSent
 from tests.stub_server import document, encode_document, engine_service
 
 from ashlatch.catalog import Endpoint, EndpointList, GatewayVm
@@ -24,9 +26,7 @@
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.exchange import UNREACHABLE_MAX
 from ashlatch.gateway.forecast import Send
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import Ask, LoadFigures, PromptPart
-from ashlatch.gateway.news import EndpointRefuses, PeerNews, PromptSent
 from ashlatch.gateway.peers import GatewayPeers
 from ashlatch.gateway.reports import pass_on_load
 from ashlatch.gateway.routing import RouteTable
--- a/tests/gateway.py
+++ b/tests/gateway.py
@@ -5,13 +5,14 @@
 from collections.abc import Awaitable, Callable
 
 import testtools
+from ashlatch.gateway.context import Knowledge
+from tests.stub_server import ReceivedRequest, StubServer
 
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.clock import ClockLoop
 from ashlatch.gateway.admission import Refused, admit, refuse
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.exchange import Exchange
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import VersionChooser
@@ -21,7 +22,6 @@
 from ashlatch.platform.headers import decode_ask
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 from tests import stub_server
-from tests.stub_server import ReceivedRequest, StubServer
 
 PATIENCE = "X-Deadline-Ms: 1500\r\n"
 KEY = "Authorization: Bearer key-1\r\n"
--- a/tests/limit_simulation.py
+++ b/tests/limit_simulation.py
@@ -15,6 +15,7 @@
 from functools import partial
 from typing import Any, cast
 
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.retry_time import find_retry_time
 from tests.stub_server import document, encode_document
 
@@ -24,7 +25,6 @@
 from ashlatch.gateway.cold import GATEWAYS_KNOWN_MS, ColdSendLimiter
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Send
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.limits import LimitReport, apply_answer_limit, record_limited_send
 from ashlatch.gateway.message import Ask
 from ashlatch.gateway.peers import GatewayPeers
--- a/tests/shed_simulation.py
+++ b/tests/shed_simulation.py
@@ -10,12 +10,12 @@
 from dataclasses import dataclass, field
 from functools import partial
 
+from ashlatch.gateway.context import Knowledge
 from tests.limit_simulation import REQUEST, LimitWorld, Network
 
 from ashlatch.gateway.choice import choose_endpoint
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Send
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import AnswerHead
 from ashlatch.gateway.notices import apply_notice
 from ashlatch.gateway.versions import AllowedEndpoints, VersionReason
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -12,6 +12,8 @@
 import h11
 import msgspec
 import testtools
+from ashlatch.gateway.peer_updates import HEARD, Teller
+from ashlatch.gateway.updates import EndpointAnnouncesLeaving, PeerNews
 from tests.stub_server import (
     ReceivedRequest,
     StubServer,
@@ -24,8 +26,6 @@
 
 from ashlatch.catalog import Endpoint, EndpointList, Rollout, RolloutStage
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.hearing import HEARD, Teller
-from ashlatch.gateway.news import EndpointAnnouncesLeaving, PeerNews
 from ashlatch.gateway.notices import apply_notice
 from ashlatch.http.upstream import Upstream
 from ashlatch.platform.headers import decode_answer
--- a/tests/test_crash_load.py
+++ b/tests/test_crash_load.py
@@ -19,10 +19,10 @@
 import statistics
 
 import testtools
+from ashlatch.gateway.updates import ContentCrashed
 from tests.crash_simulation import CrashLoad, CrashOutcome, CrashWorld
 
 from ashlatch.codec import encode
-from ashlatch.gateway.news import ContentCrashed
 from ashlatch.gateway.traffic import TrafficKind
 from tests.engines import World
 
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -11,6 +11,7 @@
 import msgspec
 import testtools
 from ashlatch.fleet.soft_state import SoftState, has_updates
+from ashlatch.gateway.liveness import SilenceWatch
 from click.testing import CliRunner, Result
 
 from ashlatch.catalog import (
@@ -36,7 +37,6 @@
 from ashlatch.gateway.directory import Directory
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import VersionChooser
-from ashlatch.gateway.watch import SilenceWatch
 from ashlatch.http.connection import Headers, HttpRequest
 from ashlatch.http.upstream import Upstream
 from ashlatch.policy.table import TableBuilder
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -3,6 +3,7 @@
 import random
 
 import testtools
+from ashlatch.gateway.context import Knowledge
 from ashlatch.gateway.latency_model import LatencyModel
 from tests.stub_server import document, encode_document, engine_service
 
@@ -10,7 +11,6 @@
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.choice import Choice, choose_endpoint, engine_urgency
 from ashlatch.gateway.forecast import Forecast, Send
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import Ask, LoadFigures, PromptPart
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -4,6 +4,7 @@
 import socket
 import struct
 
+from ashlatch.gateway.updates import EndpointReplaced, SessionMoved
 from tests.stub_server import (
     LAST_CHUNK,
     ReceivedRequest,
@@ -14,7 +15,6 @@
 )
 
 from ashlatch.catalog import Endpoint, EndpointList, Rollout, RolloutStage
-from ashlatch.gateway.news import EndpointReplaced, SessionMoved
 from tests import stub_server
 from tests.gateway import ASK_STREAM, ASK_STREAMS, KEY, GatewayHarness, ask, hang
 
--- a/tests/test_lives.py
+++ b/tests/test_incarnations.py
@@ -11,7 +11,11 @@
 
 import msgspec
 import testtools
+from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.core_updates import CoreNews
 from ashlatch.gateway.crash_detector import record_refusal
+from ashlatch.gateway.prefix_cache import PromptRead
+from ashlatch.gateway.updates import EndpointRefuses
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from tests.stub_server import StubServer, answer_with
@@ -19,12 +23,8 @@
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.codec import encode
 from ashlatch.fleet.protocol import SyncReply
-from ashlatch.gateway.corenews import CoreNews
 from ashlatch.gateway.directory import Directory, EndpointState
-from ashlatch.gateway.kept import PromptRead
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.message import LoadFigures, PromptPart
-from ashlatch.gateway.news import EndpointRefuses
 from ashlatch.gateway.peers import GatewayPeers
 from tests.gateway import GatewayHarness
 
--- a/tests/test_limit_load.py
+++ b/tests/test_limit_load.py
@@ -11,6 +11,7 @@
 from functools import partial
 
 import testtools
+from ashlatch.gateway.updates import LimitNamed
 from tests.limit_simulation import LimitWorld, Network
 
 from ashlatch.gateway.cold import GATEWAYS_KNOWN_MS, ColdSendLimiter
@@ -20,7 +21,6 @@
     apply_peer_limit,
     limit_wait_ms,
 )
-from ashlatch.gateway.news import LimitNamed
 from ashlatch.policy.rate_limit import (
     BURST_S,
     DEBT_MAX_S,
--- a/tests/test_watch.py
+++ b/tests/test_liveness.py
@@ -3,15 +3,16 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
+from ashlatch.gateway.liveness import SilenceWatch
+from tests.stub_server import StubServer
+
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.gateway.directory import Directory, EndpointState
 from ashlatch.gateway.routing import RouteTable
-from ashlatch.gateway.watch import SilenceWatch
 from ashlatch.http.upstream import CONNECT_TIMED_OUT, ConnectFailed, Upstream
 from ashlatch.platform.document import decode_catalog
 from tests import stub_server
 from tests.gateway import ASK_STREAM, GatewayHarness, ask, hang
-from tests.stub_server import StubServer
 
 # Longer than any wait of these tests, so that a route's target ends none.
 TARGET_MS = 2400
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -4,15 +4,15 @@
 from collections.abc import Awaitable, Callable
 
 import testtools
-
-from ashlatch.catalog import Endpoint, GatewayVm, Rollout, RolloutStage
-from ashlatch.gateway.directory import BREAKER_OPEN_MS, REPLACED_MS, EndpointState
-from ashlatch.gateway.news import (
+from ashlatch.gateway.updates import (
     EndpointRefuses,
     EndpointReplaced,
     PromptSent,
     SessionMoved,
 )
+
+from ashlatch.catalog import Endpoint, GatewayVm, Rollout, RolloutStage
+from ashlatch.gateway.directory import BREAKER_OPEN_MS, REPLACED_MS, EndpointState
 from ashlatch.gateway.peers import GatewayPeers
 from ashlatch.gateway.traffic import HallTraffic
 from tests.system import HOST, free_port
--- a/tests/test_kept.py
+++ b/tests/test_prefix_cache.py
@@ -1,9 +1,9 @@
 """Tests of what gateways believe engines keep, and how they tell each other."""
 
 import testtools
-
 from ashlatch.fleet.prefill_log import PREFILLS_MAX, PrefillLog
-from ashlatch.gateway.kept import FRESH_MS, KEPT_MS, KeptParts, PromptRead
+from ashlatch.gateway.prefix_cache import FRESH_MS, KEPT_MS, KeptParts, PromptRead
+
 from ashlatch.gateway.message import PromptPart
 
 SHARED = PromptPart("shared", 1000)
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -31,7 +31,10 @@
 import testtools
 from ashlatch.fleet.evaluation import Evidence, decide
 from ashlatch.fleet.soft_state import SoftState
+from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.peer_updates import HEARD, Teller
 from ashlatch.gateway.session_updates import announce_session
+from ashlatch.gateway.updates import PeerNews, SessionMoved
 from tests.session_simulation import Load, SessionWorld
 from tests.stub_server import ReceivedRequest, StubServer
 
@@ -50,9 +53,6 @@
 from ashlatch.fleet.protocol import SyncRequest
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.hearing import HEARD, Teller
-from ashlatch.gateway.knowledge import Knowledge
-from ashlatch.gateway.news import PeerNews, SessionMoved
 from ashlatch.gateway.peers import GatewayPeers
 from ashlatch.gateway.sessions import (
     HASH_RANGE,
--- a/tests/test_soft_state.py
+++ b/tests/test_soft_state.py
@@ -6,11 +6,11 @@
     PENDING_PREFILLS_MAX,
     SoftState,
 )
+from ashlatch.gateway.prefix_cache import PromptRead
 
 from ashlatch.catalog import CoreVm, EndpointList, GatewayVm, SessionHashes
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncReply, SyncRequest, gateways_digest
-from ashlatch.gateway.kept import PromptRead
 
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
 ONE = GatewayVm("10.0.0.1:7000", "hall-1")
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -8,6 +8,7 @@
 import testtools
 from ashlatch.fleet.leader_link import LeaderLink
 from ashlatch.fleet.soft_state import SoftState
+from ashlatch.gateway.context import Knowledge
 
 from ashlatch.catalog import CoreVm, GatewayVm, Rollout, RolloutStage, SessionHashes
 from ashlatch.errors import TransportError
@@ -17,7 +18,6 @@
 from ashlatch.fleet.seeds import Seeds
 from ashlatch.gateway import sync
 from ashlatch.gateway.budget import BudgetTerms
-from ashlatch.gateway.knowledge import Knowledge
 from ashlatch.gateway.sessions import SessionVersions, session_hash
 from ashlatch.gateway.sync import FleetLink
 from ashlatch.gateway.versions import VersionChooser
