--- a/ashlatch/fleet/following.py
+++ b/ashlatch/fleet/following.py
@@ -21,7 +21,7 @@
 from ashlatch.fleet.peers import PeerBook
 from ashlatch.fleet.protocol import SYNC, SyncReply, SyncRequest, gateways_digest
 from ashlatch.fleet.spread import Spread
-from ashlatch.gateway.prefix_cache import PromptRead
+from ashlatch.gateway.prefix_cache import PromptPrefill
 from ashlatch.gateway.tally import Tally
 from ashlatch.log import emit
 from ashlatch.raft.group import Standing
@@ -104,7 +104,7 @@
         self,
         wait_ms: float,
         tallies: tuple[Tally, ...] = (),
-        reads: tuple[PromptRead, ...] = (),
+        reads: tuple[PromptPrefill, ...] = (),
     ) -> SyncRequest:
         state = self.state()
         return SyncRequest(
--- a/ashlatch/fleet/memories.py
+++ b/ashlatch/fleet/memories.py
@@ -20,7 +20,7 @@
 from ashlatch.catalog import Endpoint
 from ashlatch.errors import AshlatchError
 from ashlatch.fleet.logs import MemoriesRead, MemoryUnread
-from ashlatch.gateway.prefix_cache import PromptRead
+from ashlatch.gateway.prefix_cache import PromptPrefill
 from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
 from ashlatch.log import emit
 from ashlatch.platform.memory import (
@@ -52,11 +52,11 @@
     reason: str
 
 
-async def read_memories(engines: tuple[Endpoint, ...]) -> tuple[PromptRead, ...]:
+async def read_memories(engines: tuple[Endpoint, ...]) -> tuple[PromptPrefill, ...]:
     """Ask all engines at once; those that do not answer are left out."""
     asked = (_read(engine) for engine in engines)
     answers = await asyncio.gather(*asked, return_exceptions=True)
-    reads: list[PromptRead] = []
+    reads: list[PromptPrefill] = []
     unread = 0
     for engine, answer in zip(engines, answers, strict=True):
         if isinstance(answer, MemoryUnreadable):
@@ -96,11 +96,13 @@
             connection.abort()
 
 
-def _reads(instance: str, kept: Iterable[KeptPart], parts_max: int) -> list[PromptRead]:
+def _reads(
+    instance: str, kept: Iterable[KeptPart], parts_max: int
+) -> list[PromptPrefill]:
     """The longest parts that an engine keeps, by model."""
     long = [part for part in kept if part.tokens >= PART_TOKENS_MIN]
     long.sort(key=lambda part: part.tokens, reverse=True)
     by_model: dict[str, list[tuple[str, int]]] = defaultdict(list)
     for part in long[:parts_max]:
         by_model[part.model].append((part.part_id, part.tokens))
-    return [PromptRead(instance, m, tuple(parts)) for m, parts in by_model.items()]
+    return [PromptPrefill(instance, m, tuple(parts)) for m, parts in by_model.items()]
--- a/ashlatch/fleet/protocol.py
+++ b/ashlatch/fleet/protocol.py
@@ -20,7 +20,7 @@
     SessionMarks,
 )
 from ashlatch.fleet.machine import Command, Outcome
-from ashlatch.gateway.prefix_cache import PromptRead
+from ashlatch.gateway.prefix_cache import PromptPrefill
 from ashlatch.gateway.tally import Tally
 from ashlatch.link import Method
 from ashlatch.policy.quarantine import CrashRecord
@@ -67,7 +67,7 @@
     wait_ms: float
     tallies: tuple[Tally, ...] = ()
     sessions: tuple[SessionMarks, ...] = ()
-    reads: tuple[PromptRead, ...] = ()
+    reads: tuple[PromptPrefill, ...] = ()
     reads_known: tuple[int, int] = (0, 0)
     gateways_known: int = 0
     core: CoreVm | None = None
@@ -102,7 +102,7 @@
     endpoints: EndpointList | None = None
     rollouts: tuple[Rollout, ...] = ()
     list_age_ms: float = 0.0
-    reads: tuple[PromptRead, ...] = ()
+    reads: tuple[PromptPrefill, ...] = ()
     reads_known: tuple[int, int] = (0, 0)
     rates: tuple[ReadingRate, ...] = ()
     crashes: tuple[CrashRecord, ...] = ()
--- a/ashlatch/fleet/reads.py
+++ b/ashlatch/fleet/reads.py
@@ -13,7 +13,7 @@
 from collections import deque
 from itertools import islice
 
-from ashlatch.gateway.prefix_cache import PromptRead
+from ashlatch.gateway.prefix_cache import PromptPrefill
 
 __all__ = ["ReadLog"]
 
@@ -35,9 +35,9 @@
 
     def __init__(self) -> None:
         self.position: Position = (0, 0)
-        self._reads: deque[PromptRead] = deque(maxlen=READS_MAX)
+        self._reads: deque[PromptPrefill] = deque(maxlen=READS_MAX)
 
-    def extend(self, term: int, reads: tuple[PromptRead, ...]) -> None:
+    def extend(self, term: int, reads: tuple[PromptPrefill, ...]) -> None:
         """Number new reads, as the leader of a term."""
         known_term, number = self.position
         if term != known_term:
@@ -46,14 +46,14 @@
         self._reads.extend(reads)
         self.position = (term, number + len(reads))
 
-    def learn(self, position: Position, reads: tuple[PromptRead, ...]) -> None:
+    def learn(self, position: Position, reads: tuple[PromptPrefill, ...]) -> None:
         """Take what the leader has told up to a position."""
         if position[0] != self.position[0]:
             self._reads.clear()
         self._reads.extend(reads)
         self.position = position
 
-    def since(self, position: Position) -> tuple[PromptRead, ...]:
+    def since(self, position: Position) -> tuple[PromptPrefill, ...]:
         """What is newer than a position; all that is kept for another term's."""
         term, number = self.position
         newer = number - position[1] if position[0] == term else number
--- a/ashlatch/fleet/spread.py
+++ b/ashlatch/fleet/spread.py
@@ -17,7 +17,7 @@
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncReply, SyncRequest, gateways_digest
 from ashlatch.fleet.reads import ReadLog
-from ashlatch.gateway.prefix_cache import PromptRead
+from ashlatch.gateway.prefix_cache import PromptPrefill
 from ashlatch.gateway.tally import Tallies
 from ashlatch.policy.quarantine import UnloggedCrashes
 from ashlatch.policy.reading import ReadingRates
@@ -50,7 +50,7 @@
         # Gateways of one hall together see an engine read many times a second, one
         # of 39 by itself too seldom to know a rate before it needs it.
         self._rates = ReadingRates()
-        self._told: list[PromptRead] = []
+        self._told: list[PromptPrefill] = []
         self._begun_ms = monotonic_ms()
         self._listed_ms = self._begun_ms
         self._term_led = 0
@@ -102,12 +102,12 @@
             self.urgent.set()
         moved.update(dict.fromkeys(sessions.moved, now_ms))
 
-    def tell_reads(self, reads: tuple[PromptRead, ...]) -> None:
+    def tell_reads(self, reads: tuple[PromptPrefill, ...]) -> None:
         """Take reads that are to reach the leader; the oldest give way."""
         self._told.extend(reads)
         del self._told[:-TOLD_MAX]
 
-    def take_reads(self) -> tuple[PromptRead, ...]:
+    def take_reads(self) -> tuple[PromptPrefill, ...]:
         """The reads that the leader has not got yet."""
         told, self._told = self._told, []
         return tuple(told)
--- a/ashlatch/gateway/account.py
+++ b/ashlatch/gateway/account.py
@@ -17,13 +17,13 @@
 from ashlatch.gateway.attempt import Attempt, AttemptFailed, FailureKind
 from ashlatch.gateway.choice import Choice, Verdict
 from ashlatch.gateway.content import digest_text
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.crash import note_refusal
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Forecast
 from ashlatch.gateway.limits import LimitReport, apply_answer_limit, record_limited_send
 from ashlatch.gateway.logs import (
-    AnswerWeighed,
+    AnswerEvaluated,
     AttemptEnded,
     EndpointMisdirected,
     EndpointResumed,
@@ -32,7 +32,7 @@
     RequestSent,
 )
 from ashlatch.gateway.notices import apply_notice
-from ashlatch.gateway.reports import pass_on_load
+from ashlatch.gateway.reports import broadcast_load
 from ashlatch.gateway.session_news import announce_session
 from ashlatch.gateway.tally import TallyKey
 from ashlatch.gateway.traffic import TrafficKind
@@ -61,7 +61,7 @@
     not; `first_s` is when the answer began to be passed on.
     """
 
-    def __init__(self, known: Knowledge, admission: Admission) -> None:
+    def __init__(self, known: GatewayContext, admission: Admission) -> None:
         self.sends = 0
         self.unreachable = 0
         self.events = 0
@@ -129,9 +129,15 @@
         engine = self._admission.service.engine
         memory_tokens = engine.memory_tokens if engine else 0
         choice.state.workload.add(choice.forecast.read_ms, self._now_ms())
-        known.tell(PromptSent(endpoint.instance, round(choice.forecast.read_ms, 1)))
-        known.kept.note(endpoint.instance, model, parts, self._now_ms())
-        known.kept.read(endpoint.instance, model, parts, memory_tokens, self._now_ms())
+        known.broadcast(
+            PromptSent(endpoint.instance, round(choice.forecast.read_ms, 1))
+        )
+        known.prefix_caches.queue_report(
+            endpoint.instance, model, parts, self._now_ms()
+        )
+        known.prefix_caches.record_prefill(
+            endpoint.instance, model, parts, memory_tokens, self._now_ms()
+        )
 
     def carried(self, attempt: Attempt) -> None:
         """An attempt is over, and its connection has carried all of it."""
@@ -140,19 +146,19 @@
         traffic.add(TrafficKind.REQUEST, hall, attempt.sent_bytes)
         traffic.add(TrafficKind.ANSWER, hall, attempt.received_bytes)
         service = attempt.state.endpoint.service
-        self._known.pace.ended(service, self._age_ms(attempt))
+        self._known.latency_model.ended(service, self._age_ms(attempt))
 
     def begun(self, attempt: Attempt, model: str) -> None:
         """The head of an answer has come."""
         self._tell_load(attempt)
         self._read_notice(attempt)
         first_ms = self._age_ms(attempt)
-        self._known.tallies.begun(self._key(attempt), first_ms)
-        attempt.state.proved(self._admission.service.cold_ms, self._now_ms())
+        self._known.tallies.started(self._key(attempt), first_ms)
+        attempt.state.confirm_running(self._admission.service.cold_ms, self._now_ms())
         service = self._admission.service.name
         forecast = attempt.forecast
         if forecast is not None:
-            self._known.pace.began(
+            self._known.latency_model.began(
                 service,
                 model,
                 forecast.read_tokens,
@@ -168,7 +174,7 @@
         """
         load, attempt.load = attempt.load, None
         if load is not None and attempt.forecast is not None:
-            pass_on_load(self._known, attempt.state, load, self._now_ms())
+            broadcast_load(self._known, attempt.state, load, self._now_ms())
 
     def _read_notice(self, attempt: Attempt) -> None:
         """Take what an answer says of its endpoint, once."""
@@ -197,7 +203,7 @@
         """It was decided whether an answer that has begun is passed on."""
         assert attempt.head is not None
         load = attempt.head.load
-        weighed = AnswerWeighed(
+        weighed = AnswerEvaluated(
             self._admission.ask.request_id,
             self.sends,
             model,
@@ -241,7 +247,7 @@
         if kind is FailureKind.ERROR:
             self._known.tallies.failed(self._key(attempt))
         if kind is FailureKind.SILENT and not self.events:
-            self._known.tallies.begun(self._key(attempt), self._age_ms(attempt))
+            self._known.tallies.started(self._key(attempt), self._age_ms(attempt))
         if kind is FailureKind.MISDIRECTED:
             self._replaced(state)
         elif kind not in (FailureKind.REFUSED, FailureKind.CLOSED):
@@ -262,8 +268,8 @@
     def _replaced(self, state: EndpointState) -> None:
         """Leave an endpoint whose address another one has, everywhere at once."""
         instance = state.endpoint.instance
-        if not state.replaced(self._now_ms()):
-            self._known.tell(EndpointReplaced(instance))
+        if not state.recently_replaced(self._now_ms()):
+            self._known.broadcast(EndpointReplaced(instance))
             gone = EndpointMisdirected(instance, state.endpoint.service)
             emit(log, gone, logging.WARNING)
         state.replaced_ms = self._now_ms()
@@ -280,7 +286,7 @@
                 endpoint.service,
                 kind.value,
                 state.breaker.failures,
-                state.failing,
+                state.failure_ratio,
             )
             emit(log, suspended, logging.WARNING)
 
--- a/ashlatch/gateway/admission.py
+++ b/ashlatch/gateway/admission.py
@@ -15,9 +15,9 @@
 from ashlatch.catalog import Organisation, Route, Service
 from ashlatch.clock import unix_ms
 from ashlatch.gateway.content import content_digest, digest_text
-from ashlatch.gateway.context import Knowledge
-from ashlatch.gateway.logs import RequestHeld
-from ashlatch.gateway.message import Ask, RefusalReason
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.logs import QuarantinedRequestRefused
+from ashlatch.gateway.message import CallerRequest, RefusalReason
 from ashlatch.http.connection import Responder
 from ashlatch.log import emit
 from ashlatch.platform.headers import refusal_headers
@@ -37,7 +37,7 @@
     `content` is the digest of what it asks for.
     """
 
-    ask: Ask
+    ask: CallerRequest
     route: Route
     service: Service
     organisation: Organisation | None
@@ -78,7 +78,7 @@
     retry_after_s: float | None = None
 
 
-def admit(known: Knowledge, ask: Ask) -> Admission | Refused:
+def admit(known: GatewayContext, ask: CallerRequest) -> Admission | Refused:
     """Find route, organisation and service of a request."""
     table = known.table
     if table is None:
@@ -92,15 +92,15 @@
         if organisation is None:
             return Refused(401, RefusalReason.UNKNOWN_KEY)
     held_ms = route.held_max_ms
-    if ask.patience_ms is not None:
-        held_ms = min(held_ms, ask.patience_ms)
+    if ask.timeout_ms is not None:
+        held_ms = min(held_ms, ask.timeout_ms)
     content = content_digest(ask, organisation.name if organisation else "")
     held = quarantined(known, content)
     if held is not None:
         crashes = known.quarantine.crashes(content)
         held_ms = int(known.quarantine.held_ms(content, unix_ms()))
         text = digest_text(content)
-        emit(log, RequestHeld(ask.request_id, text, crashes, held_ms))
+        emit(log, QuarantinedRequestRefused(ask.request_id, text, crashes, held_ms))
         return held
     return Admission(
         ask,
@@ -113,7 +113,7 @@
     )
 
 
-def quarantined(known: Knowledge, content: int) -> Refused | None:
+def quarantined(known: GatewayContext, content: int) -> Refused | None:
     """The refusal of a content under which too many endpoints have ended."""
     held_ms = known.quarantine.held_ms(content, unix_ms())
     if not held_ms:
--- a/ashlatch/gateway/attempt.py
+++ b/ashlatch/gateway/attempt.py
@@ -19,7 +19,7 @@
 from ashlatch.errors import AshlatchError
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Forecast
-from ashlatch.gateway.message import AnswerHead, Ask, Dispatch, LoadFigures
+from ashlatch.gateway.message import AnswerHead, CallerRequest, Dispatch, LoadFigures
 from ashlatch.gateway.patience import CONNECT_MAX_S, Patience
 from ashlatch.gateway.pool import ConnectionPool
 from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
@@ -91,7 +91,7 @@
         self,
         state: EndpointState,
         pool: ConnectionPool,
-        ask: Ask,
+        ask: CallerRequest,
         dispatch: Dispatch,
         repeatable: bool,
         forecast: Forecast | None = None,
@@ -141,7 +141,7 @@
             # An endpoint that sheds says that it is idle.
             self.load = head.load
         if self.load is not None:
-            self.state.tell_load(self.load, self._now_ms())
+            self.state.apply_load(self.load, self._now_ms())
         if head.request_id in ("", self._ask.request_id) and not head.misdirected:
             # Anything else may come from another endpoint.
             self.unread_head = head
@@ -180,11 +180,11 @@
         """Receive something; the limit may be moved if the endpoint has gone."""
         if patience.silence_s is None:
             return await receive()
-        self.state.awaited.add(limit)
+        self.state.pending_timeouts.add(limit)
         try:
             return await receive()
         finally:
-            self.state.awaited.discard(limit)
+            self.state.pending_timeouts.discard(limit)
 
     def finish(self) -> None:
         """The answer was whole: keep the connection if it may be kept."""
@@ -192,7 +192,9 @@
         connection = self._leave_connection()
         if connection.release(self._loop.time()):
             kept_max = self._connections_max - self.state.load.in_flight + 1
-            self._pool.keep(self.state.endpoint, connection, self.head.idle_s, kept_max)
+            self._pool.release(
+                self.state.endpoint, connection, self.head.idle_s, kept_max
+            )
         self._uncount()
 
     def close(self) -> None:
--- a/ashlatch/gateway/choice.py
+++ b/ashlatch/gateway/choice.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass, field
 
 from ashlatch.catalog import Route, Service
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Forecast, Forecaster, Send
-from ashlatch.gateway.message import Ask
+from ashlatch.gateway.message import CallerRequest
 from ashlatch.gateway.permission import send_permission
 from ashlatch.gateway.versions import AllowedEndpoints
 from ashlatch.policy.endpoint import Candidate
@@ -81,7 +81,7 @@
 
 
 def choose_endpoint(
-    known: Knowledge,
+    known: GatewayContext,
     service: Service,
     allowed: AllowedEndpoints,
     tried: frozenset[str],
@@ -129,7 +129,7 @@
 
 
 def _open(
-    known: Knowledge,
+    known: GatewayContext,
     service: Service,
     states: Iterable[EndpointState],
     now_ms: float,
@@ -152,7 +152,7 @@
     """The endpoints that a request may go to, without those that do badly."""
     fresh = [s for s in states if s.endpoint.instance not in tried]
     sound = [s for s in fresh if _may_answer(s, now_ms)]
-    well = [s for s in sound if s.failing < FAILING_MAX]
+    well = [s for s in sound if s.failure_ratio < FAILING_MAX]
     moving = [s for s in well if not s.stalled(now_ms)]
     return moving or well or sound or fresh
 
@@ -162,7 +162,7 @@
     return state.breaker.allows(now_ms) and not state.backoff.may_shed(now_ms)
 
 
-def first_model(route: Route, ask: Ask) -> str:
+def first_model(route: Route, ask: CallerRequest) -> str:
     """The model that a request is sent to first; empty for the caller's own."""
     if not route.models or ask.model or not ask.names_model:
         return ""
@@ -192,7 +192,7 @@
     return URGENCIES_EACH * steps + min(urgency, URGENCIES_EACH - 1)
 
 
-def _candidate(known: Knowledge, state: EndpointState, now_ms: float) -> Candidate:
+def _candidate(known: GatewayContext, state: EndpointState, now_ms: float) -> Candidate:
     endpoint = state.endpoint
     requests = state.requests(now_ms)
     return Candidate(
--- a/ashlatch/gateway/chooser.py
+++ b/ashlatch/gateway/chooser.py
@@ -14,7 +14,7 @@
 
 from ashlatch.gateway.admission import RETRY_AFTER_S, Admission, Refused
 from ashlatch.gateway.choice import Choice, choose_endpoint
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Send
 from ashlatch.gateway.message import RefusalReason
@@ -40,7 +40,7 @@
 class RequestChooser:
     """Chooses endpoints for the sends of one request; `tried` are left out by id."""
 
-    def __init__(self, known: Knowledge, admission: Admission) -> None:
+    def __init__(self, known: GatewayContext, admission: Admission) -> None:
         self.tried: set[str] = set()
         self._known = known
         self._admission = admission
@@ -120,7 +120,7 @@
         else:
             wait_ms, tokens = forecast.wait_ms, forecast.read_tokens
         service = self._admission.service.name
-        pace = self._known.pace
+        pace = self._known.latency_model
         return wait_ms + pace.expected_ms(service, model, tokens, self._now_ms())
 
     def nowhere(self) -> Refused:
--- a/ashlatch/gateway/cold.py
+++ b/ashlatch/gateway/cold.py
@@ -62,7 +62,7 @@
         least_ms = self._pause_ms(state, service, gateways)
         if least_ms is None:
             return NEVER_MS
-        return max(0.0, state.sent_ms + least_ms - now_ms)
+        return max(0.0, state.last_sent_ms + least_ms - now_ms)
 
     def _pause_ms(
         self,
@@ -103,5 +103,5 @@
         if service is None or state.endpoint.hall not in returned:
             continue
         found += 1
-        state.warms_up(now_ms + service.cold_ms)
+        state.mark_cold_until(now_ms + service.cold_ms)
     return found
--- a/ashlatch/gateway/content.py
+++ b/ashlatch/gateway/content.py
@@ -11,12 +11,12 @@
 
 import xxhash
 
-from ashlatch.gateway.message import Ask
+from ashlatch.gateway.message import CallerRequest
 
 __all__ = ["content_digest", "digest_text"]
 
 
-def content_digest(ask: Ask, organisation: str) -> int:
+def content_digest(ask: CallerRequest, organisation: str) -> int:
     """A number that requests share which ask for the same, at every gateway.
 
     They come from the same organisation, or caller's key where there is none, and
--- a/ashlatch/gateway/context.py
+++ b/ashlatch/gateway/context.py
@@ -19,29 +19,29 @@
 from ashlatch.gateway.directory import Directory, EndpointState
 from ashlatch.gateway.pace import Pace
 from ashlatch.gateway.pool import ConnectionPool
-from ashlatch.gateway.prefix_cache import KeptParts
+from ashlatch.gateway.prefix_cache import PrefixCaches
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.tally import Tallies
-from ashlatch.gateway.traffic import HallTraffic
-from ashlatch.gateway.updates import PeerNews
+from ashlatch.gateway.traffic import TrafficCounter
+from ashlatch.gateway.updates import PeerUpdate
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.metrics import Metrics
 from ashlatch.policy.endpoint import EndpointPolicy
 from ashlatch.policy.quarantine import Quarantine
 
-__all__ = ["Knowledge"]
+__all__ = ["GatewayContext"]
 
 
-def _tell_nobody(news: PeerNews) -> None:
+def _discard_update(news: PeerUpdate) -> None:
     """A gateway that has no way to the others yet."""
 
 
-def _tell_no_core() -> None:
+def _skip_core_report() -> None:
     """A gateway that has no way to the core yet."""
 
 
 @dataclass
-class Knowledge:
+class GatewayContext:
     """`regions` are those of the halls. `table` is unset until the first configuration
     has come.
 
@@ -64,8 +64,8 @@
     table: RouteTable | None = None
     directory: Directory = field(default_factory=Directory)
     pool: ConnectionPool = field(default_factory=ConnectionPool)
-    pace: Pace = field(default_factory=Pace)
-    kept: KeptParts = field(default_factory=KeptParts)
+    latency_model: Pace = field(default_factory=Pace)
+    prefix_caches: PrefixCaches = field(default_factory=PrefixCaches)
     tallies: Tallies = field(default_factory=Tallies)
     metrics: Metrics = field(default_factory=Metrics)
     budgets: dict[str, RepeatBudget] = field(default_factory=dict)
@@ -73,21 +73,21 @@
     gateways: tuple[GatewayVm, ...] = ()
     quarantine: Quarantine = field(default_factory=Quarantine)
     probes: dict[str, asyncio.Task[bool]] = field(default_factory=dict)
-    tell: Callable[[PeerNews], None] = _tell_nobody
-    crashes_found: Callable[[], None] = _tell_no_core
-    cold: ColdGate = field(default_factory=ColdGate)
-    core_in_touch: bool = True
-    peers_in_touch: bool = True
-    returns_ms: dict[str, float] = field(default_factory=dict)
-    traffic: HallTraffic = field(init=False)
+    broadcast: Callable[[PeerUpdate], None] = _discard_update
+    report_crashes: Callable[[], None] = _skip_core_report
+    cold_gate: ColdGate = field(default_factory=ColdGate)
+    core_reachable: bool = True
+    peers_reachable: bool = True
+    next_retry_ms: dict[str, float] = field(default_factory=dict)
+    traffic: TrafficCounter = field(init=False)
 
     def __post_init__(self) -> None:
-        self.traffic = HallTraffic(self.hall, self.metrics)
-        self.directory.life_ended = self.forget_life
+        self.traffic = TrafficCounter(self.hall, self.metrics)
+        self.directory.on_restart = self.forget_instance
 
-    def forget_life(self, instance: str) -> None:
+    def forget_instance(self, instance: str) -> None:
         """An endpoint's process has ended: nothing of it is left at its address."""
-        self.kept.forget(instance)
+        self.prefix_caches.forget(instance)
         self.pool.drop(instance)
 
     def budget(self, service: str) -> RepeatBudget:
@@ -107,7 +107,7 @@
         service = services.get(state.endpoint.service)
         return service.cold_ms if service is not None else 0.0
 
-    def memory_tokens(self, instance: str) -> int:
+    def prefix_cache_tokens(self, instance: str) -> int:
         """What an engine's memory holds; 0 for what is no engine, or unknown."""
         state = self.directory.state(instance)
         if state is None or self.table is None:
--- a/ashlatch/gateway/core_selection.py
+++ b/ashlatch/gateway/core_selection.py
@@ -16,10 +16,10 @@
 
 from ashlatch.catalog import CoreVm
 
-__all__ = ["CoreContact"]
+__all__ = ["CoreSelector"]
 
 
-class CoreContact:
+class CoreSelector:
     """The core VM that is asked, by its address; empty before the first one.
 
     `seeds` gives the addresses that the settings name, whose halls nobody knows
@@ -48,10 +48,10 @@
     def address(self) -> str:
         """Whom to ask next."""
         if not self._address:
-            self._address = self._generator.choice(self.known())
+            self._address = self._generator.choice(self.addresses())
         return self._address
 
-    def known(self) -> tuple[str, ...]:
+    def addresses(self) -> tuple[str, ...]:
         """The addresses of all core VMs, and the seeds."""
         cores = (core.address for core in self._cores)
         return tuple(dict.fromkeys((*cores, *self._seeds())))
@@ -61,20 +61,20 @@
         halls = (core.hall for core in self._cores if core.address == address)
         return next(halls, "")
 
-    def learn(self, cores: tuple[CoreVm, ...]) -> None:
+    def update(self, cores: tuple[CoreVm, ...]) -> None:
         """Take which core VMs there are."""
         self._cores = cores
 
-    def lose(self, address: str) -> None:
+    def leave(self, address: str) -> None:
         """A core VM has not answered, or knows no leader: ask any other.
 
         Not one of the own hall by preference: when a hall is cut off, all of its
         core VMs are.
         """
-        others = [known for known in self.known() if known != address]
+        others = [known for known in self.addresses() if known != address]
         self._address = self._generator.choice(others) if others else address
 
-    def nearer(self) -> str:
+    def local_candidate(self) -> str:
         """A core VM of the own hall while one of another is asked; or empty.
 
         It is to be tried before it is moved to, so that one which is frozen or
@@ -85,6 +85,6 @@
         near = [core.address for core in self._cores if core.hall == self._hall]
         return self._generator.choice(near) if near else ""
 
-    def move(self, address: str) -> None:
+    def select(self, address: str) -> None:
         """Ask this core VM from now on."""
         self._address = address
--- a/ashlatch/gateway/core_updates.py
+++ b/ashlatch/gateway/core_updates.py
@@ -17,66 +17,66 @@
 from ashlatch.catalog import EndpointList, Evacuations, GatewayVm, Rollout
 from ashlatch.fleet.protocol import SyncReply
 from ashlatch.gateway.cold import warm_up_returned
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.crash import learn_crashes
 from ashlatch.gateway.logs import (
     ConfigurationApplied,
     DocumentUnreadable,
     EndpointsReplaced,
-    EvacuationsLearnt,
-    GatewaysLearnt,
-    RolloutLearnt,
+    EvacuationsChanged,
+    GatewaysChanged,
+    RolloutChanged,
 )
 from ashlatch.gateway.message import PromptPart
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.log import emit
 from ashlatch.platform.document import DocumentError, decode_catalog
 
-__all__ = ["CoreNews"]
+__all__ = ["CoreUpdates"]
 
 log = logging.getLogger("ashlatch.gateway")
 
 
-class CoreNews:
+class CoreUpdates:
     """Takes answers of core VMs into a gateway's knowledge.
 
     The attributes are what a question tells to be known already.
     """
 
-    def __init__(self, known: Knowledge) -> None:
+    def __init__(self, known: GatewayContext) -> None:
         self.document_version = 0
         self.rollout_number = 0
-        self.reads_known = (0, 0)
-        self.crashes_known = 0
-        self._known = known
+        self.reads_position = (0, 0)
+        self.crashes_position = 0
+        self._context = known
 
-    def take(self, address: str, reply: SyncReply) -> None:
+    def apply(self, address: str, reply: SyncReply) -> None:
         """Take the answer of the core VM at an address."""
         if reply.evacuations is not None:
-            self._evacuate(reply.evacuations)
+            self._apply_evacuations(reply.evacuations)
         if reply.document and reply.document_version > self.document_version:
-            self._apply(reply.document_version, reply.document)
+            self._apply_document(reply.document_version, reply.document)
         if reply.endpoints is not None:
-            self.replace(reply.endpoints, address, reply.endpoints_age_ms)
-        for rollout in self._known.versions.learn(reply.rollouts, _now_ms()):
-            self._note_rollout(rollout)
+            self.replace_endpoints(reply.endpoints, address, reply.endpoints_age_ms)
+        for rollout in self._context.versions.learn(reply.rollouts, _now_ms()):
+            self._record_rollout(rollout)
         if reply.current:
-            self._take_current(reply)
-        self._learn_crashes(address, reply)
-        self.learn_reads(reply)
-        self._known.pace.learn(reply.rates)
+            self._apply_current(reply)
+        self._apply_crashes(address, reply)
+        self.apply_prefills(reply)
+        self._context.latency_model.learn(reply.rates)
 
-    def _take_current(self, reply: SyncReply) -> None:
+    def _apply_current(self, reply: SyncReply) -> None:
         """Take what only a core VM in touch with its leader can tell."""
         now_ms = _now_ms()
-        self._known.cold.heard_core(now_ms)
+        self._context.cold_gate.heard_core(now_ms)
         if reply.gateways is not None:
-            self._learn_gateways(reply.gateways)
-        self._known.directory.listed_ms = now_ms - reply.list_age_ms
+            self._apply_gateways(reply.gateways)
+        self._context.directory.listed_ms = now_ms - reply.list_age_ms
 
-    def _note_rollout(self, rollout: Rollout) -> None:
+    def _record_rollout(self, rollout: Rollout) -> None:
         self.rollout_number = max(self.rollout_number, rollout.number)
-        learnt = RolloutLearnt(
+        learnt = RolloutChanged(
             rollout.service,
             rollout.version,
             rollout.stage.value,
@@ -85,35 +85,35 @@
         )
         emit(log, learnt)
 
-    def _learn_gateways(self, gateways: tuple[GatewayVm, ...]) -> None:
-        before = len(self._known.gateways)
-        self._known.gateways = gateways
-        emit(log, GatewaysLearnt(len(gateways), before))
+    def _apply_gateways(self, gateways: tuple[GatewayVm, ...]) -> None:
+        before = len(self._context.gateways)
+        self._context.gateways = gateways
+        emit(log, GatewaysChanged(len(gateways), before))
 
-    def _learn_crashes(self, address: str, reply: SyncReply) -> None:
+    def _apply_crashes(self, address: str, reply: SyncReply) -> None:
         """Take which requests crash endpoints, by what other gateways have found."""
         for record in reply.crashes:
-            learn_crashes(self._known, record, address)
-            self._known.quarantine.confirm(record)
-        self.crashes_known = max(self.crashes_known, reply.crashes_known)
+            learn_crashes(self._context, record, address)
+            self._context.quarantine.confirm(record)
+        self.crashes_position = max(self.crashes_position, reply.crashes_known)
 
-    def learn_reads(self, reply: SyncReply) -> None:
+    def apply_prefills(self, reply: SyncReply) -> None:
         """Take what engines have read for other gateways."""
-        self.reads_known = reply.reads_known
+        self.reads_position = reply.reads_known
         now_ms = _now_ms()
         for read in reply.reads:
-            memory_tokens = self._known.memory_tokens(read.instance)
-            state = self._known.directory.state(read.instance)
-            if state is not None and state.ended_lately(now_ms):
+            memory_tokens = self._context.prefix_cache_tokens(read.instance)
+            state = self._context.directory.state(read.instance)
+            if state is not None and state.ended_recently(now_ms):
                 # Told of the life that has just ended, whose memory is gone.
                 continue
             if memory_tokens:
                 parts = tuple(PromptPart(*part) for part in read.parts)
-                self._known.kept.read(
+                self._context.prefix_caches.record_prefill(
                     read.instance, read.model, parts, memory_tokens, now_ms
                 )
 
-    def _apply(self, version: int, document: bytes) -> None:
+    def _apply_document(self, version: int, document: bytes) -> None:
         try:
             catalog = decode_catalog(zlib.decompress(document))
         except DocumentError as error:
@@ -122,43 +122,43 @@
             detail = str(error.exceptions[0])
             emit(log, DocumentUnreadable(version, detail), logging.ERROR)
             return
-        table = self._known.table
+        table = self._context.table
         before = table.catalog.version if table else 0
-        self._known.table = RouteTable(catalog)
+        self._context.table = RouteTable(catalog)
         self.document_version = version
         applied = ConfigurationApplied(
             version, before, len(catalog.routes), len(catalog.organisations)
         )
         emit(log, applied)
 
-    def _evacuate(self, evacuations: Evacuations) -> None:
-        directory = self._known.directory
+    def _apply_evacuations(self, evacuations: Evacuations) -> None:
+        directory = self._context.directory
         before = directory.evacuations.number
-        if not directory.evacuate(evacuations):
+        if not directory.apply_evacuations(evacuations):
             return
         cold = 0
         if before:
             cold = warm_up_returned(
-                directory, self._known.table, before, evacuations, _now_ms()
+                directory, self._context.table, before, evacuations, _now_ms()
             )
         endpoints = sum(state.evacuated for state in directory.all())
         halls = ",".join(evacuations.halls)
-        learnt = EvacuationsLearnt(evacuations.number, before, halls, endpoints, cold)
+        learnt = EvacuationsChanged(evacuations.number, before, halls, endpoints, cold)
         emit(log, learnt)
 
-    def replace(
+    def replace_endpoints(
         self, endpoints: EndpointList, source: str, age_ms: float = 0.0
     ) -> None:
         """Take a list of endpoints that was read some time ago, unless it is old."""
-        if not self._known.directory.replace(endpoints, _now_ms(), age_ms):
+        if not self._context.directory.replace(endpoints, _now_ms(), age_ms):
             return
-        instances = self._known.directory.instances()
-        self._known.pool.forget(instances)
-        self._known.kept.keep_only(instances)
+        instances = self._context.directory.instances()
+        self._context.pool.retain(instances)
+        self._context.prefix_caches.retain(instances)
         leaving = sum(e.leaving for e in endpoints.endpoints)
         count = len(endpoints.endpoints)
         now_ms = _now_ms()
-        cold = sum(state.cold(now_ms) for state in self._known.directory.all())
+        cold = sum(state.cold(now_ms) for state in self._context.directory.all())
         replaced = EndpointsReplaced(*endpoints.order, count, leaving, cold, source)
         emit(log, replaced)
 
--- a/ashlatch/gateway/crash.py
+++ b/ashlatch/gateway/crash.py
@@ -16,15 +16,15 @@
 from ashlatch.clock import unix_ms
 from ashlatch.gateway.attempt import AttemptFailed, FailureKind
 from ashlatch.gateway.content import digest_text
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.logs import (
-    ContentHeld,
-    ContentSurvived,
-    CrashNoted,
+    CrashRecordCleared,
+    CrashRecorded,
     EndpointNotListening,
+    FingerprintQuarantined,
 )
-from ashlatch.gateway.updates import ContentCrashed, EndpointRefuses
+from ashlatch.gateway.updates import CrashRecordUpdate, EndpointRefuses
 from ashlatch.http.upstream import CONNECT_REFUSED, ConnectFailed, Upstream
 from ashlatch.log import emit
 from ashlatch.policy.quarantine import CrashRecord
@@ -48,21 +48,21 @@
 Connect = Callable[[str, float], Awaitable[Upstream]]
 
 
-def note_refusal(known: Knowledge, state: EndpointState, now_ms: float) -> None:
+def note_refusal(known: GatewayContext, state: EndpointState, now_ms: float) -> None:
     """Nobody listens at an endpoint's address: leave it, and tell all.
 
     Each gateway would find that out by itself, one request after another: an
     endpoint that has crashed has no load, so it is tried before those that have.
     """
-    if state.refuses(now_ms):
+    if state.record_refusal(now_ms):
         endpoint = state.endpoint
         silent = EndpointNotListening(endpoint.instance, endpoint.service)
         emit(log, silent, logging.WARNING)
-        known.forget_life(endpoint.instance)
-        known.tell(EndpointRefuses(endpoint.instance))
+        known.forget_instance(endpoint.instance)
+        known.broadcast(EndpointRefuses(endpoint.instance))
 
 
-def learn_crashes(known: Knowledge, record: CrashRecord, source: str) -> None:
+def learn_crashes(known: GatewayContext, record: CrashRecord, source: str) -> None:
     """Take what another gateway has found of a content."""
     quarantine = known.quarantine
     content = record.content
@@ -71,7 +71,9 @@
     held_ms = quarantine.held_ms(content, unix_ms())
     if held_ms > held_before_ms:
         crashes = quarantine.crashes(content)
-        held = ContentHeld(digest_text(content), crashes, int(held_ms), source)
+        held = FingerprintQuarantined(
+            digest_text(content), crashes, int(held_ms), source
+        )
         emit(log, held, logging.WARNING)
         known.metrics.count("contents_held")
 
@@ -83,14 +85,16 @@
     run or have just ended.
     """
 
-    def __init__(self, known: Knowledge, connect: Connect = Upstream.connect) -> None:
+    def __init__(
+        self, known: GatewayContext, connect: Connect = Upstream.connect
+    ) -> None:
         self._known = known
         self._connect = connect
         self._loop = asyncio.get_running_loop()
 
     async def ended(self, state: EndpointState, failed: AttemptFailed) -> bool:
         """Whether an endpoint's process has ended under a request."""
-        if state.ended_lately(self._now_ms()):
+        if state.ended_recently(self._now_ms()):
             return True
         if failed.kind is not FailureKind.BROKEN or state.evacuated:
             return False
@@ -133,20 +137,20 @@
         )
         crashes = len(record.unsurvived)
         held_ms = known.quarantine.held_ms(content, now_unix_ms)
-        noted = CrashNoted(
+        noted = CrashRecorded(
             request, digest_text(content), endpoint.instance, crashes, int(held_ms)
         )
         emit(log, noted, logging.WARNING)
         known.metrics.count("crashes_noted")
-        known.crashes_found()
+        known.report_crashes()
         if crashes >= TELL_FROM:
-            known.tell(ContentCrashed(record))
+            known.broadcast(CrashRecordUpdate(record))
 
     def survived(self, request: str, content: int) -> None:
         """A request has run to its end: it crashes nothing."""
         if self._known.quarantine.survived(content):
-            emit(log, ContentSurvived(request, digest_text(content)))
-            self._known.crashes_found()
+            emit(log, CrashRecordCleared(request, digest_text(content)))
+            self._known.report_crashes()
 
     def _now_ms(self) -> float:
         return self._loop.time() * 1000.0
--- a/ashlatch/gateway/daemon.py
+++ b/ashlatch/gateway/daemon.py
@@ -20,9 +20,9 @@
 from ashlatch.gateway.admission import Refused, admit, refuse
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.cold import ColdGate
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.exchange import Exchange
-from ashlatch.gateway.liveness import SilenceWatch
+from ashlatch.gateway.liveness import LivenessProber
 from ashlatch.gateway.logs import (
     HandlerFailed,
     RequestEnded,
@@ -31,9 +31,9 @@
     TrafficCounted,
 )
 from ashlatch.gateway.message import RefusalReason
-from ashlatch.gateway.peers import GatewayPeers
+from ashlatch.gateway.peers import PeerProtocol
 from ashlatch.gateway.sessions import SessionVersions
-from ashlatch.gateway.sync import FleetLink
+from ashlatch.gateway.sync import CoreSync
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.http.connection import HttpBounds, HttpRequest, Responder
 from ashlatch.http.listener import HttpListener
@@ -58,18 +58,18 @@
 TRAFFIC_LOG_S = 10.0
 # A gateway that has just started hears from the core within about a second;
 # requests that come before wait for that, and are refused after it.
-START_HOLD_S = 1.2
-START_RETRY_S = 1.0
+START_WAIT_S = 1.2
+START_RETRY_AFTER_S = 1.0
 # A gateway that has stood still asks the core when it wakes, which takes some ms; a
 # request that has come meanwhile is served by what is known after this.
-CATCH_UP_S = 0.6
+UPDATE_WAIT_S = 0.6
 # After it was asked to stop, a gateway takes new connections until the entry
 # has asked twice whether it is ready.
 STOP_ACCEPTS_S = 2.5
-STOP_LOOK_S = 0.05
+STOP_POLL_S = 0.05
 # The part of the time to stop after which the rest is cut off, so that the
 # process ends by itself.
-STOP_CUT_AT = 0.9
+STOP_ABORT_RATIO = 0.9
 
 
 class GatewayDaemon:
@@ -82,16 +82,16 @@
         self,
         settings: GatewaySettings,
         failed: Callable[[BaseException], None],
-        reread: Callable[[], GatewaySettings],
+        reload_settings: Callable[[], GatewaySettings],
         early: socket.socket | None = None,
     ) -> None:
         self.settings = settings
-        self._early = early
+        self._early_socket = early
         self._failed = failed
         self.rpc = RpcLoop()
         sessions = SessionVersions(settings.session_s * 1000.0)
         repeats = settings.repeats
-        self.known = Knowledge(
+        self.context = GatewayContext(
             settings.hall,
             settings.vm,
             VersionChooser(sessions),
@@ -100,7 +100,7 @@
             settings.halls,
             generator=random.Random(settings.vm),
         )
-        self._seeds = Seeds(settings, reread)
+        self._seeds = Seeds(settings, reload_settings)
 
     def start(self) -> None:
         """Listen, and begin to learn."""
@@ -118,38 +118,38 @@
         return cut
 
     async def _start(self) -> None:
-        self.front = HttpListener(self._handle)
-        self.front.failed = self._handler_failed
-        self.front.unreadable = self._unreadable
+        self.listener = HttpListener(self._handle)
+        self.listener.failed = self._handler_failed
+        self.listener.unreadable = self._unreadable
         self._ready_listener = HttpListener(self._handle_ready)
         own = GatewayVm(self.settings.rpc_address, self.settings.hall)
-        self._link = FleetLink(
-            self.known,
+        self._sync = CoreSync(
+            self.context,
             self._seeds,
             self.settings.list_address,
             self.settings.sync_wait_ms,
             own,
         )
-        peers = GatewayPeers(self.known)
+        peers = PeerProtocol(self.context)
         await peers.start(own)
-        self.known.cold = ColdGate(own)
-        self.known.tell = peers.tell
+        self.context.cold_gate = ColdGate(own)
+        self.context.broadcast = peers.broadcast
         for listener, text, early in (
-            (self.front, self.settings.listen, self._early),
+            (self.listener, self.settings.listen, self._early_socket),
             (self._ready_listener, self.settings.ready, None),
         ):
             address = Address.parse(text)
             await listener.start(address.host, address.port, early)
-        watch_traffic(self.known.metrics)
-        self.known.metrics.watch("configuration_version", self._version)
+        watch_traffic(self.context.metrics)
+        self.context.metrics.watch("configuration_version", self._version)
         metrics_port = self.settings.metrics_port
-        await serve_metrics(self.known.metrics, self.settings.host, metrics_port)
-        watch = SilenceWatch(self.known.directory)
+        await serve_metrics(self.context.metrics, self.settings.host, metrics_port)
+        watch = LivenessProber(self.context.directory)
         works = (
-            self._link.run(),
-            self._link.tell_urgent(),
-            self._link.stay_near(),
-            self._link.read_alone(),
+            self._sync.run(),
+            self._sync.report_urgent(),
+            self._sync.prefer_local_core(),
+            self._sync.read_platform_list(),
             watch.run(),
             self._sweep(),
             self._log_traffic(),
@@ -161,17 +161,17 @@
     async def _stop(self) -> int:
         loop = asyncio.get_running_loop()
         begun_s = loop.time()
-        ends_s = begun_s + STOP_CUT_AT * self.settings.stop_s
-        self.front.stopping = True
-        emit(log, StopBegun(self.front.handling, len(self.front.connections)))
+        ends_s = begun_s + STOP_ABORT_RATIO * self.settings.stop_s
+        self.listener.stopping = True
+        emit(log, StopBegun(self.listener.handling, len(self.listener.connections)))
         while loop.time() < begun_s + STOP_ACCEPTS_S:
-            await asyncio.sleep(STOP_LOOK_S)
-        self.front.refuse_new()
-        while loop.time() < ends_s and self.front.connections:
-            self.front.close_idle()
-            await asyncio.sleep(STOP_LOOK_S)
-        cut = self.front.handling
-        self.front.abort()
+            await asyncio.sleep(STOP_POLL_S)
+        self.listener.refuse_new()
+        while loop.time() < ends_s and self.listener.connections:
+            self.listener.close_idle()
+            await asyncio.sleep(STOP_POLL_S)
+        cut = self.listener.handling
+        self.listener.abort()
         self._ready_listener.abort()
         return cut
 
@@ -180,7 +180,7 @@
     @property
     def ready(self) -> bool:
         """Whether callers should be sent here."""
-        return self._link.settled and not self.front.stopping
+        return self._sync.ready and not self.listener.stopping
 
     async def _handle_ready(self, request: HttpRequest, responder: Responder) -> None:
         known = request.target.partition("?")[0] == READY_TARGET
@@ -194,21 +194,21 @@
             self._refuse(responder, "", Refused(400, RefusalReason.MALFORMED))
             emit(log, RequestUnreadable(request.peer, str(error)))
             return
-        if not self._link.settled and not await self._link.wait_settled(START_HOLD_S):
-            refused = Refused(503, RefusalReason.NO_CONFIGURATION, START_RETRY_S)
+        if not self._sync.ready and not await self._sync.wait_ready(START_WAIT_S):
+            refused = Refused(503, RefusalReason.NO_CONFIGURATION, START_RETRY_AFTER_S)
             self._refuse(responder, ask.request_id, refused)
             return
-        if self._link.stood_still:
-            await self._link.wait_caught_up(CATCH_UP_S)
-        admission = admit(self.known, ask)
+        if self._sync.stale:
+            await self._sync.wait_updated(UPDATE_WAIT_S)
+        admission = admit(self.context, ask)
         if isinstance(admission, Refused):
             self._refuse(responder, ask.request_id, admission)
             return
-        await Exchange(self.known, admission, responder).run()
+        await Exchange(self.context, admission, responder).run()
 
     def _refuse(self, responder: Responder, request_id: str, refused: Refused) -> None:
         refuse(responder, request_id, refused)
-        table = self.known.table
+        table = self.context.table
         version = table.catalog.version if table else 0
         reason = refused.reason.value
         emit(
@@ -217,11 +217,11 @@
                 request_id, "", version, refused.status, reason, 0, 0, 0, 0, 0
             ),
         )
-        self.known.metrics.count(f"requests_{reason}")
+        self.context.metrics.count(f"requests_{reason}")
 
     def _version(self) -> int:
         """The version of the configuration in force here, 0 when there is none."""
-        table = self.known.table
+        table = self.context.table
         return table.catalog.version if table else 0
 
     def _handler_failed(self, error: BaseException) -> None:
@@ -235,10 +235,10 @@
     async def _log_traffic(self) -> None:
         while True:
             await asyncio.sleep(TRAFFIC_LOG_S)
-            for carried in self.known.traffic.carried():
+            for carried in self.context.traffic.counts():
                 counted = TrafficCounted(
                     carried.kind.value,
-                    carried.crosses,
+                    carried.cross_hall,
                     carried.messages,
                     carried.data_bytes,
                 )
@@ -248,11 +248,11 @@
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(SWEEP_S)
-            self.known.pool.sweep(loop.time())
-            table = self.known.table
+            self.context.pool.sweep(loop.time())
+            table = self.context.table
             if table is not None:
                 limits = table.catalog.limits
-                self.front.bounds = HttpBounds(
+                self.listener.bounds = HttpBounds(
                     limits.head_max_bytes,
                     limits.body_max_bytes,
                     limits.head_timeout_ms / 1000.0,
--- a/ashlatch/gateway/directory.py
+++ b/ashlatch/gateway/directory.py
@@ -44,15 +44,15 @@
 REPLACED_MS = 4000.0
 # A request that breaks this soon after its endpoint was found to have ended broke by
 # that: the connections of a process end together, within milliseconds.
-ENDED_MS = 1000.0
+ENDED_RECENTLY_MS = 1000.0
 # An endpoint that was found to have ended may be about to start again, idle and cold,
 # and be told as it was before for seconds: until it has answered somebody it counts as
 # cold, for this long at most.
-UNPROVEN_MS = 20_000.0
+UNCONFIRMED_MAX_MS = 20_000.0
 # How fast the share of failed attempts follows what is seen.
 FAILURE_GAIN = 0.12
 # How many endpoints are remembered that are not listed any more.
-ABSENT_MAX = 1000
+UNLISTED_MAX = 1000
 
 _LEAVING = Permission(Barrier.LEAVING, NEVER_MS)
 _EVACUATED = Permission(Barrier.EVACUATED, NEVER_MS)
@@ -79,38 +79,38 @@
     breaker: Breaker = field(
         default_factory=lambda: Breaker(BREAKER_FAILURES, BREAKER_OPEN_MS)
     )
-    failing: float = 0.0
-    progress_ms: float = float("-inf")
+    failure_ratio: float = 0.0
+    last_progress_ms: float = float("-inf")
     replaced_ms: float = float("-inf")
     refused_ms: float = float("-inf")
     ended_ms: float = float("-inf")
     unanswered: int = 0
-    awaited: set[asyncio.Timeout] = field(default_factory=set)
+    pending_timeouts: set[asyncio.Timeout] = field(default_factory=set)
     workload: Workload = field(default_factory=Workload)
-    told_load: ToldLoad = field(default_factory=ToldLoad)
+    advertised_load: ToldLoad = field(default_factory=ToldLoad)
     evacuated: bool = False
-    sent_ms: float = float("-inf")
+    last_sent_ms: float = float("-inf")
     limit: RateLimit = field(default_factory=RateLimit)
     backoff: Backoff = field(default_factory=Backoff)
     announced_leaving: bool = False
     _cold_until_ms: float = float("-inf")
-    _unproven: bool = False
+    _restart_unconfirmed: bool = False
 
     def cold(self, now_ms: float) -> bool:
         """Whether it has started a moment ago, or may be about to."""
-        if self._unproven and now_ms - self.ended_ms < UNPROVEN_MS:
+        if self._restart_unconfirmed and now_ms - self.ended_ms < UNCONFIRMED_MAX_MS:
             return True
         return now_ms < self._cold_until_ms
 
-    def warms_up(self, until_ms: float) -> None:
+    def mark_cold_until(self, until_ms: float) -> None:
         """It is cold until then at least."""
         self._cold_until_ms = max(self._cold_until_ms, until_ms)
 
-    def proved(self, cold_ms: float, now_ms: float) -> None:
+    def confirm_running(self, cold_ms: float, now_ms: float) -> None:
         """It has answered somebody; if it had ended, it was cold since for a time."""
-        if self._unproven:
-            self._unproven = False
-            self.warms_up(now_ms + cold_ms)
+        if self._restart_unconfirmed:
+            self._restart_unconfirmed = False
+            self.mark_cold_until(now_ms + cold_ms)
 
     @property
     def leaving(self) -> bool:
@@ -133,48 +133,48 @@
         backoff_ms = self.backoff.wait_ms(now_ms)
         return combine([(Barrier.REPLACED, replaced_ms), (Barrier.BACKOFF, backoff_ms)])
 
-    def has_asked(self, now_ms: float) -> bool:
+    def has_restriction(self, now_ms: float) -> bool:
         """Whether it has asked in an answer to be sent less, or nothing."""
         backs_off = self.backoff.wait_ms(now_ms) > 0.0
         return self.announced_leaving or backs_off or self.limit.limited
 
     def sent(self, now_ms: float) -> None:
         """A request goes there."""
-        self.sent_ms = now_ms
+        self.last_sent_ms = now_ms
         self.backoff.sent(now_ms)
         if self.load.in_flight == 0:
-            self.progress_ms = now_ms
+            self.last_progress_ms = now_ms
         self.load.sent(now_ms)
 
     def progressed(self, now_ms: float) -> None:
         """Something has come from there."""
-        self.progress_ms = now_ms
+        self.last_progress_ms = now_ms
 
     def silent_ms(self, now_ms: float) -> float:
         """For how long requests have been there and nothing has come."""
-        return now_ms - self.progress_ms if self.load.in_flight > 0 else 0.0
+        return now_ms - self.last_progress_ms if self.load.in_flight > 0 else 0.0
 
     def stalled(self, now_ms: float) -> bool:
         """Whether requests are there and nothing comes."""
         return self.silent_ms(now_ms) > STALL_MS
 
-    def replaced(self, now_ms: float) -> bool:
+    def recently_replaced(self, now_ms: float) -> bool:
         """Whether another endpoint was found at its address lately."""
         return now_ms - self.replaced_ms < REPLACED_MS
 
-    def gone(self, now_ms: float, now_s: float) -> None:
+    def mark_gone(self, now_ms: float, now_s: float) -> None:
         """Its VM has gone: end what waits for it and may go elsewhere.
 
         `now_s` is the time of the loop, which the limits are told in.
         """
         self.breaker.gone(now_ms)
         self.ended_ms = now_ms
-        self._unproven = True
-        for limit in self.awaited:
+        self._restart_unconfirmed = True
+        for limit in self.pending_timeouts:
             if not limit.expired():
                 limit.reschedule(now_s)
 
-    def tell_load(self, figures: LoadFigures, now_ms: float) -> None:
+    def apply_load(self, figures: LoadFigures, now_ms: float) -> None:
         """Take the load that came with an answer, here or at another gateway."""
         report = LoadReport(
             self.endpoint.instance,
@@ -204,9 +204,9 @@
     def succeeded(self) -> None:
         """An answer that counts has come."""
         self.breaker.succeeded()
-        self.failing -= FAILURE_GAIN * self.failing
+        self.failure_ratio -= FAILURE_GAIN * self.failure_ratio
 
-    def refuses(self, now_ms: float) -> bool:
+    def record_refusal(self, now_ms: float) -> bool:
         """Nobody listens at its address: leave it alone for a while.
 
         Returns whether that is news: not within the time that it is left alone.
@@ -216,29 +216,29 @@
             self.refused_ms = now_ms
         self.breaker.gone(now_ms)
         self.ended_ms = now_ms
-        self._unproven = True
+        self._restart_unconfirmed = True
         if news:
-            self._begin_life()
+            self._reset_estimates()
         return news
 
-    def _begin_life(self) -> None:
+    def _reset_estimates(self) -> None:
         """Believe nothing of before: what comes back at the address begins anew.
 
         Requests that are still counted as sent there end one by one.
         """
-        self.failing = 0.0
+        self.failure_ratio = 0.0
         self.workload = Workload()
-        self.told_load = ToldLoad()
+        self.advertised_load = ToldLoad()
         self.limit = RateLimit()
         self.load.forget_report()
 
-    def ended_lately(self, now_ms: float) -> bool:
+    def ended_recently(self, now_ms: float) -> bool:
         """Whether its process or its VM was found to have ended just now."""
-        return now_ms - self.ended_ms < ENDED_MS
+        return now_ms - self.ended_ms < ENDED_RECENTLY_MS
 
     def failed(self, now_ms: float, unreachable: bool) -> None:
         """An attempt failed by the endpoint's doing."""
-        self.failing += FAILURE_GAIN * (1.0 - self.failing)
+        self.failure_ratio += FAILURE_GAIN * (1.0 - self.failure_ratio)
         if unreachable:
             self.breaker.failed(now_ms)
 
@@ -252,34 +252,34 @@
     """
 
     def __init__(self) -> None:
-        self.life_ended: Callable[[str], None] = lambda instance: None
-        self.order: tuple[int, int] = (0, 0)
+        self.on_restart: Callable[[str], None] = lambda instance: None
+        self.list_version: tuple[int, int] = (0, 0)
         self.listed_ms = float("-inf")
         self.evacuations = Evacuations()
         self._states: dict[str, EndpointState] = {}
-        self._absent: dict[str, EndpointState] = {}
+        self._unlisted: dict[str, EndpointState] = {}
         self._by_service: dict[str, list[EndpointState]] = {}
 
     def replace(self, listed: EndpointList, now_ms: float, age_ms: float = 0.0) -> bool:
         """Take a list of all endpoints, read `age_ms` ago; false when it is old."""
-        if listed.order < self.order:
+        if listed.order < self.list_version:
             return False
-        self.order = listed.order
+        self.list_version = listed.order
         self.listed_ms = now_ms
-        known = self._absent | self._states
+        known = self._unlisted | self._states
         self._states = {}
         self._by_service = {}
         for endpoint in listed.endpoints:
-            state = self._present(known.get(endpoint.instance), endpoint)
+            state = self._state_for(known.get(endpoint.instance), endpoint)
             state.evacuated = endpoint.hall in self.evacuations.halls
             if endpoint.cold_left_ms > 0.0:
-                state.warms_up(now_ms - age_ms + endpoint.cold_left_ms)
+                state.mark_cold_until(now_ms - age_ms + endpoint.cold_left_ms)
             self._states[endpoint.instance] = state
             self._by_service.setdefault(endpoint.service, []).append(state)
-        self._keep_absent(known, now_ms)
+        self._retain_unlisted(known, now_ms)
         return True
 
-    def _keep_absent(self, known: dict[str, EndpointState], now_ms: float) -> None:
+    def _retain_unlisted(self, known: dict[str, EndpointState], now_ms: float) -> None:
         """Remember what endpoints that are not listed now have asked for.
 
         An entry that cannot be read is missing from one list and back in the next.
@@ -287,11 +287,11 @@
         absent = [
             (instance, state)
             for instance, state in known.items()
-            if instance not in self._states and state.has_asked(now_ms)
+            if instance not in self._states and state.has_restriction(now_ms)
         ]
-        self._absent = dict(absent[-ABSENT_MAX:])
+        self._unlisted = dict(absent[-UNLISTED_MAX:])
 
-    def evacuate(self, evacuations: Evacuations) -> bool:
+    def apply_evacuations(self, evacuations: Evacuations) -> bool:
         """Take which halls are evacuated; false when that is not newer."""
         if evacuations.number <= self.evacuations.number:
             return False
@@ -300,14 +300,16 @@
             state.evacuated = state.endpoint.hall in evacuations.halls
         return True
 
-    def _present(self, known: EndpointState | None, listed: Endpoint) -> EndpointState:
+    def _state_for(
+        self, known: EndpointState | None, listed: Endpoint
+    ) -> EndpointState:
         """What is believed of an endpoint that is listed; nothing of a new life."""
         if known is None:
             return EndpointState(listed)
         if known.endpoint.address != listed.address:
             return EndpointState(listed)
         if listed.begins_after(known.endpoint):
-            self.life_ended(listed.instance)
+            self.on_restart(listed.instance)
             return EndpointState(listed)
         # A list that lags may still tell the start before the last one.
         started_ms = max(known.endpoint.started_unix_ms, listed.started_unix_ms)
--- a/ashlatch/gateway/events.py
+++ b/ashlatch/gateway/events.py
@@ -13,7 +13,7 @@
 
 __all__ = ["EventSplitter", "StreamEvent"]
 
-_ENDS = (b"\n\n", b"\r\n\r\n")
+_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 
 
 @dataclass(frozen=True)
@@ -32,26 +32,26 @@
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """What came behind the last whole event."""
-        return self._rest
+        return self._buffer
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Take bytes; the events that are whole now."""
-        self._rest += data
+        self._buffer += data
         events = []
         while (end := self._end()) >= 0:
-            events.append(_event(self._rest[:end]))
-            self._rest = self._rest[end:]
+            events.append(_event(self._buffer[:end]))
+            self._buffer = self._buffer[end:]
         return events
 
     def _end(self) -> int:
         ends = []
-        for mark in _ENDS:
-            at = self._rest.find(mark)
+        for mark in _TERMINATORS:
+            at = self._buffer.find(mark)
             if at >= 0:
                 ends.append(at + len(mark))
         return min(ends, default=-1)
--- a/ashlatch/gateway/exchange.py
+++ b/ashlatch/gateway/exchange.py
@@ -30,7 +30,7 @@
     larger_models,
 )
 from ashlatch.gateway.chooser import RequestChooser
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.crash import CrashFinder
 from ashlatch.gateway.events import EventSplitter, StreamEvent
 from ashlatch.gateway.message import AnswerHead, Dispatch, RefusalReason
@@ -64,7 +64,7 @@
     """Serves one admitted request. `run` returns when it has its answer."""
 
     def __init__(
-        self, known: Knowledge, admission: Admission, responder: Responder
+        self, known: GatewayContext, admission: Admission, responder: Responder
     ) -> None:
         self._known = known
         self._admission = admission
@@ -245,7 +245,7 @@
             for event in splitter.feed(part):
                 self._pass_event(head, event)
             await self._responder.drain()
-        if splitter.rest.strip():
+        if splitter.remainder.strip():
             raise AttemptFailed(FailureKind.BROKEN, "ended within an event")
         if not self._responder.begun:
             self._responder.begin(head.status, _body_headers(head))
--- a/ashlatch/gateway/forecast.py
+++ b/ashlatch/gateway/forecast.py
@@ -13,9 +13,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.message import Ask
+from ashlatch.gateway.message import CallerRequest
 from ashlatch.policy.endpoint import rank
 
 __all__ = ["Forecast", "Forecaster", "Send"]
@@ -64,7 +64,7 @@
     at an endpoint that crashed, and go other ways than those that ran there too.
     """
 
-    ask: Ask
+    ask: CallerRequest
     model: str
     slack_ms: float
     apart: bool = False
@@ -75,7 +75,7 @@
 
     def __init__(
         self,
-        known: Knowledge,
+        known: GatewayContext,
         service: str,
         states: Sequence[EndpointState],
         send: Send,
@@ -86,8 +86,8 @@
         self._slack_ms = max(1.0, send.slack_ms)
         self._now_ms = now_ms
         self._model = send.model or send.ask.model
-        self._token_ms = known.pace.token_ms(service, self._model)
-        self._held_ms = known.pace.held_ms(service)
+        self._token_ms = known.latency_model.token_ms(service, self._model)
+        self._held_ms = known.latency_model.held_ms(service)
         self._home = _home(send.ask, states)
         left_ms = sum(s.workload.left_ms(now_ms) for s in states) / len(states)
         self._engine_weight = min(1.0 + left_ms / BUSY_MS, BUSY_MAX)
@@ -98,7 +98,7 @@
         requests = state.requests(self._now_ms)
         wait_ms = state.workload.left_ms(self._now_ms)
         wait_ms += self._place_wait_ms(state, requests)
-        kept = self._known.kept.tokens(
+        kept = self._known.prefix_caches.cached_tokens(
             state.endpoint.instance, self._model, self._ask.prompt_parts
         )
         tokens = max(0, self._ask.prompt_tokens - kept)
@@ -140,7 +140,7 @@
         return cost_ms
 
 
-def _home(ask: Ask, states: Sequence[EndpointState]) -> str:
+def _home(ask: CallerRequest, states: Sequence[EndpointState]) -> str:
     """The endpoint where a subject's prompts are read by preference.
 
     The last part is the request's own or its session's; the one before it is
--- a/ashlatch/gateway/limits.py
+++ b/ashlatch/gateway/limits.py
@@ -13,10 +13,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.logs import EndpointLimited
-from ashlatch.gateway.updates import LimitedSend, LimitNamed
+from ashlatch.gateway.updates import RateLimitChanged, RateLimitedSend
 from ashlatch.log import emit
 from ashlatch.policy.rate_limit import NO_LIMIT, RATE_MIN_PER_S, SECOND_MS, Sharers
 
@@ -51,7 +51,7 @@
     run: bool
 
 
-def limit_wait_ms(known: Knowledge, state: EndpointState, now_ms: float) -> float:
+def limit_wait_ms(known: GatewayContext, state: EndpointState, now_ms: float) -> float:
     """The time until a request may be sent to an endpoint, for its rate limit.
 
     A gateway that does not know the others yet waits: when many start together, each
@@ -59,22 +59,24 @@
     """
     if not state.limit.limited:
         return 0.0
-    if not known.cold.knows_gateways(now_ms):
+    if not known.cold_gate.knows_gateways(now_ms):
         return UNKNOWN_SHARERS_MS
     return state.limit.wait_ms(_sharers(known), now_ms)
 
 
-def record_limited_send(known: Knowledge, state: EndpointState, now_ms: float) -> None:
+def record_limited_send(
+    known: GatewayContext, state: EndpointState, now_ms: float
+) -> None:
     """A request goes to an endpoint; the others hear of it, if it is limited."""
     if not state.limit.limited:
         return
     state.limit.sent(_sharers(known), known.generator.random(), now_ms)
     known.metrics.count("sends_limited")
-    known.tell(LimitedSend(state.endpoint.instance))
+    known.broadcast(RateLimitedSend(state.endpoint.instance))
 
 
 def apply_answer_limit(
-    known: Knowledge, state: EndpointState, report: LimitReport, now_ms: float
+    known: GatewayContext, state: EndpointState, report: LimitReport, now_ms: float
 ) -> None:
     """Learn from an answer, and tell the other gateways if it is news to them.
 
@@ -88,13 +90,19 @@
         return
     if state.limit.is_news(per_s, now_ms):
         age_ms = now_ms - report.sent_ms
-        known.tell(LimitNamed(state.endpoint.instance, per_s, round(age_ms, 1)))
+        known.broadcast(
+            RateLimitChanged(state.endpoint.instance, per_s, round(age_ms, 1))
+        )
         state.limit.told_ms = now_ms
     _learn(known, state, per_s, report.request, now_ms)
 
 
 def apply_peer_limit(
-    known: Knowledge, state: EndpointState, news: LimitNamed, source: str, now_ms: float
+    known: GatewayContext,
+    state: EndpointState,
+    news: RateLimitChanged,
+    source: str,
+    now_ms: float,
 ) -> None:
     """Take the limit that another gateway has heard of, unless a newer one is known.
 
@@ -106,13 +114,17 @@
     _learn(known, state, news.limit_per_s, source, now_ms)
 
 
-def apply_peer_send(known: Knowledge, state: EndpointState, now_ms: float) -> None:
+def apply_peer_send(known: GatewayContext, state: EndpointState, now_ms: float) -> None:
     """Another gateway sends to an endpoint that it knows to be limited."""
     state.limit.sent_elsewhere(_sharers(known), known.generator.random(), now_ms)
 
 
 def _learn(
-    known: Knowledge, state: EndpointState, per_s: float, source: str, now_ms: float
+    known: GatewayContext,
+    state: EndpointState,
+    per_s: float,
+    source: str,
+    now_ms: float,
 ) -> None:
     limit = state.limit
     before_per_s = limit.per_s
@@ -129,12 +141,12 @@
         emit(log, learnt)
 
 
-def limit_step_ms(known: Knowledge, limited: Iterable[EndpointState]) -> float:
+def limit_step_ms(known: GatewayContext, limited: Iterable[EndpointState]) -> float:
     """The time between two sends of this gateway's part of several limits."""
     rate_per_s = sum(max(s.limit.per_s, RATE_MIN_PER_S) for s in limited)
     return SECOND_MS * _sharers(known).gateways / rate_per_s
 
 
-def _sharers(known: Knowledge) -> Sharers:
-    in_touch = known.core_in_touch and known.peers_in_touch
+def _sharers(known: GatewayContext) -> Sharers:
+    in_touch = known.core_reachable and known.peers_reachable
     return Sharers(max(1, len(known.gateways)), in_touch)
--- a/ashlatch/gateway/liveness.py
+++ b/ashlatch/gateway/liveness.py
@@ -20,12 +20,12 @@
 from ashlatch.http.upstream import CONNECT_TIMED_OUT, ConnectFailed, Upstream
 from ashlatch.log import emit
 
-__all__ = ["SilenceWatch"]
+__all__ = ["LivenessProber"]
 
 log = logging.getLogger("ashlatch.gateway")
 
 # How often silent endpoints are looked for.
-WATCH_EVERY_S = 0.1
+CHECK_INTERVAL_S = 0.1
 # An engine that reads a prompt of usual size is silent for less than this.
 SILENT_MS = 500.0
 # A connection within a region stands after some milliseconds. The second probe
@@ -33,12 +33,12 @@
 PROBE_TIMEOUT_S = 0.2
 PROBES = 2
 # A silent endpoint that has answered a probe is probed again after this.
-PROBE_AGAIN_MS = 1000.0
+PROBE_INTERVAL_MS = 1000.0
 
 Connect = Callable[[str, float], Awaitable[Upstream]]
 
 
-class SilenceWatch:
+class LivenessProber:
     """Watches all endpoints of a directory; `run` never ends."""
 
     def __init__(
@@ -53,9 +53,9 @@
         """Probe what is silent, again and again."""
         async with asyncio.TaskGroup() as probes:
             while True:
-                await asyncio.sleep(WATCH_EVERY_S)
+                await asyncio.sleep(CHECK_INTERVAL_S)
                 now_ms = self._now_ms()
-                self._forget_old(now_ms)
+                self._drop_expired(now_ms)
                 for state in self._directory.all():
                     if self._due(state, now_ms):
                         self._probed_ms[state.endpoint.instance] = now_ms
@@ -70,29 +70,32 @@
             # what runs there ends by its own patience.
             return False
         probed_ms = self._probed_ms.get(state.endpoint.instance, float("-inf"))
-        return now_ms - probed_ms >= PROBE_AGAIN_MS
+        return now_ms - probed_ms >= PROBE_INTERVAL_MS
 
-    def _forget_old(self, now_ms: float) -> None:
-        before_ms = now_ms - PROBE_AGAIN_MS
+    def _drop_expired(self, now_ms: float) -> None:
+        before_ms = now_ms - PROBE_INTERVAL_MS
         old = [i for i, probed_ms in self._probed_ms.items() if probed_ms < before_ms]
         for instance in old:
             del self._probed_ms[instance]
 
     async def _probe(self, state: EndpointState) -> None:
         for _ in range(PROBES):
-            if await self._answers(state.endpoint.address):
+            if await self._reachable(state.endpoint.address):
                 return
         silent_ms = state.silent_ms(self._now_ms())
         if silent_ms <= SILENT_MS:
             return
         endpoint = state.endpoint
         gone = EndpointGone(
-            endpoint.instance, endpoint.service, int(silent_ms), len(state.awaited)
+            endpoint.instance,
+            endpoint.service,
+            int(silent_ms),
+            len(state.pending_timeouts),
         )
         emit(log, gone, logging.WARNING)
-        state.gone(self._now_ms(), self._loop.time())
+        state.mark_gone(self._now_ms(), self._loop.time())
 
-    async def _answers(self, address: str) -> bool:
+    async def _reachable(self, address: str) -> bool:
         """Whether the VM behind an address does anything with a connection."""
         try:
             connection = await self._connect(address, PROBE_TIMEOUT_S)
--- a/ashlatch/gateway/logs.py
+++ b/ashlatch/gateway/logs.py
@@ -15,40 +15,40 @@
 from ashlatch.log import LogEvent
 
 __all__ = [
-    "AnswerWeighed",
+    "AnswerEvaluated",
     "AttemptEnded",
     "ConfigurationApplied",
-    "ContentHeld",
-    "ContentSurvived",
-    "CoreChosen",
-    "CoreUnreached",
-    "CrashNoted",
+    "FingerprintQuarantined",
+    "CrashRecordCleared",
+    "LocalCoreSelected",
+    "LocalCoreUnreachable",
+    "CrashRecorded",
     "DocumentUnreadable",
     "EndpointBackoff",
     "EndpointGone",
-    "EndpointLeaves",
+    "EndpointLeavingAnnounced",
     "EndpointLimited",
     "EndpointMisdirected",
     "EndpointNotListening",
     "EndpointResumed",
-    "EndpointShedsElsewhere",
+    "EndpointBackoffElsewhere",
     "EndpointSuspended",
     "EndpointsReplaced",
-    "EvacuationsLearnt",
-    "FleetLost",
-    "FleetRegained",
-    "GatewaysLearnt",
+    "EvacuationsChanged",
+    "CoreLost",
+    "CoreRegained",
+    "GatewaysChanged",
     "HandlerFailed",
-    "ListUnread",
+    "ListReadFailed",
     "PeersUnavailable",
     "RequestEnded",
-    "RequestHeld",
+    "QuarantinedRequestRefused",
     "RequestSent",
     "RequestUnreadable",
-    "RolloutLearnt",
+    "RolloutChanged",
     "StopBegun",
     "TrafficCounted",
-    "UrgentUntold",
+    "UrgentReportFailed",
 ]
 
 
@@ -115,7 +115,7 @@
 
 
 @dataclass(frozen=True)
-class AnswerWeighed(LogEvent):
+class AnswerEvaluated(LogEvent):
     """An answer has begun at a model that the gateway chose.
 
     `confidence` is the model's own opinion, `begun_ms` when the answer began
@@ -264,7 +264,7 @@
 
 
 @dataclass(frozen=True)
-class EndpointShedsElsewhere(LogEvent):
+class EndpointBackoffElsewhere(LogEvent):
     """An endpoint has asked the gateway `teller` for a backoff.
 
     This one goes on sending there only where it finds no other endpoint.
@@ -278,7 +278,7 @@
 
 
 @dataclass(frozen=True)
-class EndpointLeaves(LogEvent):
+class EndpointLeavingAnnounced(LogEvent):
     """An endpoint says that it is about to end; the list may tell that later.
 
     `source` is the request whose answer said so, or the gateway that heard it.
@@ -304,7 +304,7 @@
 
 
 @dataclass(frozen=True)
-class CrashNoted(LogEvent):
+class CrashRecorded(LogEvent):
     """An endpoint has ended while it ran a request.
 
     `crashes` is how many have under the same content since its last good run,
@@ -320,7 +320,7 @@
 
 
 @dataclass(frozen=True)
-class RequestHeld(LogEvent):
+class QuarantinedRequestRefused(LogEvent):
     """A request is refused, as endpoints have ended under its content."""
 
     event: ClassVar[str] = "request_held"
@@ -331,7 +331,7 @@
 
 
 @dataclass(frozen=True)
-class ContentHeld(LogEvent):
+class FingerprintQuarantined(LogEvent):
     """A content is refused from now on; `source` has told of its last crash."""
 
     event: ClassVar[str] = "content_held"
@@ -342,7 +342,7 @@
 
 
 @dataclass(frozen=True)
-class ContentSurvived(LogEvent):
+class CrashRecordCleared(LogEvent):
     """A request under whose content an endpoint had ended has run to its end."""
 
     event: ClassVar[str] = "content_survived"
@@ -360,7 +360,7 @@
 
 
 @dataclass(frozen=True)
-class EvacuationsLearnt(LogEvent):
+class EvacuationsChanged(LogEvent):
     """The halls that are evacuated are others now; `halls` are separated by commas.
 
     `endpoints` are so many in them that are listed, `cold` those that are taken for
@@ -376,7 +376,7 @@
 
 
 @dataclass(frozen=True)
-class RolloutLearnt(LogEvent):
+class RolloutChanged(LogEvent):
     """A roll-out has moved on."""
 
     event: ClassVar[str] = "rollout_learnt"
@@ -388,7 +388,7 @@
 
 
 @dataclass(frozen=True)
-class CoreChosen(LogEvent):
+class LocalCoreSelected(LogEvent):
     """News is asked of a core VM of the own hall, no more of another one."""
 
     event: ClassVar[str] = "core_chosen"
@@ -397,7 +397,7 @@
 
 
 @dataclass(frozen=True)
-class CoreUnreached(LogEvent):
+class LocalCoreUnreachable(LogEvent):
     """A core VM of the own hall did not answer; another one is asked on."""
 
     event: ClassVar[str] = "core_unreached"
@@ -406,7 +406,7 @@
 
 
 @dataclass(frozen=True)
-class GatewaysLearnt(LogEvent):
+class GatewaysChanged(LogEvent):
     """Which other gateways there are has changed; `gateways` counts them all."""
 
     event: ClassVar[str] = "gateways_learnt"
@@ -424,7 +424,7 @@
 
 
 @dataclass(frozen=True)
-class UrgentUntold(LogEvent):
+class UrgentReportFailed(LogEvent):
     """The core could not be told at once of moved sessions or of crashes.
 
     The next question to it tells them.
@@ -436,7 +436,7 @@
 
 
 @dataclass(frozen=True)
-class FleetLost(LogEvent):
+class CoreLost(LogEvent):
     """No member of the core answers; the gateway goes on with what it has."""
 
     event: ClassVar[str] = "fleet_lost"
@@ -446,7 +446,7 @@
 
 
 @dataclass(frozen=True)
-class FleetRegained(LogEvent):
+class CoreRegained(LogEvent):
     """A member of the core answers again."""
 
     event: ClassVar[str] = "fleet_regained"
@@ -482,7 +482,7 @@
 
 
 @dataclass(frozen=True)
-class ListUnread(LogEvent):
+class ListReadFailed(LogEvent):
     """The core is away and the platform's list cannot be read either."""
 
     event: ClassVar[str] = "list_unread"
--- a/ashlatch/gateway/message.py
+++ b/ashlatch/gateway/message.py
@@ -17,7 +17,7 @@
 
 __all__ = [
     "AnswerHead",
-    "Ask",
+    "CallerRequest",
     "Dispatch",
     "LoadFigures",
     "PromptPart",
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True)
-class Ask:
+class CallerRequest:
     """A caller's request.
 
     `passed_on` are the headers that go to the endpoint as they came.
@@ -68,10 +68,10 @@
     method: str
     target: str
     host: str
-    passed_on: Headers
+    forwarded_headers: Headers
     body: bytes
     received_s: float
-    patience_ms: float | None
+    timeout_ms: float | None
     key: str
     model: str
     names_model: bool
--- a/ashlatch/gateway/notices.py
+++ b/ashlatch/gateway/notices.py
@@ -11,11 +11,11 @@
 
 import logging
 
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.logs import EndpointBackoff, EndpointLeaves
+from ashlatch.gateway.logs import EndpointBackoff, EndpointLeavingAnnounced
 from ashlatch.gateway.message import AnswerHead
-from ashlatch.gateway.updates import EndpointAnnouncesLeaving, EndpointSheds
+from ashlatch.gateway.updates import BackoffRequested, EndpointLeaving
 from ashlatch.log import emit
 
 __all__ = ["apply_notice", "mark_leaving"]
@@ -24,7 +24,7 @@
 
 
 def apply_notice(
-    known: Knowledge,
+    known: GatewayContext,
     state: EndpointState,
     head: AnswerHead,
     sent_ms: float,
@@ -36,10 +36,10 @@
     else:
         state.backoff.served(sent_ms)
     if head.leaving and mark_leaving(known, state, head.request_id):
-        known.tell(EndpointAnnouncesLeaving(state.endpoint.instance))
+        known.broadcast(EndpointLeaving(state.endpoint.instance))
 
 
-def mark_leaving(known: Knowledge, state: EndpointState, source: str) -> bool:
+def mark_leaving(known: GatewayContext, state: EndpointState, source: str) -> bool:
     """An endpoint has said that it is about to end; whether that is new here.
 
     It does not take that back: what starts again under its id is another process, which
@@ -51,12 +51,12 @@
     state.announced_leaving = True
     known.metrics.count("leaving_announced")
     endpoint = state.endpoint
-    emit(log, EndpointLeaves(endpoint.instance, endpoint.service, source))
+    emit(log, EndpointLeavingAnnounced(endpoint.instance, endpoint.service, source))
     return True
 
 
 def _apply_backoff(
-    known: Knowledge, state: EndpointState, head: AnswerHead, now_ms: float
+    known: GatewayContext, state: EndpointState, head: AnswerHead, now_ms: float
 ) -> None:
     before_ms = state.backoff.wait_ms(now_ms)
     known.metrics.count("backoffs_requested")
@@ -72,4 +72,6 @@
         emit(log, asked)
     if state.backoff.is_news(now_ms):
         state.backoff.record_peer_request(head.backoff_ms, now_ms)
-        known.tell(EndpointSheds(state.endpoint.instance, round(head.backoff_ms, 1)))
+        known.broadcast(
+            BackoffRequested(state.endpoint.instance, round(head.backoff_ms, 1))
+        )
--- a/ashlatch/gateway/peer_updates.py
+++ b/ashlatch/gateway/peer_updates.py
@@ -12,66 +12,68 @@
 import logging
 from dataclasses import dataclass
 
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.crash import learn_crashes
 from ashlatch.gateway.limits import apply_peer_limit, apply_peer_send
 from ashlatch.gateway.logs import (
+    EndpointBackoffElsewhere,
     EndpointMisdirected,
     EndpointNotListening,
-    EndpointShedsElsewhere,
 )
 from ashlatch.gateway.message import LoadFigures
 from ashlatch.gateway.notices import mark_leaving
 from ashlatch.gateway.updates import (
-    ContentCrashed,
-    EndpointAnnouncesLeaving,
+    BackoffRequested,
+    CrashRecordUpdate,
+    EndpointLeaving,
     EndpointRefuses,
     EndpointReplaced,
-    EndpointSheds,
-    LimitedSend,
-    LimitNamed,
-    LoadSeen,
+    LoadReported,
     PromptSent,
+    RateLimitChanged,
+    RateLimitedSend,
+    SessionActive,
     SessionMoved,
-    SessionRuns,
 )
 from ashlatch.log import emit
 from ashlatch.policy.told_load import load_level
 from ashlatch.registry import Handlers
 
-__all__ = ["HEARD", "Teller"]
+__all__ = ["PEER_HANDLERS", "Sender"]
 
 log = logging.getLogger("ashlatch.gateway")
 
-HEARD = Handlers("gateway news")
+PEER_HANDLERS = Handlers("gateway news")
 
 
 @dataclass(frozen=True)
-class Teller:
+class Sender:
     """The gateway that tells, by its address, and when it is heard."""
 
     address: str
     now_ms: float
 
 
-@HEARD.on(SessionMoved)
-def _session_moved(known: Knowledge, news: SessionMoved, teller: Teller) -> None:
+@PEER_HANDLERS.on(SessionMoved)
+def _session_moved(known: GatewayContext, news: SessionMoved, teller: Sender) -> None:
     known.metrics.count("sessions_heard")
     known.versions.hear_move(news.service, news.session, news.version)
 
 
-@HEARD.on(SessionRuns)
-def _session_runs(known: Knowledge, news: SessionRuns, teller: Teller) -> None:
-    known.versions.hear_running(news.service, news.version, news.mark)
+@PEER_HANDLERS.on(SessionActive)
+def _session_runs(known: GatewayContext, news: SessionActive, teller: Sender) -> None:
+    known.versions.hear_running(news.service, news.version, news.session_hash)
 
 
-@HEARD.on(ContentCrashed)
-def _content_crashed(known: Knowledge, news: ContentCrashed, teller: Teller) -> None:
+@PEER_HANDLERS.on(CrashRecordUpdate)
+def _content_crashed(
+    known: GatewayContext, news: CrashRecordUpdate, teller: Sender
+) -> None:
     learn_crashes(known, news.record, teller.address)
 
 
-@HEARD.on(EndpointReplaced)
-def _replaced(known: Knowledge, news: EndpointReplaced, teller: Teller) -> None:
+@PEER_HANDLERS.on(EndpointReplaced)
+def _replaced(known: GatewayContext, news: EndpointReplaced, teller: Sender) -> None:
     state = known.directory.state(news.instance)
     if state is None:
         return
@@ -81,35 +83,35 @@
     emit(log, misdirected, logging.WARNING)
 
 
-@HEARD.on(PromptSent)
-def _prompt_sent(known: Knowledge, news: PromptSent, teller: Teller) -> None:
+@PEER_HANDLERS.on(PromptSent)
+def _prompt_sent(known: GatewayContext, news: PromptSent, teller: Sender) -> None:
     state = known.directory.state(news.instance)
     if state is not None:
-        state.workload.add(news.read_ms, teller.now_ms)
+        state.workload.add(news.prefill_ms, teller.now_ms)
 
 
-@HEARD.on(EndpointRefuses)
-def _refuses(known: Knowledge, news: EndpointRefuses, teller: Teller) -> None:
+@PEER_HANDLERS.on(EndpointRefuses)
+def _refuses(known: GatewayContext, news: EndpointRefuses, teller: Sender) -> None:
     state = known.directory.state(news.instance)
-    if state is None or not state.refuses(teller.now_ms):
+    if state is None or not state.record_refusal(teller.now_ms):
         return
     service = state.endpoint.service
     silent = EndpointNotListening(news.instance, service, teller.address)
     emit(log, silent, logging.WARNING)
-    known.forget_life(news.instance)
+    known.forget_instance(news.instance)
 
 
-@HEARD.on(EndpointAnnouncesLeaving)
+@PEER_HANDLERS.on(EndpointLeaving)
 def _announces_leaving(
-    known: Knowledge, news: EndpointAnnouncesLeaving, teller: Teller
+    known: GatewayContext, news: EndpointLeaving, teller: Sender
 ) -> None:
     state = known.directory.state(news.instance)
     if state is not None:
         mark_leaving(known, state, teller.address)
 
 
-@HEARD.on(EndpointSheds)
-def _sheds(known: Knowledge, news: EndpointSheds, teller: Teller) -> None:
+@PEER_HANDLERS.on(BackoffRequested)
+def _sheds(known: GatewayContext, news: BackoffRequested, teller: Sender) -> None:
     state = known.directory.state(news.instance)
     if state is None:
         return
@@ -117,31 +119,31 @@
     service, backoff_ms = state.endpoint.service, int(news.backoff_ms)
     emit(
         log,
-        EndpointShedsElsewhere(news.instance, service, backoff_ms, teller.address),
+        EndpointBackoffElsewhere(news.instance, service, backoff_ms, teller.address),
     )
 
 
-@HEARD.on(LimitNamed)
-def _limit_named(known: Knowledge, news: LimitNamed, teller: Teller) -> None:
+@PEER_HANDLERS.on(RateLimitChanged)
+def _limit_named(known: GatewayContext, news: RateLimitChanged, teller: Sender) -> None:
     state = known.directory.state(news.instance)
     if state is not None:
         apply_peer_limit(known, state, news, teller.address, teller.now_ms)
 
 
-@HEARD.on(LimitedSend)
-def _limited_send(known: Knowledge, news: LimitedSend, teller: Teller) -> None:
+@PEER_HANDLERS.on(RateLimitedSend)
+def _limited_send(known: GatewayContext, news: RateLimitedSend, teller: Sender) -> None:
     state = known.directory.state(news.instance)
     if state is not None:
         apply_peer_send(known, state, teller.now_ms)
 
 
-@HEARD.on(LoadSeen)
-def _load_seen(known: Knowledge, news: LoadSeen, teller: Teller) -> None:
+@PEER_HANDLERS.on(LoadReported)
+def _load_seen(known: GatewayContext, news: LoadReported, teller: Sender) -> None:
     state = known.directory.state(news.instance)
     if state is None:
         return
     figures = LoadFigures(news.running, news.waiting, news.slots)
-    state.tell_load(figures, teller.now_ms)
-    state.proved(known.cold_ms(state), teller.now_ms)
+    state.apply_load(figures, teller.now_ms)
+    state.confirm_running(known.cold_ms(state), teller.now_ms)
     level = load_level(news.running + news.waiting, news.slots)
-    state.told_load.heard(level, teller.now_ms)
+    state.advertised_load.heard(level, teller.now_ms)
--- a/ashlatch/gateway/peers.py
+++ b/ashlatch/gateway/peers.py
@@ -17,76 +17,76 @@
 
 from ashlatch.catalog import GatewayVm
 from ashlatch.codec import decode, encode
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.logs import PeersUnavailable
-from ashlatch.gateway.peer_updates import HEARD, Teller
+from ashlatch.gateway.peer_updates import PEER_HANDLERS, Sender
 from ashlatch.gateway.recipients import (
-    Audience,
-    audience_of_all,
-    audience_of_load,
-    audience_of_prompt,
-    gateways_of_hall,
+    Recipients,
+    all_recipients,
+    gateways_in_hall,
+    load_recipients,
+    prompt_recipients,
 )
 from ashlatch.gateway.traffic import TrafficKind
 from ashlatch.gateway.updates import (
-    ContentCrashed,
-    EndpointAnnouncesLeaving,
+    BackoffRequested,
+    CrashRecordUpdate,
+    EndpointLeaving,
     EndpointRefuses,
     EndpointReplaced,
-    EndpointSheds,
-    HallNews,
-    LimitedSend,
-    LimitNamed,
-    LoadSeen,
-    PeerNews,
+    HallUpdate,
+    LoadReported,
+    PeerUpdate,
     PromptSent,
+    RateLimitChanged,
+    RateLimitedSend,
+    SessionActive,
     SessionMoved,
-    SessionRuns,
 )
 from ashlatch.log import emit
 from ashlatch.policy.told_load import load_level
 from ashlatch.rpc import Address
 
-__all__ = ["GatewayPeers"]
+__all__ = ["PeerProtocol"]
 
 log = logging.getLogger("ashlatch.gateway")
 
-_KINDS: dict[type[PeerNews], TrafficKind] = {
+_TRAFFIC_KINDS: dict[type[PeerUpdate], TrafficKind] = {
     PromptSent: TrafficKind.PROMPT,
     SessionMoved: TrafficKind.SESSION,
     EndpointReplaced: TrafficKind.REPLACED,
-    LoadSeen: TrafficKind.LOAD,
+    LoadReported: TrafficKind.LOAD,
     EndpointRefuses: TrafficKind.REFUSES,
-    ContentCrashed: TrafficKind.CRASHES,
-    LimitNamed: TrafficKind.LIMIT,
-    LimitedSend: TrafficKind.LIMIT,
-    EndpointAnnouncesLeaving: TrafficKind.LEAVING,
-    EndpointSheds: TrafficKind.BACKOFF,
-    SessionRuns: TrafficKind.SESSION,
+    CrashRecordUpdate: TrafficKind.CRASHES,
+    RateLimitChanged: TrafficKind.LIMIT,
+    RateLimitedSend: TrafficKind.LIMIT,
+    EndpointLeaving: TrafficKind.LEAVING,
+    BackoffRequested: TrafficKind.BACKOFF,
+    SessionActive: TrafficKind.SESSION,
 }
 # What every gateway should hear, wherever the endpoint is.
 _FOR_ALL = (
     EndpointRefuses
-    | ContentCrashed
-    | LimitNamed
-    | LimitedSend
-    | EndpointAnnouncesLeaving
-    | EndpointSheds
-    | SessionRuns
+    | CrashRecordUpdate
+    | RateLimitChanged
+    | RateLimitedSend
+    | EndpointLeaving
+    | BackoffRequested
+    | SessionActive
 )
 
 
-class GatewayPeers(asyncio.DatagramProtocol):
+class PeerProtocol(asyncio.DatagramProtocol):
     """One gateway's socket for datagrams of and to the other gateways."""
 
-    def __init__(self, known: Knowledge) -> None:
-        self._known = known
+    def __init__(self, known: GatewayContext) -> None:
+        self._context = known
         self._transport: asyncio.DatagramTransport | None = None
-        self._own: GatewayVm | None = None
+        self._local: GatewayVm | None = None
 
     async def start(self, own: GatewayVm) -> None:
         """Take datagrams at the own address; without it, the gateway serves on."""
-        self._own = own
+        self._local = own
         at = Address.parse(own.address)
         loop = asyncio.get_running_loop()
         try:
@@ -94,62 +94,64 @@
                 lambda: self, local_addr=(at.host, at.port)
             )
         except OSError as error:
-            self._known.peers_in_touch = False
+            self._context.peers_reachable = False
             emit(log, PeersUnavailable(own.address, str(error)), logging.WARNING)
 
-    def tell(self, news: PeerNews) -> None:
+    def broadcast(self, news: PeerUpdate) -> None:
         """Tell the other gateways; never waits, and may be lost."""
-        if self._transport is None or self._own is None:
+        if self._transport is None or self._local is None:
             return
-        if isinstance(news, HallNews):
-            self._tell_halls(news)
+        if isinstance(news, HallUpdate):
+            self._broadcast_by_hall(news)
         else:
-            self._send(news, [g for g in self._known.gateways if g != self._own])
+            self._send(news, [g for g in self._context.gateways if g != self._local])
 
-    def _tell_halls(self, news: HallNews) -> None:
+    def _broadcast_by_hall(self, news: HallUpdate) -> None:
         """Tell those whom it concerns, other halls by one message each.
 
         Told to each gateway, news of prompts would take bytes between halls of the
         order of the prompts themselves.
         """
-        audience = self._audience(news)
-        self._send(news, audience.near)
+        audience = self._recipients(news)
+        self._send(news, audience.direct)
         self._send(msgspec.structs.replace(news, for_hall=True), audience.relays)
 
-    def _audience(self, news: HallNews) -> Audience:
-        assert self._own is not None
-        known = self._known
+    def _recipients(self, news: HallUpdate) -> Recipients:
+        assert self._local is not None
+        known = self._context
         if isinstance(news, _FOR_ALL):
-            return audience_of_all(self._own, known.gateways, known.generator)
+            return all_recipients(self._local, known.gateways, known.generator)
         state = known.directory.state(news.instance)
         if state is None:
-            return Audience()
+            return Recipients()
         hall = state.endpoint.hall
         if isinstance(news, PromptSent):
-            return audience_of_prompt(
-                news.read_ms, hall, self._own, known.gateways, known.generator
+            return prompt_recipients(
+                news.prefill_ms, hall, self._local, known.gateways, known.generator
             )
         level = load_level(news.running + news.waiting, news.slots)
-        return audience_of_load(level, hall, self._own, known.gateways, known.generator)
+        return load_recipients(
+            level, hall, self._local, known.gateways, known.generator
+        )
 
-    def _relay(self, news: HallNews) -> None:
+    def _relay(self, news: HallUpdate) -> None:
         """Tell the own hall what a gateway of another one has told for it."""
-        if self._own is None:
+        if self._local is None:
             return
-        own, gateways = self._own, self._known.gateways
-        near = gateways_of_hall(own.hall, own, gateways)
+        own, gateways = self._local, self._context.gateways
+        near = gateways_in_hall(own.hall, own, gateways)
         self._send(msgspec.structs.replace(news, for_hall=False), near)
-        self._known.metrics.count("news_relayed")
+        self._context.metrics.count("news_relayed")
 
-    def _send(self, news: PeerNews, to: Iterable[GatewayVm]) -> None:
+    def _send(self, news: PeerUpdate, to: Iterable[GatewayVm]) -> None:
         if self._transport is None:
             return
         data = encode(news)
-        kind = _KINDS[type(news)]
+        kind = _TRAFFIC_KINDS[type(news)]
         for gateway in to:
             at = Address.parse(gateway.address)
             self._transport.sendto(data, (at.host, at.port))
-            self._known.traffic.add(kind, gateway.hall, len(data))
+            self._context.traffic.add(kind, gateway.hall, len(data))
 
     def connection_made(self, transport: Any) -> None:
         """The socket is open."""
@@ -158,15 +160,15 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Another gateway tells something."""
         try:
-            news: PeerNews = decode(data, PeerNews)
+            news: PeerUpdate = decode(data, PeerUpdate)
         except msgspec.MsgspecError:
-            self._known.metrics.count("datagrams_unreadable")
+            self._context.metrics.count("datagrams_unreadable")
             return
         now_ms = asyncio.get_running_loop().time() * 1000.0
-        HEARD.call(self._known, news, Teller(addr[0], now_ms))
-        if isinstance(news, HallNews) and news.for_hall:
+        PEER_HANDLERS.call(self._context, news, Sender(addr[0], now_ms))
+        if isinstance(news, HallUpdate) and news.for_hall:
             self._relay(news)
 
     def error_received(self, exc: Exception) -> None:
         """A gateway that was told is not there; the fleet forgets it soon."""
-        self._known.metrics.count("datagrams_refused")
+        self._context.metrics.count("datagrams_refused")
--- a/ashlatch/gateway/permission.py
+++ b/ashlatch/gateway/permission.py
@@ -10,7 +10,7 @@
 """
 
 from ashlatch.catalog import Service
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.limits import limit_wait_ms
 from ashlatch.policy.permission import ALLOWED, Barrier, Permission, combine
@@ -19,7 +19,7 @@
 
 
 def send_permission(
-    known: Knowledge, service: Service, state: EndpointState, now_ms: float
+    known: GatewayContext, service: Service, state: EndpointState, now_ms: float
 ) -> Permission:
     """Whether a request may be sent to an endpoint of a service, and if not, why."""
     own = state.permission(now_ms)
@@ -27,7 +27,7 @@
     if own is ALLOWED and not state.limit.limited and not may_be_cold:
         return ALLOWED
     limit_ms = limit_wait_ms(known, state, now_ms)
-    cold_ms = known.cold.wait_ms(state, service, known.gateways, now_ms)
+    cold_ms = known.cold_gate.wait_ms(state, service, known.gateways, now_ms)
     waits = [(Barrier.LIMITED, limit_ms), (Barrier.COLD, cold_ms)]
     if own.barrier is not None:
         waits.insert(0, (own.barrier, own.wait_ms))
--- a/ashlatch/gateway/pool.py
+++ b/ashlatch/gateway/pool.py
@@ -17,7 +17,7 @@
 
 # Endpoints that do not say how long they keep an idle connection may keep it
 # for less than the second that is the smallest time they can tell.
-UNTOLD_IDLE_S = 0.25
+DEFAULT_IDLE_S = 0.25
 # A request is on its way for some milliseconds while the endpoint may close.
 CLOSING_MARGIN_S = 0.25
 # What may be repeated may also take a connection that is idle for longer.
@@ -58,22 +58,26 @@
                 return idle.connection
         return None
 
-    def keep(
+    def release(
         self,
         endpoint: Endpoint,
         connection: Upstream,
-        told_idle_s: float | None,
-        kept_max: int,
+        advertised_idle_s: float | None,
+        idle_max: int,
     ) -> None:
         """Put back a connection whose answer was whole, if few enough are kept."""
-        if len(self._idle.get(endpoint.instance, ())) >= kept_max:
+        if len(self._idle.get(endpoint.instance, ())) >= idle_max:
             connection.abort()
             return
-        told_s = told_idle_s - CLOSING_MARGIN_S if told_idle_s else UNTOLD_IDLE_S
+        told_s = (
+            advertised_idle_s - CLOSING_MARGIN_S
+            if advertised_idle_s
+            else DEFAULT_IDLE_S
+        )
         kept = self._idle.setdefault(endpoint.instance, [])
         kept.append(_Idle(connection, told_s))
 
-    def forget(self, instances: frozenset[str]) -> None:
+    def retain(self, instances: frozenset[str]) -> None:
         """Close what is kept for endpoints that are not listed any more."""
         for instance in [i for i in self._idle if i not in instances]:
             self.drop(instance)
--- a/ashlatch/gateway/prefix_cache.py
+++ b/ashlatch/gateway/prefix_cache.py
@@ -19,23 +19,23 @@
 
 from ashlatch.gateway.message import PromptPart
 
-__all__ = ["KeptParts", "PromptRead"]
+__all__ = ["PrefixCaches", "PromptPrefill"]
 
 # The share of an engine's memory that is counted on for prompts it has read;
 # requests that run take the rest.
-MEMORY_SHARE = 0.7
+CACHE_SHARE = 0.7
 # Parts of which nothing is known to give way are forgotten after this: their
 # engine may have dropped them for others that this gateway has not heard of.
-KEPT_MS = 60_000.0
+EXPIRY_MS = 60_000.0
 # A use of a part within this time is as good as now: it bounds what is told.
-FRESH_MS = 10_000.0
+RECENT_USE_MS = 10_000.0
 # Less than this is read again in less time than it takes to be told.
-TOLD_TOKENS_MIN = 500
+REPORT_TOKENS_MIN = 500
 # Reads that wait for the next report; the oldest are dropped beyond these.
-NOTES_MAX = 512
+PENDING_MAX = 512
 
 
-class PromptRead(msgspec.Struct, frozen=True, array_like=True):
+class PromptPrefill(msgspec.Struct, frozen=True, array_like=True):
     """An engine has read a prompt for a model.
 
     `parts` are those that other requests may share, in their order, each with
@@ -48,20 +48,20 @@
 
 
 @dataclass
-class _Memory:
+class _PrefixCache:
     """The parts of one engine, the least recently used first."""
 
     parts: dict[tuple[str, str], tuple[int, float]] = field(default_factory=dict)
     tokens: int = 0
 
-    def use(self, key: tuple[str, str], tokens: int, now_ms: float) -> None:
+    def touch(self, key: tuple[str, str], tokens: int, now_ms: float) -> None:
         known = self.parts.pop(key, None)
         if known is not None:
             self.tokens -= known[0]
         self.parts[key] = (tokens, now_ms)
         self.tokens += tokens
 
-    def shrink(self, tokens_max: float, oldest_ms: float) -> None:
+    def evict(self, tokens_max: float, oldest_ms: float) -> None:
         while self.parts:
             key, (tokens, at_ms) = next(iter(self.parts.items()))
             if self.tokens <= tokens_max and at_ms >= oldest_ms:
@@ -71,7 +71,7 @@
 
 
 @dataclass
-class KeptParts:
+class PrefixCaches:
     """Beliefs about the memories of all engines::
 
     kept = KeptParts()
@@ -79,26 +79,28 @@
     kept.tokens("i-1", "large", parts)
     """
 
-    _memories: dict[str, _Memory] = field(default_factory=dict)
-    _notes: list[PromptRead] = field(default_factory=list)
+    _caches: dict[str, _PrefixCache] = field(default_factory=dict)
+    _pending: list[PromptPrefill] = field(default_factory=list)
 
-    def read(
+    def record_prefill(
         self,
         instance: str,
         model: str,
         parts: Iterable[PromptPart],
-        memory_tokens: int,
+        cache_tokens: int,
         now_ms: float,
     ) -> None:
         """An engine has read a prompt, and keeps all of it for now."""
-        memory = self._memories.setdefault(instance, _Memory())
+        memory = self._caches.setdefault(instance, _PrefixCache())
         for part in parts:
-            memory.use((model, part.part_id), part.tokens, now_ms)
-        memory.shrink(MEMORY_SHARE * memory_tokens, now_ms - KEPT_MS)
+            memory.touch((model, part.part_id), part.tokens, now_ms)
+        memory.evict(CACHE_SHARE * cache_tokens, now_ms - EXPIRY_MS)
 
-    def tokens(self, instance: str, model: str, parts: Iterable[PromptPart]) -> int:
+    def cached_tokens(
+        self, instance: str, model: str, parts: Iterable[PromptPart]
+    ) -> int:
         """How many of a prompt's first tokens an engine need not read."""
-        memory = self._memories.get(instance)
+        memory = self._caches.get(instance)
         if memory is None:
             return 0
         found = 0
@@ -108,16 +110,16 @@
             found += part.tokens
         return found
 
-    def keep_only(self, instances: frozenset[str]) -> None:
+    def retain(self, instances: frozenset[str]) -> None:
         """Forget engines that are listed no more."""
-        for instance in [i for i in self._memories if i not in instances]:
-            del self._memories[instance]
+        for instance in [i for i in self._caches if i not in instances]:
+            del self._caches[instance]
 
     def forget(self, instance: str) -> None:
         """An engine has started again, with an empty memory."""
-        self._memories.pop(instance, None)
+        self._caches.pop(instance, None)
 
-    def note(
+    def queue_report(
         self, instance: str, model: str, parts: tuple[PromptPart, ...], now_ms: float
     ) -> None:
         """Tell others, with the next report, that a prompt is read.
@@ -126,29 +128,29 @@
         heard lately is not told again.
         """
         shared = parts[:-1]
-        if sum(part.tokens for part in shared) < TOLD_TOKENS_MIN:
+        if sum(part.tokens for part in shared) < REPORT_TOKENS_MIN:
             return
-        if self._fresh(instance, model, shared, now_ms):
+        if self._recently_used(instance, model, shared, now_ms):
             return
         told = tuple((p.part_id, p.tokens) for p in shared)
-        self._notes.append(PromptRead(instance, model, told))
-        del self._notes[:-NOTES_MAX]
+        self._pending.append(PromptPrefill(instance, model, told))
+        del self._pending[:-PENDING_MAX]
 
-    def _fresh(
+    def _recently_used(
         self, instance: str, model: str, parts: tuple[PromptPart, ...], now_ms: float
     ) -> bool:
-        memory = self._memories.get(instance)
+        memory = self._caches.get(instance)
         if memory is None:
             return False
         used = (memory.parts.get((model, part.part_id)) for part in parts)
-        return all(u is not None and now_ms - u[1] < FRESH_MS for u in used)
+        return all(u is not None and now_ms - u[1] < RECENT_USE_MS for u in used)
 
-    def take_notes(self) -> tuple[PromptRead, ...]:
+    def take_reports(self) -> tuple[PromptPrefill, ...]:
         """What others are to be told, once."""
-        notes, self._notes = self._notes, []
+        notes, self._pending = self._pending, []
         return tuple(notes)
 
-    def put_back(self, notes: tuple[PromptRead, ...]) -> None:
+    def restore_reports(self, notes: tuple[PromptPrefill, ...]) -> None:
         """Tell again what a lost report held."""
-        self._notes[:0] = notes
-        del self._notes[:-NOTES_MAX]
+        self._pending[:0] = notes
+        del self._pending[:-PENDING_MAX]
--- a/ashlatch/gateway/recipients.py
+++ b/ashlatch/gateway/recipients.py
@@ -20,88 +20,90 @@
 from ashlatch.policy.told_load import FULL
 
 __all__ = [
-    "Audience",
-    "audience_of_all",
-    "audience_of_load",
-    "audience_of_prompt",
-    "gateways_of_hall",
+    "Recipients",
+    "all_recipients",
+    "load_recipients",
+    "prompt_recipients",
+    "gateways_in_hall",
 ]
 
 # Prompts that are read sooner hardly make anybody wait.
-TOLD_MIN_MS = 30.0
+SEND_MIN_MS = 30.0
 # Those that hold an engine for longer than most answers take to begin matter to
 # gateways of all halls.
-TOLD_TO_ALL_MS = 300.0
+SEND_TO_ALL_MIN_MS = 300.0
 
 
 @dataclass(frozen=True)
-class Audience:
+class Recipients:
     """`near` are told for themselves, each of `relays` for its whole hall."""
 
-    near: tuple[GatewayVm, ...] = ()
+    direct: tuple[GatewayVm, ...] = ()
     relays: tuple[GatewayVm, ...] = ()
 
 
-def audience_of_prompt(
+def prompt_recipients(
     read_ms: float,
     engine_hall: str,
     own: GatewayVm,
     gateways: tuple[GatewayVm, ...],
     generator: random.Random,
-) -> Audience:
+) -> Recipients:
     """Who is told of a prompt that an engine reads for `read_ms`.
 
     Short prompts concern nobody, others the gateways of the own hall and of the
     engine's, which are the likely ones to send there; long ones concern all.
     """
-    if read_ms < TOLD_MIN_MS:
-        return Audience()
-    return _audience(read_ms >= TOLD_TO_ALL_MS, engine_hall, own, gateways, generator)
+    if read_ms < SEND_MIN_MS:
+        return Recipients()
+    return _recipients(
+        read_ms >= SEND_TO_ALL_MIN_MS, engine_hall, own, gateways, generator
+    )
 
 
-def audience_of_load(
+def load_recipients(
     level: int,
     engine_hall: str,
     own: GatewayVm,
     gateways: tuple[GatewayVm, ...],
     generator: random.Random,
-) -> Audience:
+) -> Recipients:
     """Who is told of an endpoint's load, by the quarter of its places taken.
 
     The gateways of the own hall and of the endpoint's; all when it is full, since
     those that look for a kept prompt come from any hall.
     """
-    return _audience(level >= FULL, engine_hall, own, gateways, generator)
+    return _recipients(level >= FULL, engine_hall, own, gateways, generator)
 
 
-def audience_of_all(
+def all_recipients(
     own: GatewayVm, gateways: tuple[GatewayVm, ...], generator: random.Random
-) -> Audience:
+) -> Recipients:
     """Who is told of what concerns everybody.
 
     An endpoint whose process is not there looks idle, so all would try it before the
     others; and the caller of a request that crashes endpoints may come to any gateway.
     """
-    return _audience(True, own.hall, own, gateways, generator)
+    return _recipients(True, own.hall, own, gateways, generator)
 
 
-def _audience(
+def _recipients(
     everywhere: bool,
     engine_hall: str,
     own: GatewayVm,
     gateways: tuple[GatewayVm, ...],
     generator: random.Random,
-) -> Audience:
+) -> Recipients:
     halls = {gateway.hall for gateway in gateways} if everywhere else {engine_hall}
     relays = []
     for hall in sorted(halls - {own.hall}):
-        there = gateways_of_hall(hall, own, gateways)
+        there = gateways_in_hall(hall, own, gateways)
         if there:
             relays.append(generator.choice(there))
-    return Audience(gateways_of_hall(own.hall, own, gateways), tuple(relays))
+    return Recipients(gateways_in_hall(own.hall, own, gateways), tuple(relays))
 
 
-def gateways_of_hall(
+def gateways_in_hall(
     hall: str, own: GatewayVm, gateways: tuple[GatewayVm, ...]
 ) -> tuple[GatewayVm, ...]:
     """The gateways of a hall but for the own one."""
--- a/ashlatch/gateway/reports.py
+++ b/ashlatch/gateway/reports.py
@@ -9,17 +9,17 @@
 :license: MIT, see LICENSE for details.
 """
 
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.message import LoadFigures
-from ashlatch.gateway.updates import LoadSeen
+from ashlatch.gateway.updates import LoadReported
 from ashlatch.policy.told_load import load_level
 
-__all__ = ["pass_on_load"]
+__all__ = ["broadcast_load"]
 
 
-def pass_on_load(
-    known: Knowledge, state: EndpointState, load: LoadFigures, now_ms: float
+def broadcast_load(
+    known: GatewayContext, state: EndpointState, load: LoadFigures, now_ms: float
 ) -> None:
     """Tell other gateways how busy an endpoint is, if it is or was busy.
 
@@ -28,6 +28,6 @@
     engine that has kept it.
     """
     level = load_level(load.running + load.waiting, load.slots)
-    if state.told_load.is_news(level, now_ms):
+    if state.advertised_load.is_news(level, now_ms):
         instance = state.endpoint.instance
-        known.tell(LoadSeen(instance, load.running, load.waiting, load.slots))
+        known.broadcast(LoadReported(instance, load.running, load.waiting, load.slots))
--- a/ashlatch/gateway/returns.py
+++ b/ashlatch/gateway/returns.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from ashlatch.catalog import Service
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.limits import limit_step_ms
 from ashlatch.gateway.permission import send_permission
@@ -42,7 +42,10 @@
 
 
 def find_return(
-    known: Knowledge, service: Service, states: Iterable[EndpointState], now_ms: float
+    known: GatewayContext,
+    service: Service,
+    states: Iterable[EndpointState],
+    now_ms: float,
 ) -> Return | None:
     """When a caller should come back who found endpoints that all wait for something.
 
@@ -61,7 +64,9 @@
         limited = [s for p, s in waiting if p.barrier is Barrier.LIMITED]
         step_ms = limit_step_ms(known, limited)
     opens_ms = now_ms + first.wait_ms
-    returns_ms = max(opens_ms, known.returns_ms.get(service.name, opens_ms))
-    known.returns_ms[service.name] = min(returns_ms + step_ms, now_ms + RETURN_MAX_MS)
+    returns_ms = max(opens_ms, known.next_retry_ms.get(service.name, opens_ms))
+    known.next_retry_ms[service.name] = min(
+        returns_ms + step_ms, now_ms + RETURN_MAX_MS
+    )
     after_s = (returns_ms - now_ms) / SECOND_MS
     return Return(first.barrier, min(max(RETURN_MIN_S, after_s), RETURN_MAX_S))
--- a/ashlatch/gateway/session_news.py
+++ b/ashlatch/gateway/session_news.py
@@ -9,8 +9,8 @@
 :license: MIT, see LICENSE for details.
 """
 
-from ashlatch.gateway.context import Knowledge
-from ashlatch.gateway.updates import SessionMoved, SessionRuns
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.updates import SessionActive, SessionMoved
 
 __all__ = ["announce_session"]
 
@@ -19,7 +19,7 @@
 
 
 def announce_session(
-    known: Knowledge, service: str, session: str, version: str, now_ms: float
+    known: GatewayContext, service: str, session: str, version: str, now_ms: float
 ) -> None:
     """A request of a session goes to an endpoint of a version."""
     versions = known.versions
@@ -28,9 +28,9 @@
         awaited = versions.rollouts[service].version
         known.metrics.count("sessions_announced")
         for _ in range(COPIES):
-            known.tell(SessionRuns(service, awaited, mark))
-    alone = not known.peers_in_touch
+            known.broadcast(SessionActive(service, awaited, mark))
+    alone = not known.peers_reachable
     if versions.note_move(service, session, version, now_ms, alone):
         known.metrics.count("sessions_told")
-        known.tell(SessionMoved(service, session, version))
+        known.broadcast(SessionMoved(service, session, version))
     versions.sessions.note(service, session, version, now_ms)
--- a/ashlatch/gateway/sync.py
+++ b/ashlatch/gateway/sync.py
@@ -28,25 +28,25 @@
     gateways_digest,
 )
 from ashlatch.fleet.seeds import Seeds
-from ashlatch.gateway.context import Knowledge
-from ashlatch.gateway.core_selection import CoreContact
-from ashlatch.gateway.core_updates import CoreNews
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.core_selection import CoreSelector
+from ashlatch.gateway.core_updates import CoreUpdates
 from ashlatch.gateway.logs import (
-    CoreChosen,
-    CoreUnreached,
-    FleetLost,
-    FleetRegained,
-    ListUnread,
-    UrgentUntold,
+    CoreLost,
+    CoreRegained,
+    ListReadFailed,
+    LocalCoreSelected,
+    LocalCoreUnreachable,
+    UrgentReportFailed,
 )
-from ashlatch.gateway.prefix_cache import PromptRead
+from ashlatch.gateway.prefix_cache import PromptPrefill
 from ashlatch.gateway.tally import Tally
 from ashlatch.gateway.traffic import TrafficKind
 from ashlatch.log import emit
 from ashlatch.policy.quarantine import CrashRecord
 from ashlatch.policy.reading import ReadingRate
 
-__all__ = ["FleetLink"]
+__all__ = ["CoreSync"]
 
 log = logging.getLogger("ashlatch.gateway")
 
@@ -63,110 +63,112 @@
 REFRESH_MS = 3000.0
 # The pause before a core VM of the own hall is tried while another one is asked,
 # drawn so that gateways whose core VM is back do not all come at once.
-NEARER_S = (1.0, 3.0)
+LOCAL_CORE_RETRY_S = (1.0, 3.0)
 # Without word from the core for this long, the list is read directly; the
 # pause between reads is drawn, so that gateways do not read together.
-ALONE_MS = 2500.0
-ALONE_READ_S = (1.5, 2.5)
+DIRECT_READ_AFTER_MS = 2500.0
+DIRECT_READ_PAUSE_S = (1.5, 2.5)
 # A gateway hears of the core twice a second, or finds within 1.1 s that it does not:
 # after this long without either, the process has stood still and knows old things.
-STOOD_STILL_MS = 2000.0
+SUSPENDED_MS = 2000.0
 # Timers of a busy process fire late by less than this.
 TIMER_LATE_MS = 500.0
 # A gateway that starts while no core VM is in touch with a leader serves with
 # what an old one knows after this time.
-SETTLE_MS = 4000.0
-SETTLE_LOOK_S = 0.02
+START_WAIT_MS = 4000.0
+POLL_S = 0.02
 
 
-class FleetLink:
-    """The way to the core. `run`, `tell_urgent`, `stay_near` and `read_alone` run
-    for ever.
+class CoreSync:
+    """The way to the core. `run`, `report_urgent`, `prefer_local_core` and
+    `read_platform_list` run for ever.
 
     `own` is this gateway as the others are to know it.
     """
 
     def __init__(
         self,
-        known: Knowledge,
+        known: GatewayContext,
         seeds: Seeds,
         list_address: str,
         wait_ms: float,
         own: GatewayVm,
     ) -> None:
-        self._known = known
+        self._context = known
         self._seeds = seeds
         self._reader = ListReader(list_address)
         self._wait_ms = wait_ms
-        self._own = own
-        self._book = PeerBook()
-        self._contact = CoreContact(own.hall, lambda: seeds.addresses, known.generator)
-        self._news = CoreNews(known)
+        self._local = own
+        self._peers = PeerBook()
+        self._selector = CoreSelector(
+            own.hall, lambda: seeds.addresses, known.generator
+        )
+        self._updates = CoreUpdates(known)
         self._loop = asyncio.get_running_loop()
-        self._begun_ms = self._now_ms()
-        self._heard_ms = float("-inf")
+        self._started_ms = self._now_ms()
+        self._last_current_ms = float("-inf")
         self._lost_since_ms: float | None = None
         self._refreshed_ms = float("-inf")
         self._urgent = asyncio.Event()
         known.versions.moved = self._urgent.set
-        known.crashes_found = self._urgent.set
+        known.report_crashes = self._urgent.set
 
     @property
-    def settled(self) -> bool:
+    def ready(self) -> bool:
         """Whether requests may be served by what is known.
 
         A configuration and endpoints are, and they were current once.
         """
-        if self._known.table is None or not len(self._known.directory):
+        if self._context.table is None or not len(self._context.directory):
             return False
-        heard = self._heard_ms > float("-inf")
-        return heard or self._now_ms() - self._begun_ms > SETTLE_MS
+        heard = self._last_current_ms > float("-inf")
+        return heard or self._now_ms() - self._started_ms > START_WAIT_MS
 
-    async def wait_settled(self, wait_s: float) -> bool:
+    async def wait_ready(self, wait_s: float) -> bool:
         """Wait until requests may be served, as they may soon after a start."""
-        return await self._wait(lambda: self.settled, wait_s)
+        return await self._wait(lambda: self.ready, wait_s)
 
     @property
-    def stood_still(self) -> bool:
+    def stale(self) -> bool:
         """Whether this process has just woken and has not heard of the core since.
 
         Its VM was suspended or frozen: a key may have been removed, a version
         withdrawn, an endpoint replaced meanwhile. A core that is known to be out of
         touch is another matter: the gateway serves on with what it has.
         """
-        if self._heard_ms == float("-inf") or self._lost_since_ms is not None:
+        if self._last_current_ms == float("-inf") or self._lost_since_ms is not None:
             return False
-        return self._now_ms() - self._heard_ms > STOOD_STILL_MS
+        return self._now_ms() - self._last_current_ms > SUSPENDED_MS
 
-    async def wait_caught_up(self, wait_s: float) -> bool:
+    async def wait_updated(self, wait_s: float) -> bool:
         """Wait for the first word of the core after the process has stood still."""
-        return await self._wait(lambda: not self.stood_still, wait_s)
+        return await self._wait(lambda: not self.stale, wait_s)
 
     async def _wait(self, reached: Callable[[], bool], wait_s: float) -> bool:
         """Wait until something holds, for a time; whether it does."""
         ends_s = self._loop.time() + wait_s
         while not reached() and self._loop.time() < ends_s:
-            await asyncio.sleep(SETTLE_LOOK_S)
+            await asyncio.sleep(POLL_S)
         return reached()
 
     async def run(self) -> None:
         """Ask for news again and again."""
         woken = False
         while True:
-            address = self._contact.address
-            tallies = self._known.tallies.take()
-            reads = self._known.kept.take_notes()
-            rates = self._known.pace.take_rates()
-            wait_ms, timeout_s = self._terms()
-            crashes = self._known.quarantine.to_tell()
-            request = self._question(wait_ms, tallies, reads, rates, crashes)
+            address = self._selector.address
+            tallies = self._context.tallies.take()
+            reads = self._context.prefix_caches.take_reports()
+            rates = self._context.latency_model.take_rates()
+            wait_ms, timeout_s = self._wait_and_timeout()
+            crashes = self._context.quarantine.to_tell()
+            request = self._request(wait_ms, tallies, reads, rates, crashes)
             late_ms = self._now_ms() + timeout_s * 1000.0 + TIMER_LATE_MS
             try:
-                reply = await self._ask(address, request, timeout_s)
+                reply = await self._call(address, request, timeout_s)
             except TransportError as error:
-                self._known.tallies.add(tallies)
-                self._known.kept.put_back(reads)
-                self._known.pace.put_back(rates)
+                self._context.tallies.add(tallies)
+                self._context.prefix_caches.restore_reports(reads)
+                self._context.latency_model.put_back(rates)
                 if self._now_ms() > late_ms and not woken:
                     # The time ran out while this process stood still, which tells
                     # nothing of the core. Taken for a loss of the core, what was
@@ -175,17 +177,17 @@
                     woken = True
                     continue
                 woken = False
-                self._lose(address, error.reason)
+                self._core_lost(address, error.reason)
                 await asyncio.sleep(RETRY_S)
                 continue
             woken = False
-            self._known.quarantine.told(crashes)
-            self._take(address, reply)
+            self._context.quarantine.told(crashes)
+            self._apply(address, reply)
             if not reply.current:
-                self._lose(address, "has lost its leader")
+                self._core_lost(address, "has lost its leader")
                 await asyncio.sleep(RETRY_S)
 
-    async def tell_urgent(self) -> None:
+    async def report_urgent(self) -> None:
         """Tell the core at once of moved sessions and of crashes of endpoints.
 
         The question of `run` may be held for half a second more, and a datagram to
@@ -196,37 +198,37 @@
             await self._urgent.wait()
             await asyncio.sleep(URGENT_COLLECT_S)
             self._urgent.clear()
-            crashes = self._known.quarantine.to_tell()
-            request = self._question(0.0, crashes=crashes)
-            address = self._contact.address
+            crashes = self._context.quarantine.to_tell()
+            request = self._request(0.0, crashes=crashes)
+            address = self._selector.address
             try:
-                await self._ask(address, request, TIMEOUT_MARGIN_S)
+                await self._call(address, request, TIMEOUT_MARGIN_S)
             except TransportError as error:
-                emit(log, UrgentUntold(address, error.reason), logging.WARNING)
+                emit(log, UrgentReportFailed(address, error.reason), logging.WARNING)
             else:
-                self._known.quarantine.told(crashes)
+                self._context.quarantine.told(crashes)
 
-    async def stay_near(self) -> None:
+    async def prefer_local_core(self) -> None:
         """Go back to a core VM of the own hall when one is in touch.
 
         A gateway begins with any seed, and goes anywhere when its core VM is lost.
         What the trial brings is not taken: the next question brings it.
         """
         while True:
-            await asyncio.sleep(random.uniform(*NEARER_S))
-            address = self._contact.nearer()
+            await asyncio.sleep(random.uniform(*LOCAL_CORE_RETRY_S))
+            address = self._selector.local_candidate()
             if not address:
                 continue
             try:
-                reply = await self._ask(address, self._question(0.0), FIRST_TIMEOUT_S)
+                reply = await self._call(address, self._request(0.0), FIRST_TIMEOUT_S)
             except TransportError as error:
-                emit(log, CoreUnreached(address, error.reason))
+                emit(log, LocalCoreUnreachable(address, error.reason))
                 continue
             if reply.current:
-                emit(log, CoreChosen(address, self._contact.address))
-                self._contact.move(address)
+                emit(log, LocalCoreSelected(address, self._selector.address))
+                self._selector.select(address)
 
-    async def _ask(
+    async def _call(
         self, address: str, request: SyncRequest, timeout_s: float
     ) -> SyncReply:
         """Ask one core VM, and count what that carries; raises `TransportError`.
@@ -236,84 +238,89 @@
         """
         sent_bytes, received_bytes = TRAFFIC.sent_bytes, TRAFFIC.received_bytes
         try:
-            reply: SyncReply = await self._book.peer(address).call(
+            reply: SyncReply = await self._peers.peer(address).call(
                 SYNC, request, timeout_s
             )
             return reply
         finally:
-            hall = self._contact.hall_of(address)
-            traffic = self._known.traffic
+            hall = self._selector.hall_of(address)
+            traffic = self._context.traffic
             sent_bytes = TRAFFIC.sent_bytes - sent_bytes
             received_bytes = TRAFFIC.received_bytes - received_bytes
-            traffic.add(TrafficKind.QUESTION, hall, sent_bytes)
-            traffic.add(TrafficKind.NEWS, hall, received_bytes)
+            traffic.add(TrafficKind.SYNC_REQUEST, hall, sent_bytes)
+            traffic.add(TrafficKind.SYNC_REPLY, hall, received_bytes)
 
-    def _question(
+    def _request(
         self,
         wait_ms: float,
         tallies: tuple[Tally, ...] = (),
-        reads: tuple[PromptRead, ...] = (),
+        reads: tuple[PromptPrefill, ...] = (),
         rates: tuple[ReadingRate, ...] = (),
         crashes: tuple[CrashRecord, ...] = (),
     ) -> SyncRequest:
         return SyncRequest(
-            self._known.vm,
-            (self._own,),
-            self._news.document_version,
-            self._known.directory.order,
-            self._news.rollout_number,
+            self._context.vm,
+            (self._local,),
+            self._updates.document_version,
+            self._context.directory.list_version,
+            self._updates.rollout_number,
             wait_ms,
             tallies,
-            self._known.versions.sessions_to_tell(self._now_ms()),
+            self._context.versions.sessions_to_tell(self._now_ms()),
             reads,
-            self._news.reads_known,
-            gateways_digest(self._known.gateways),
+            self._updates.reads_position,
+            gateways_digest(self._context.gateways),
             rates=rates,
             crashes=crashes,
-            crashes_known=self._news.crashes_known,
-            evacuations_known=self._known.directory.evacuations.number,
+            crashes_known=self._updates.crashes_position,
+            evacuations_known=self._context.directory.evacuations.number,
         )
 
-    def _terms(self) -> tuple[float, float]:
+    def _wait_and_timeout(self) -> tuple[float, float]:
         """How long a question may be held, and when its answer is late."""
-        if self._heard_ms == float("-inf"):
+        if self._last_current_ms == float("-inf"):
             return 0.0, FIRST_TIMEOUT_S
         return self._wait_ms, self._wait_ms / 1000.0 + TIMEOUT_MARGIN_S
 
-    async def read_alone(self) -> None:
+    async def read_platform_list(self) -> None:
         """Read the list while the core is away."""
         while True:
-            await asyncio.sleep(random.uniform(*ALONE_READ_S))
-            if self._now_ms() - max(self._heard_ms, self._begun_ms) < ALONE_MS:
+            await asyncio.sleep(random.uniform(*DIRECT_READ_PAUSE_S))
+            if (
+                self._now_ms() - max(self._last_current_ms, self._started_ms)
+                < DIRECT_READ_AFTER_MS
+            ):
                 continue
             try:
                 endpoints = await self._reader.read()
             except ListUnreadable as error:
-                self._known.metrics.count("list_unread")
-                age_ms = int(self._now_ms() - self._known.directory.listed_ms)
-                emit(log, ListUnread(error.reason, age_ms), logging.WARNING)
+                self._context.metrics.count("list_unread")
+                age_ms = int(self._now_ms() - self._context.directory.listed_ms)
+                emit(log, ListReadFailed(error.reason, age_ms), logging.WARNING)
                 continue
-            epoch, number = self._known.directory.order
-            self._news.replace(EndpointList(epoch, number, endpoints), "platform")
+            epoch, number = self._context.directory.list_version
+            self._updates.replace_endpoints(
+                EndpointList(epoch, number, endpoints), "platform"
+            )
 
-    def _take(self, address: str, reply: SyncReply) -> None:
+    def _apply(self, address: str, reply: SyncReply) -> None:
         if reply.members:
-            self._contact.learn(reply.members)
-            self._book.keep_only(self._contact.known())
-        self._news.take(address, reply)
+            self._selector.update(reply.members)
+            self._peers.keep_only(self._selector.addresses())
+        self._updates.apply(address, reply)
         if reply.current:
-            self._regain(address)
+            self._core_regained(address)
 
     # Whether the core is in touch.
 
-    def _lose(self, address: str, reason: str) -> None:
+    def _core_lost(self, address: str, reason: str) -> None:
         self._refresh_seeds()
-        self._contact.lose(address)
+        self._selector.leave(address)
         if self._lost_since_ms is not None:
             return
         self._lost_since_ms = self._now_ms()
-        self._known.core_in_touch = False
-        lost = FleetLost(address, reason, self._news.document_version)
+        self._context.core_reachable = False
+        lost = CoreLost(address, reason, self._updates.document_version)
         emit(log, lost, logging.WARNING)
 
     def _refresh_seeds(self) -> None:
@@ -325,12 +332,12 @@
             self._refreshed_ms = now_ms
             self._seeds.refresh()
 
-    def _regain(self, address: str) -> None:
-        self._heard_ms = self._now_ms()
-        self._known.core_in_touch = True
+    def _core_regained(self, address: str) -> None:
+        self._last_current_ms = self._now_ms()
+        self._context.core_reachable = True
         if self._lost_since_ms is not None:
-            away_ms = int(self._heard_ms - self._lost_since_ms)
-            emit(log, FleetRegained(address, away_ms))
+            away_ms = int(self._last_current_ms - self._lost_since_ms)
+            emit(log, CoreRegained(address, away_ms))
             self._lost_since_ms = None
 
     def _now_ms(self) -> float:
--- a/ashlatch/gateway/tally.py
+++ b/ashlatch/gateway/tally.py
@@ -15,10 +15,10 @@
 
 import msgspec
 
-__all__ = ["STEP", "Tallies", "Tally", "TallyKey", "merge", "step_of"]
+__all__ = ["BUCKET_RATIO", "Tallies", "Tally", "TallyKey", "merge", "bucket_of"]
 
 # The factor between one step of the times and the next.
-STEP = 1.5
+BUCKET_RATIO = 1.5
 
 
 class TallyKey(msgspec.Struct, frozen=True, array_like=True):
@@ -55,9 +55,9 @@
         )
 
 
-def step_of(first_ms: float) -> int:
+def bucket_of(first_ms: float) -> int:
     """The step that a time belongs to."""
-    return max(0, int(math.log(max(first_ms, 1.0)) / math.log(STEP)))
+    return max(0, int(math.log(max(first_ms, 1.0)) / math.log(BUCKET_RATIO)))
 
 
 def merge(into: dict[TallyKey, Tally], tallies: tuple[Tally, ...]) -> None:
@@ -73,12 +73,12 @@
 
     _counts: dict[TallyKey, Tally] = field(default_factory=dict)
 
-    def begun(self, key: TallyKey, first_ms: float) -> None:
+    def started(self, key: TallyKey, first_ms: float) -> None:
         """An answer has begun, or was given up, after a time.
 
         It counts at once: a stream that ends much later tells of now.
         """
-        self.add((Tally(key, times={step_of(first_ms): 1}),))
+        self.add((Tally(key, times={bucket_of(first_ms): 1}),))
 
     def answered(self, key: TallyKey) -> None:
         """An answer came whole."""
--- a/ashlatch/gateway/traffic.py
+++ b/ashlatch/gateway/traffic.py
@@ -15,7 +15,7 @@
 
 from ashlatch.metrics import Metrics
 
-__all__ = ["Carried", "HallTraffic", "TrafficKind"]
+__all__ = ["TrafficCount", "TrafficCounter", "TrafficKind"]
 
 
 class TrafficKind(enum.Enum):
@@ -28,8 +28,8 @@
 
     REQUEST = "request"
     ANSWER = "answer"
-    QUESTION = "question"
-    NEWS = "news"
+    SYNC_REQUEST = "question"
+    SYNC_REPLY = "news"
     PROMPT = "prompt"
     SESSION = "session"
     REPLACED = "replaced"
@@ -42,16 +42,16 @@
 
 
 @dataclass(frozen=True)
-class Carried:
+class TrafficCount:
     """Messages of one kind, with their bytes but for headers of the network."""
 
     kind: TrafficKind
-    crosses: bool
+    cross_hall: bool
     messages: int
     data_bytes: int
 
 
-class HallTraffic:
+class TrafficCounter:
     """Counts what a gateway carries, and shows it among the metrics::
 
     traffic = HallTraffic("hall-1", metrics)
@@ -76,9 +76,9 @@
         self._metrics.count(f"{kind.value}_{where}")
         self._metrics.count(f"{kind.value}_{where}_bytes", data_bytes)
 
-    def carried(self) -> tuple[Carried, ...]:
+    def counts(self) -> tuple[TrafficCount, ...]:
         """All that was carried since the start."""
         return tuple(
-            Carried(kind, crosses, *counts)
+            TrafficCount(kind, crosses, *counts)
             for (kind, crosses), counts in self._counts.items()
         )
--- a/ashlatch/gateway/updates.py
+++ b/ashlatch/gateway/updates.py
@@ -14,20 +14,20 @@
 from ashlatch.policy.quarantine import CrashRecord
 
 __all__ = [
-    "ContentCrashed",
-    "EndpointAnnouncesLeaving",
-    "EndpointNews",
+    "CrashRecordUpdate",
+    "EndpointLeaving",
+    "EndpointUpdate",
     "EndpointRefuses",
     "EndpointReplaced",
-    "EndpointSheds",
-    "HallNews",
-    "LimitNamed",
-    "LimitedSend",
-    "LoadSeen",
-    "PeerNews",
+    "BackoffRequested",
+    "HallUpdate",
+    "RateLimitChanged",
+    "RateLimitedSend",
+    "LoadReported",
+    "PeerUpdate",
     "PromptSent",
     "SessionMoved",
-    "SessionRuns",
+    "SessionActive",
 ]
 
 
@@ -41,7 +41,7 @@
     """
 
     instance: str
-    read_ms: float
+    prefill_ms: float
     for_hall: bool = False
 
 
@@ -62,7 +62,7 @@
     instance: str
 
 
-class LoadSeen(msgspec.Struct, frozen=True, array_like=True, tag=4):
+class LoadReported(msgspec.Struct, frozen=True, array_like=True, tag=4):
     """An endpoint has told its load with an answer, and it is or was busy.
 
     With `for_hall`, who gets it tells the other gateways of its hall.
@@ -85,7 +85,7 @@
     for_hall: bool = False
 
 
-class ContentCrashed(msgspec.Struct, frozen=True, array_like=True, tag=6):
+class CrashRecordUpdate(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """Endpoints have ended while they ran a content, or it has survived that.
 
     With `for_hall`, who gets it tells the other gateways of its hall.
@@ -95,7 +95,7 @@
     for_hall: bool = False
 
 
-class LimitNamed(msgspec.Struct, frozen=True, array_like=True, tag=7):
+class RateLimitChanged(msgspec.Struct, frozen=True, array_like=True, tag=7):
     """An endpoint has named a rate limit, or none any more (infinite).
 
     The request whose answer named it was sent `age_ms` ago. With `for_hall`, who gets
@@ -108,7 +108,7 @@
     for_hall: bool = False
 
 
-class LimitedSend(msgspec.Struct, frozen=True, array_like=True, tag=8):
+class RateLimitedSend(msgspec.Struct, frozen=True, array_like=True, tag=8):
     """A request goes to an endpoint that has named a rate limit.
 
     With `for_hall`, who gets it tells the other gateways of its hall.
@@ -118,7 +118,7 @@
     for_hall: bool = False
 
 
-class EndpointAnnouncesLeaving(msgspec.Struct, frozen=True, array_like=True, tag=9):
+class EndpointLeaving(msgspec.Struct, frozen=True, array_like=True, tag=9):
     """An endpoint has said in an answer that it is about to end.
 
     With `for_hall`, who gets it tells the other gateways of its hall.
@@ -128,7 +128,7 @@
     for_hall: bool = False
 
 
-class EndpointSheds(msgspec.Struct, frozen=True, array_like=True, tag=10):
+class BackoffRequested(msgspec.Struct, frozen=True, array_like=True, tag=10):
     """An endpoint has turned a request away and asked its gateway for a backoff.
 
     With `for_hall`, who gets it tells the other gateways of its hall.
@@ -139,7 +139,7 @@
     for_hall: bool = False
 
 
-class SessionRuns(msgspec.Struct, frozen=True, array_like=True, tag=11):
+class SessionActive(msgspec.Struct, frozen=True, array_like=True, tag=11):
     """A session runs on the version before while the trial of a version is awaited.
 
     `mark` is the session's for that version. With `for_hall`, who gets it tells the
@@ -148,31 +148,31 @@
 
     service: str
     version: str
-    mark: int
+    session_hash: int
     for_hall: bool = False
 
 
 # What is about one endpoint.
-EndpointNews = (
+EndpointUpdate = (
     PromptSent
     | EndpointReplaced
-    | LoadSeen
+    | LoadReported
     | EndpointRefuses
-    | LimitNamed
-    | LimitedSend
-    | EndpointAnnouncesLeaving
-    | EndpointSheds
+    | RateLimitChanged
+    | RateLimitedSend
+    | EndpointLeaving
+    | BackoffRequested
 )
-PeerNews = EndpointNews | SessionMoved | SessionRuns | ContentCrashed
+PeerUpdate = EndpointUpdate | SessionMoved | SessionActive | CrashRecordUpdate
 # What concerns gateways by their halls.
-HallNews = (
+HallUpdate = (
     PromptSent
-    | LoadSeen
+    | LoadReported
     | EndpointRefuses
-    | ContentCrashed
-    | LimitNamed
-    | LimitedSend
-    | EndpointAnnouncesLeaving
-    | EndpointSheds
-    | SessionRuns
+    | CrashRecordUpdate
+    | RateLimitChanged
+    | RateLimitedSend
+    | EndpointLeaving
+    | BackoffRequested
+    | SessionActive
 )
--- a/ashlatch/platform/headers.py
+++ b/ashlatch/platform/headers.py
@@ -18,7 +18,7 @@
 from ashlatch.errors import AshlatchError
 from ashlatch.gateway.message import (
     AnswerHead,
-    Ask,
+    CallerRequest,
     Dispatch,
     LoadFigures,
     PromptPart,
@@ -123,7 +123,7 @@
     value: str
 
 
-def decode_ask(request: HttpRequest) -> Ask:
+def decode_ask(request: HttpRequest) -> CallerRequest:
     """Read a caller's request; raises `MalformedRequest`."""
     known = _by_name(request.headers)
     for header in (_REQUEST_ID, _PATIENCE, _KEY, b"host"):
@@ -134,7 +134,7 @@
         raise MalformedRequest(_REQUEST_ID.decode(), "")
     prompt_tokens, answer_tokens_max = _token_counts(_first(known, _TOKENS))
     model = _first(known, _MODEL)
-    return Ask(
+    return CallerRequest(
         request_id,
         request.method,
         request.target,
@@ -154,12 +154,14 @@
     )
 
 
-def endpoint_headers(ask: Ask, dispatch: Dispatch) -> Headers:
+def endpoint_headers(ask: CallerRequest, dispatch: Dispatch) -> Headers:
     """The headers of a request as it goes to an endpoint."""
     set_here = {_MODEL} if dispatch.model else set()
     if dispatch.resume_after:
         set_here.add(_LAST_EVENT)
-    headers = [pair for pair in ask.passed_on if pair[0].lower() not in set_here]
+    headers = [
+        pair for pair in ask.forwarded_headers if pair[0].lower() not in set_here
+    ]
     if dispatch.model:
         headers.append((b"X-Model", dispatch.model.encode()))
     if dispatch.resume_after:
--- a/bench/choice.py
+++ b/bench/choice.py
@@ -10,9 +10,9 @@
 from ashlatch.catalog import Endpoint, EndpointList, EngineSpec, Service
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.choice import choose_endpoint
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.forecast import Send
-from ashlatch.gateway.message import Ask, LoadFigures, PromptPart
+from ashlatch.gateway.message import CallerRequest, LoadFigures, PromptPart
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
@@ -27,14 +27,14 @@
 SERVICE = Service("app", 480, EngineSpec(12, MEMORY_TOKENS, 11, ()), 3000.0, 10.0)
 
 
-def ask(number: int) -> Ask:
+def ask(number: int) -> CallerRequest:
     """A long prompt about one of many subjects, in a session of its own."""
     parts = (
         PromptPart(f"s{number % 3}", 512),
         PromptPart(f"t{number % SUBJECTS}", 4870),
         PromptPart(f"u{number}", 1200),
     )
-    return Ask(
+    return CallerRequest(
         f"r{number}",
         "POST",
         "/ask/1",
@@ -54,9 +54,9 @@
     )
 
 
-def knowledge(engines: int) -> Knowledge:
+def knowledge(engines: int) -> GatewayContext:
     """What a gateway knows after some thousand prompts."""
-    known = Knowledge(
+    known = GatewayContext(
         "h0",
         "vm",
         VersionChooser(SessionVersions(5000.0)),
@@ -73,12 +73,14 @@
     for number in range(3000):
         state = states[number % engines]
         parts = ask(number).prompt_parts
-        known.kept.read(state.endpoint.instance, "m", parts, MEMORY_TOKENS, NOW_MS)
-        state.tell_load(LoadFigures(number % 9, 0, 12), NOW_MS)
+        known.prefix_caches.record_prefill(
+            state.endpoint.instance, "m", parts, MEMORY_TOKENS, NOW_MS
+        )
+        state.apply_load(LoadFigures(number % 9, 0, 12), NOW_MS)
     return known
 
 
-def choice_ms(known: Knowledge) -> float:
+def choice_ms(known: GatewayContext) -> float:
     """The mean processor time of one choice."""
     begun_s = time.process_time()
     for number in range(CHOICES):
--- a/bench/watch.py
+++ b/bench/watch.py
@@ -9,7 +9,7 @@
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.clock import ClockLoop
 from ashlatch.gateway.directory import Directory
-from ashlatch.gateway.liveness import SilenceWatch
+from ashlatch.gateway.liveness import LivenessProber
 from bench.table import row, spread, title
 
 ENDPOINTS = (9, 70, 140)
@@ -25,7 +25,7 @@
         for n in range(endpoints)
     )
     directory.replace(EndpointList(1, 1, listed), 0.0)
-    watch = SilenceWatch(directory)
+    watch = LivenessProber(directory)
     loop = asyncio.get_running_loop()
     begun_s = time.process_time()
     for _ in range(LOOKS):
--- a/tests/crash_play.py
+++ b/tests/crash_play.py
@@ -18,9 +18,9 @@
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.choice import choose_endpoint
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.forecast import Send
-from ashlatch.gateway.message import Ask, PromptPart
+from ashlatch.gateway.message import CallerRequest, PromptPart
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import AllowedEndpoints, VersionChooser, VersionReason
@@ -75,8 +75,8 @@
 class _Request:
     content: int
     crashing: bool
-    ask: Ask
-    known: Knowledge
+    ask: CallerRequest
+    known: GatewayContext
     tries_left: int
     sends: int = 0
     tried: set[str] = field(default_factory=set)
@@ -112,8 +112,8 @@
         for _ in range(engines):
             self._start_engine()
 
-    def _gateway(self, table: RouteTable, number: int, seed: int) -> Knowledge:
-        known = Knowledge(
+    def _gateway(self, table: RouteTable, number: int, seed: int) -> GatewayContext:
+        known = GatewayContext(
             "hall-1",
             f"vm-{number}",
             VersionChooser(SessionVersions(5000.0)),
@@ -124,7 +124,7 @@
         known.table = table
         for n in range(20):
             tokens = SUBJECT_TOKENS
-            known.pace.began("app", MODEL, tokens, tokens * TOKEN_MS, float(n))
+            known.latency_model.began("app", MODEL, tokens, tokens * TOKEN_MS, float(n))
         return known
 
     def _start_engine(self) -> None:
@@ -137,7 +137,7 @@
             for name in self._at_engine
         )
         for known in self.gateways:
-            number = known.directory.order[1] + 1
+            number = known.directory.list_version[1] + 1
             known.directory.replace(EndpointList(1, number, endpoints), self.now_ms)
 
     def play(self, load: CrashLoad) -> CrashOutcome:
@@ -204,7 +204,7 @@
         request.tried.add(name)
         chosen.state.sent(self.now_ms)
         for other in self.gateways:
-            other.kept.read(
+            other.prefix_caches.record_prefill(
                 name, MODEL, request.ask.prompt_parts, MEMORY_TOKENS, self.now_ms
             )
         self._at_engine[name].append(request)
@@ -253,12 +253,12 @@
             self.outcome.failed += 1
 
 
-def _ask(content: int) -> Ask:
+def _ask(content: int) -> CallerRequest:
     subject = PromptPart(f"subject-{content % SUBJECTS}", SUBJECT_TOKENS)
     parts = (subject, PromptPart(f"own-{content}", OWN_TOKENS))
     target = f"/chat/{content}"
     host = "shop.example"
-    return Ask(
+    return CallerRequest(
         f"r-{content}", "POST", target, host, [], b"", 0.0, None, "", "", True,
         SUBJECT_TOKENS + OWN_TOKENS, 100, parts, "", "",
     )  # fmt: skip
--- a/tests/engines.py
+++ b/tests/engines.py
@@ -19,16 +19,16 @@
 from ashlatch.codec import decode
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.choice import choose_endpoint
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.exchange import UNREACHABLE_MAX
 from ashlatch.gateway.forecast import Send
-from ashlatch.gateway.message import Ask, LoadFigures, PromptPart
-from ashlatch.gateway.peers import GatewayPeers
-from ashlatch.gateway.reports import pass_on_load
+from ashlatch.gateway.message import CallerRequest, LoadFigures, PromptPart
+from ashlatch.gateway.peers import PeerProtocol
+from ashlatch.gateway.reports import broadcast_load
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
-from ashlatch.gateway.updates import EndpointRefuses, PeerNews, PromptSent
+from ashlatch.gateway.updates import EndpointRefuses, PeerUpdate, PromptSent
 from ashlatch.gateway.versions import AllowedEndpoints, VersionChooser, VersionReason
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
@@ -104,7 +104,7 @@
         engines_each: int,
         slots: int,
         seed: int,
-        hears: Callable[[PeerNews], bool] = lambda news: True,
+        hears: Callable[[PeerUpdate], bool] = lambda news: True,
     ) -> None:
         self._random = random.Random(seed)
         self._hears = hears
@@ -114,7 +114,7 @@
         self.now_ms = 0.0
         self.begun_ms: list[float] = []
         self.datagrams = 0
-        self._peers: dict[str, GatewayPeers] = {}
+        self._peers: dict[str, PeerProtocol] = {}
         names = [f"hall-{n}" for n in range(halls)]
         endpoints = tuple(
             Endpoint(f"i-{hall}-{n}", "app", f"{hall}-{n}:1", hall, "v1", slots, False)
@@ -140,8 +140,8 @@
         table: RouteTable,
         listed: EndpointList,
         seed: int,
-    ) -> Knowledge:
-        known = Knowledge(
+    ) -> GatewayContext:
+        known = GatewayContext(
             vm.hall,
             vm.address,
             VersionChooser(SessionVersions(5000.0)),
@@ -153,11 +153,13 @@
         known.gateways = vms
         known.directory.replace(listed, 0.0)
         for n in range(20):
-            known.pace.began("app", MODEL, 5000, 5000 * self.TOKEN_MS, float(n))
-        peers = GatewayPeers(known)
-        peers._own = vm
+            known.latency_model.began(
+                "app", MODEL, 5000, 5000 * self.TOKEN_MS, float(n)
+            )
+        peers = PeerProtocol(known)
+        peers._local = vm
         peers._transport = cast(Any, self)
-        known.tell = peers.tell
+        known.broadcast = peers.broadcast
         self._peers[vm.address] = peers
         return known
 
@@ -166,7 +168,7 @@
     def sendto(self, data: bytes, to: tuple[str, int]) -> None:
         """Bring a datagram to a gateway, at once."""
         self.datagrams += 1
-        if self._hears(decode(data, PeerNews)):
+        if self._hears(decode(data, PeerUpdate)):
             self._peers[f"{to[0]}:{to[1]}"].datagram_received(data, to)
 
     # Time.
@@ -219,7 +221,7 @@
             PromptPart(f"own-{self.now_ms}", load.own_tokens),
         )
         tokens = load.subject_tokens + load.own_tokens
-        ask = Ask(
+        ask = CallerRequest(
             f"r-{self.now_ms}",
             "POST",
             "/chat/1",
@@ -240,7 +242,11 @@
         self._try(known, ask, load, frozenset())
 
     def _try(
-        self, known: Knowledge, ask: Ask, load: Load, tried: frozenset[str]
+        self,
+        known: GatewayContext,
+        ask: CallerRequest,
+        load: Load,
+        tried: frozenset[str],
     ) -> None:
         """Choose an engine and send there; another one if nobody listens."""
         assert known.table is not None
@@ -262,23 +268,23 @@
             return
         state.sent(self.now_ms)
         state.workload.add(read_ms, self.now_ms)
-        known.tell(PromptSent(state.endpoint.instance, round(read_ms, 1)))
-        known.kept.read(
+        known.broadcast(PromptSent(state.endpoint.instance, round(read_ms, 1)))
+        known.prefix_caches.record_prefill(
             state.endpoint.instance, MODEL, parts, MEMORY_TOKENS, self.now_ms
         )
         self._send(known, state, parts, load)
 
     def _meets_nobody(
         self,
-        known: Knowledge,
-        ask: Ask,
+        known: GatewayContext,
+        ask: CallerRequest,
         load: Load,
         state: EndpointState,
         tried: frozenset[str],
     ) -> None:
         state.failed(self.now_ms, unreachable=True)
-        if state.refuses(self.now_ms):
-            known.tell(EndpointRefuses(state.endpoint.instance))
+        if state.record_refusal(self.now_ms):
+            known.broadcast(EndpointRefuses(state.endpoint.instance))
         tried |= {state.endpoint.instance}
         if len(tried) >= self._unreachable_max:
             self.refused += 1
@@ -287,7 +293,7 @@
 
     def _send(
         self,
-        known: Knowledge,
+        known: GatewayContext,
         state: EndpointState,
         parts: tuple[PromptPart, ...],
         load: Load,
@@ -308,14 +314,14 @@
         def first() -> None:
             self.begun_ms.append(self.now_ms - came_ms)
             figures = engine.figures()
-            state.tell_load(figures, self.now_ms)
-            pass_on_load(known, state, figures, self.now_ms)
+            state.apply_load(figures, self.now_ms)
+            broadcast_load(known, state, figures, self.now_ms)
             self._at(self.now_ms + load.held_ms, end)
 
         def end() -> None:
             engine.running -= 1
             state.load.finished(self.now_ms, None)
-            known.pace.ended("app", self.now_ms - came_ms)
+            known.latency_model.ended("app", self.now_ms - came_ms)
             if engine.waiting:
                 engine.waiting.popleft()()
 
--- a/tests/gateway.py
+++ b/tests/gateway.py
@@ -10,7 +10,7 @@
 from ashlatch.clock import ClockLoop
 from ashlatch.gateway.admission import Refused, admit, refuse
 from ashlatch.gateway.budget import BudgetTerms
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.exchange import Exchange
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
@@ -23,14 +23,14 @@
 from tests import standin
 from tests.standin import Received, StandIn
 
-PATIENCE = "X-Deadline-Ms: 1500\r\n"
+TIMEOUT_HEADER = "X-Deadline-Ms: 1500\r\n"
 KEY = "Authorization: Bearer key-1\r\n"
 
 
 def ask(path: str, extra: str = "", method: str = "GET", body: bytes = b"") -> bytes:
     lines = (
         f"{method} {path} HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: r1\r\n"
-        f"{PATIENCE}{KEY}{extra}Content-Length: {len(body)}\r\n\r\n"
+        f"{TIMEOUT_HEADER}{KEY}{extra}Content-Length: {len(body)}\r\n\r\n"
     )
     return lines.encode() + body
 
@@ -57,7 +57,7 @@
         async def run() -> None:
             for worker in workers:
                 await worker.start()
-            self.known = self.knowledge(workers, extra)
+            self.context = self.build_context(workers, extra)
             listener = HttpListener(self.handle)
             failures: list[BaseException] = []
             listener.failed = failures.append
@@ -73,8 +73,8 @@
         with asyncio.Runner(loop_factory=ClockLoop) as runner:
             runner.run(run())
 
-    def knowledge(self, workers: list[StandIn], extra: float) -> Knowledge:
-        known = Knowledge(
+    def build_context(self, workers: list[StandIn], extra: float) -> GatewayContext:
+        known = GatewayContext(
             "hall-1",
             "vm-1",
             VersionChooser(SessionVersions(5000.0)),
@@ -92,11 +92,11 @@
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
         asked = decode_ask(request)
-        admission = admit(self.known, asked)
+        admission = admit(self.context, asked)
         if isinstance(admission, Refused):
             refuse(responder, asked.request_id, admission)
             return
-        await Exchange(self.known, admission, responder).run()
+        await Exchange(self.context, admission, responder).run()
 
     async def call(self, data: bytes) -> tuple[int, bytes]:
         """One request on a connection of its own: status and whole rest."""
--- a/tests/limit_play.py
+++ b/tests/limit_play.py
@@ -19,7 +19,7 @@
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.choice import choose_endpoint
 from ashlatch.gateway.cold import GATEWAYS_KNOWN_MS, ColdGate
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Send
 from ashlatch.gateway.limits import (
@@ -27,8 +27,8 @@
     apply_answer_limit,
     record_limited_send,
 )
-from ashlatch.gateway.message import Ask
-from ashlatch.gateway.peers import GatewayPeers
+from ashlatch.gateway.message import CallerRequest
+from ashlatch.gateway.peers import PeerProtocol
 from ashlatch.gateway.returns import find_return
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
@@ -103,8 +103,8 @@
             GatewayVm(f"g-{n}:7000", HALLS[n % 3]) for n in range(gateways)
         )
         self._numbers = {vm.address: n for n, vm in enumerate(self._vms)}
-        self.gateways: list[Knowledge] = []
-        self._peers: list[GatewayPeers] = []
+        self.gateways: list[GatewayContext] = []
+        self._peers: list[PeerProtocol] = []
         for number in range(gateways):
             known, peers = self._gateway(number, -GATEWAYS_KNOWN_MS)
             self.gateways.append(known)
@@ -112,9 +112,9 @@
 
     def _gateway(
         self, number: int, heard_core_ms: float
-    ) -> tuple[Knowledge, GatewayPeers]:
+    ) -> tuple[GatewayContext, PeerProtocol]:
         vm = self._vms[number]
-        known = Knowledge(
+        known = GatewayContext(
             vm.hall,
             vm.address,
             VersionChooser(SessionVersions(5000.0)),
@@ -124,13 +124,13 @@
         )
         known.table = self._table
         known.gateways = self._vms
-        known.cold = ColdGate(vm)
-        known.cold.heard_core(heard_core_ms)
+        known.cold_gate = ColdGate(vm)
+        known.cold_gate.heard_core(heard_core_ms)
         known.directory.replace(EndpointList(1, 1, self._listed), self.now_ms)
-        peers = GatewayPeers(known)
-        peers._own = vm
+        peers = PeerProtocol(known)
+        peers._local = vm
         peers._transport = cast(Any, self)
-        known.tell = peers.tell
+        known.broadcast = peers.broadcast
         return known, peers
 
     def restart(self, number: int) -> None:
@@ -141,12 +141,12 @@
     def cut_off(self, number: int) -> None:
         """A gateway hears neither the others nor the core, and knows that."""
         self.deaf.add(number)
-        self.gateways[number].core_in_touch = False
+        self.gateways[number].core_reachable = False
 
     def rejoin(self, number: int) -> None:
         """A gateway hears the others and the core again."""
         self.deaf.discard(number)
-        self.gateways[number].core_in_touch = True
+        self.gateways[number].core_reachable = True
 
     def wake(self, number: int) -> None:
         """A gateway goes on with all that has come for it meanwhile."""
@@ -244,7 +244,7 @@
     def _take_answer(
         self,
         number: int,
-        known: Knowledge,
+        known: GatewayContext,
         state: EndpointState,
         limit_per_s: float,
         sent_ms: float,
@@ -264,7 +264,7 @@
         apply_answer_limit(known, state, answered, self.now_ms)
 
 
-ASK = Ask(
+ASK = CallerRequest(
     "r", "GET", "/get/1", "shop.example", [], b"", 0.0, None, "", "", False,
     0, 0, (), "", "",
 )  # fmt: skip
--- a/tests/limit_soak.py
+++ b/tests/limit_soak.py
@@ -96,7 +96,7 @@
             for known in self.gateways:
                 state = known.directory.state(f"i-{number}")
                 assert state is not None
-                state.refuses(self.now_ms)
+                state.record_refusal(self.now_ms)
 
         self.at(at_s * 1000.0, begin)
         self.plan.faults.append(f"endpoint {number} begins anew at {at_s:.1f}")
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -381,14 +381,14 @@
     Mutant(
         "near-core-vm-without-a-leader",
         "ashlatch/gateway/sync.py",
-        "            if reply.current:\n                emit(log, CoreChosen",
-        "            if True:\n                emit(log, CoreChosen",
+        "            if reply.current:\n                emit(log, LocalCoreSelected",
+        "            if True:\n                emit(log, LocalCoreSelected",
         SYNC,
     ),
     Mutant(
         "lost-core-vm-of-the-own-hall-first",
         "ashlatch/gateway/core_selection.py",
-        "        others = [known for known in self.known() if known != address]\n",
+        "        others = [known for known in self.addresses() if known != address]\n",
         "        others = [c.address for c in self._cores if c.hall == self._hall]\n",
         AUDIENCE,
     ),
@@ -402,14 +402,14 @@
     Mutant(
         "loads-kept-to-oneself",
         "ashlatch/gateway/reports.py",
-        "        known.tell(",
+        "        known.broadcast(",
         "        str(",
         ENGINES,
     ),
     Mutant(
         "refusing-endpoints-kept-to-oneself",
         "ashlatch/gateway/peer_updates.py",
-        "    if state is None or not state.refuses(teller.now_ms):\n",
+        "    if state is None or not state.record_refusal(teller.now_ms):\n",
         "    if True:\n",
         ENGINES,
     ),
@@ -486,14 +486,14 @@
     Mutant(
         "beliefs-outlive-the-process",
         "ashlatch/gateway/directory.py",
-        "        if news:\n            self._begin_life()\n",
+        "        if news:\n            self._reset_estimates()\n",
         "",
         LIVES,
     ),
     Mutant(
         "reads-of-the-ended-life-believed",
         "ashlatch/gateway/core_updates.py",
-        "            if state is not None and state.ended_lately(now_ms):\n",
+        "            if state is not None and state.ended_recently(now_ms):\n",
         "            if False:\n",
         LIVES,
     ),
@@ -521,7 +521,7 @@
     Mutant(
         "served-by-old-knowledge-on-waking",
         "ashlatch/gateway/sync.py",
-        "        return self._now_ms() - self._heard_ms > STOOD_STILL_MS\n",
+        "        return self._now_ms() - self._last_current_ms > SUSPENDED_MS\n",
         "        return False\n",
         CLOCK,
     ),
@@ -570,8 +570,8 @@
     Mutant(
         "ended-endpoint-comes-back-warm",
         "ashlatch/gateway/directory.py",
-        "        if self._unproven and now_ms - self.ended_ms < UNPROVEN_MS:\n",
-        "        if False:\n",
+        "if self._restart_unconfirmed and now_ms - self.ended_ms < UNCONFIRMED_MAX_MS:",
+        "if False:",
         COLD,
     ),
     Mutant(
@@ -598,14 +598,16 @@
     Mutant(
         "limited-sends-untold",
         "ashlatch/gateway/limits.py",
-        "known.tell(LimitedSend(state.endpoint.instance))",
+        "known.broadcast(RateLimitedSend(state.endpoint.instance))",
         "pass",
         LIMITS,
     ),
     Mutant(
         "limits-untold",
         "ashlatch/gateway/limits.py",
-        "known.tell(LimitNamed(state.endpoint.instance, per_s, round(age_ms, 1)))",
+        "known.broadcast(\n"
+        "            RateLimitChanged(state.endpoint.instance, per_s, round(age_ms, 1))\n"
+        "        )",
         "pass",
         LIMITS,
     ),
@@ -633,7 +635,7 @@
     Mutant(
         "limits-before-gateways-are-known",
         "ashlatch/gateway/limits.py",
-        "if not known.cold.knows_gateways(now_ms):",
+        "if not known.cold_gate.knows_gateways(now_ms):",
         "if False:",
         LIMITS,
     ),
@@ -689,7 +691,7 @@
     Mutant(
         "all-told-the-same-moment",
         "ashlatch/gateway/returns.py",
-        "min(returns_ms + step_ms, now_ms + RETURN_MAX_MS)",
+        "min(\n        returns_ms + step_ms, now_ms + RETURN_MAX_MS\n    )",
         "opens_ms",
         LIMITS,
     ),
@@ -808,21 +810,23 @@
     Mutant(
         "announcements-untold",
         "ashlatch/gateway/notices.py",
-        "known.tell(EndpointAnnouncesLeaving(state.endpoint.instance))",
+        "known.broadcast(EndpointLeaving(state.endpoint.instance))",
         "pass",
         BACKOFF,
     ),
     Mutant(
         "absent-endpoints-forgotten",
         "ashlatch/gateway/directory.py",
-        "known = self._absent | self._states",
+        "known = self._unlisted | self._states",
         "known = self._states",
         BACKOFF,
     ),
     Mutant(
         "sheddings-untold",
         "ashlatch/gateway/notices.py",
-        "known.tell(EndpointSheds(state.endpoint.instance, round(head.backoff_ms, 1)))",
+        "known.broadcast(\n"
+        "            BackoffRequested(state.endpoint.instance, round(head.backoff_ms, 1))\n"
+        "        )",
         "pass",
         SHEDDING,
     ),
@@ -878,7 +882,7 @@
     Mutant(
         "running-sessions-untold",
         "ashlatch/gateway/session_news.py",
-        "known.tell(SessionRuns(service, awaited, mark))",
+        "known.broadcast(SessionActive(service, awaited, mark))",
         "pass",
         TRIAL_BEGINS,
     ),
@@ -899,7 +903,7 @@
     Mutant(
         "idle-connections-past-the-part",
         "ashlatch/gateway/pool.py",
-        "if len(self._idle.get(endpoint.instance, ())) >= kept_max:",
+        "if len(self._idle.get(endpoint.instance, ())) >= idle_max:",
         "if False:",
         CONNECTIONS,
     ),
--- a/tests/session_play.py
+++ b/tests/session_play.py
@@ -15,12 +15,12 @@
 from ashlatch.catalog import Endpoint, EndpointList, GatewayVm, Rollout, RolloutStage
 from ashlatch.codec import decode
 from ashlatch.gateway.budget import BudgetTerms
-from ashlatch.gateway.context import Knowledge
-from ashlatch.gateway.peer_updates import HEARD, Teller
-from ashlatch.gateway.peers import GatewayPeers
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.peer_updates import PEER_HANDLERS, Sender
+from ashlatch.gateway.peers import PeerProtocol
 from ashlatch.gateway.session_news import announce_session
 from ashlatch.gateway.sessions import SessionVersions
-from ashlatch.gateway.updates import HallNews, PeerNews
+from ashlatch.gateway.updates import HallUpdate, PeerUpdate
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 
@@ -76,10 +76,10 @@
             Endpoint(f"i-{n}", "app", f"i-{n}:1", HALLS[n % 3], version, 64, False)
             for n, version in enumerate(("v1", "v1", "v2", "v2"))
         )
-        self.gateways: list[Knowledge] = []
-        self._peers: list[GatewayPeers] = []
+        self.gateways: list[GatewayContext] = []
+        self._peers: list[PeerProtocol] = []
         for vm in self._vms:
-            known = Knowledge(
+            known = GatewayContext(
                 vm.hall,
                 vm.address,
                 VersionChooser(SessionVersions(SESSION_MS)),
@@ -89,11 +89,11 @@
             )
             known.gateways = self._vms
             known.directory.replace(EndpointList(1, 1, listed), 0.0)
-            peers = GatewayPeers(known)
-            peers._own = vm
+            peers = PeerProtocol(known)
+            peers._local = vm
             peers._transport = cast(Any, self)
             if self.load.told:
-                known.tell = peers.tell
+                known.broadcast = peers.broadcast
             self.gateways.append(known)
             self._peers.append(peers)
 
@@ -111,9 +111,9 @@
         self.at(self.now_ms + after_ms, partial(self._bring, number, data))
 
     def _bring(self, number: int, data: bytes) -> None:
-        news: PeerNews = decode(data, PeerNews)
-        HEARD.call(self.gateways[number], news, Teller("g", self.now_ms))
-        if isinstance(news, HallNews) and news.for_hall:
+        news: PeerUpdate = decode(data, PeerUpdate)
+        PEER_HANDLERS.call(self.gateways[number], news, Sender("g", self.now_ms))
+        if isinstance(news, HallUpdate) and news.for_hall:
             self._peers[number]._relay(news)
 
     def play(self) -> "SessionWorld":
@@ -137,7 +137,7 @@
             heard_ms = begun_ms + self.random.uniform(0.0, self.load.heard_within_ms)
             self.at(heard_ms, partial(self._learn, known, rollout))
 
-    def _learn(self, known: Knowledge, rollout: Rollout) -> None:
+    def _learn(self, known: GatewayContext, rollout: Rollout) -> None:
         known.versions.learn([rollout], self.now_ms)
 
     def _begin_trial(self) -> None:
@@ -155,7 +155,7 @@
             )
         )  # fmt: skip
 
-    def _begun_before(self, known: Knowledge, at_ms: float) -> set[int]:
+    def _begun_before(self, known: GatewayContext, at_ms: float) -> set[int]:
         """The marks of the sessions that ran at a gateway when it last told of them."""
         versions = known.versions.sessions
         kept = {k: s for k, s in versions._seen.items() if s.at_ms <= at_ms}
--- a/tests/shed_play.py
+++ b/tests/shed_play.py
@@ -11,7 +11,7 @@
 from functools import partial
 
 from ashlatch.gateway.choice import choose_endpoint
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Send
 from ashlatch.gateway.message import AnswerHead
@@ -40,7 +40,7 @@
     """One caller's request under way at a gateway."""
 
     gateway: int
-    known: Knowledge
+    known: GatewayContext
     tried: set[str] = field(default_factory=set)
 
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -14,8 +14,8 @@
 from ashlatch.catalog import Endpoint, EndpointList, Rollout, RolloutStage
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.notices import apply_notice
-from ashlatch.gateway.peer_updates import HEARD, Teller
-from ashlatch.gateway.updates import EndpointAnnouncesLeaving, PeerNews
+from ashlatch.gateway.peer_updates import PEER_HANDLERS, Sender
+from ashlatch.gateway.updates import EndpointLeaving, PeerUpdate
 from ashlatch.http.upstream import Upstream
 from ashlatch.platform.headers import decode_answer
 from ashlatch.policy.backoff import Backoff
@@ -68,7 +68,7 @@
         return asyncio.get_running_loop().time() * 1000.0
 
     def state(self, instance: str) -> EndpointState:
-        state = self.known.directory.state(instance)
+        state = self.context.directory.state(instance)
         assert state is not None
         return state
 
@@ -174,9 +174,9 @@
                     zip(workers, ("v2", "v2", "v1"), strict=True)
                 )
             )
-            self.known.directory.replace(EndpointList(1, 2, listed), 0.0)
+            self.context.directory.replace(EndpointList(1, 2, listed), 0.0)
             test = Rollout("app", "v2", RolloutStage.LOAD_TEST, 0.0, 1, 1000.0)
-            self.known.versions.learn([test])
+            self.context.versions.learn([test])
             tested = rank(("i-0", "i-1"), "v2")[0]
             self.state(tested).backoff.request(5000.0, self.now_ms())
 
@@ -210,10 +210,10 @@
                 Endpoint(f"i-{n}", "app", w.address, "hall-1", f"v{2 - n}", 8, False)
                 for n, w in enumerate(workers)
             )
-            self.known.directory.replace(EndpointList(1, 2, listed), 0.0)
+            self.context.directory.replace(EndpointList(1, 2, listed), 0.0)
             trial = Rollout("app", "v2", RolloutStage.TRIAL, 0.1, 1, 1000.0)
-            self.known.versions.learn([trial])
-            self.known.versions.sessions.note("app", "s1", "v2", self.now_ms())
+            self.context.versions.learn([trial])
+            self.context.versions.sessions.note("app", "s1", "v2", self.now_ms())
             self.state("i-0").backoff.request(3000.0, self.now_ms())
 
         ((status, text),) = self.play(
@@ -254,9 +254,9 @@
             self.state("i-1").breaker.gone(self.now_ms())
             await self.call(ask("/get/1"))
             self.state("i-1").breaker.succeeded()
-            listed = tuple(state.endpoint for state in self.known.directory.all())
+            listed = tuple(state.endpoint for state in self.context.directory.all())
             for number, endpoints in enumerate((listed[1:], listed)):
-                self.known.directory.replace(
+                self.context.directory.replace(
                     EndpointList(1, 2 + number, endpoints), self.now_ms()
                 )
             for number in range(10):
@@ -271,9 +271,9 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.known = GatewayHarness("run_gateway").knowledge([StandIn([])], 50.0)
-        self.news: list[PeerNews] = []
-        self.known.tell = self.news.append
+        self.known = GatewayHarness("run_gateway").build_context([StandIn([])], 50.0)
+        self.news: list[PeerUpdate] = []
+        self.known.broadcast = self.news.append
         listed = msgspec.structs.replace(self.state().endpoint, started_unix_ms=5)
         self.known.directory.replace(EndpointList(1, 1, (listed,)), 0.0)
 
@@ -292,11 +292,11 @@
     def test_others_are_told_once(self) -> None:
         self.hear(True)
         self.hear(True)
-        self.assertEqual([EndpointAnnouncesLeaving("i-0")], self.news)
+        self.assertEqual([EndpointLeaving("i-0")], self.news)
 
     def test_who_is_told_sends_nothing_there(self) -> None:
-        news = EndpointAnnouncesLeaving("i-0")
-        HEARD.call(self.known, news, Teller("10.0.0.1", 0.0))
+        news = EndpointLeaving("i-0")
+        PEER_HANDLERS.call(self.known, news, Sender("10.0.0.1", 0.0))
         self.assertEqual(Barrier.LEAVING, self.state().permission(0.0).barrier)
         self.assertEqual([], self.news)
 
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -315,4 +315,4 @@
             events = splitter.feed(whole[:cut]) + splitter.feed(whole[cut:])
             self.assertEqual(["1", "2", ""], [e.event_id for e in events])
             self.assertEqual(whole, b"".join(e.data for e in events))
-            self.assertEqual(b"", splitter.rest)
+            self.assertEqual(b"", splitter.remainder)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -15,7 +15,7 @@
 from ashlatch.catalog import GatewayVm
 from ashlatch.clock import ClockLoop, monotonic_ms
 from ashlatch.fleet.seeds import Seeds
-from ashlatch.gateway.sync import STOOD_STILL_MS, FleetLink
+from ashlatch.gateway.sync import SUSPENDED_MS, CoreSync
 from ashlatch.raft.group import Standing
 from ashlatch.rpc import RpcLoop
 from ashlatch.suspension import SuspensionMeter
@@ -121,23 +121,23 @@
         found: list[bool] = []
 
         async def run(vm: Suspension) -> None:
-            known = self.knowledge([], 50.0)
+            known = self.build_context([], 50.0)
             own = GatewayVm("10.0.0.1:7000", "hall-1")
-            link = FleetLink(known, mock.Mock(spec=Seeds), "10.0.0.9:1", 500.0, own)
-            link._regain("10.0.0.2:7000")
-            assert not link.stood_still
+            link = CoreSync(known, mock.Mock(spec=Seeds), "10.0.0.9:1", 500.0, own)
+            link._core_regained("10.0.0.2:7000")
+            assert not link.stale
             vm.suspended_s = SUSPENDED_S
-            found.append(link.stood_still)
+            found.append(link.stale)
             if heard_s is not None:
-                asyncio.get_running_loop().call_later(heard_s, link._regain, "")
-            found.append(await link.wait_caught_up(0.3))
+                asyncio.get_running_loop().call_later(heard_s, link._core_regained, "")
+            found.append(await link.wait_updated(0.3))
 
         with Suspension() as vm, asyncio.Runner(loop_factory=ClockLoop) as runner:
             runner.run(run(vm))
         return found[0], found[1]
 
     def test_it_waits_for_the_core(self) -> None:
-        self.assertTrue(SUSPENDED_S * 1000.0 > STOOD_STILL_MS)
+        self.assertTrue(SUSPENDED_S * 1000.0 > SUSPENDED_MS)
         self.assertEqual((True, True), self.play(0.05))
 
     def test_without_the_core_it_serves_on_after_a_time(self) -> None:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -23,7 +23,7 @@
 )
 from ashlatch.fleet.leader import ListKeeper, RolloutKeeper
 from ashlatch.gateway.cold import ColdGate, warm_up_returned
-from ashlatch.gateway.directory import UNPROVEN_MS, Directory, EndpointState
+from ashlatch.gateway.directory import UNCONFIRMED_MAX_MS, Directory, EndpointState
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import VersionChooser
@@ -152,7 +152,7 @@
         self.assertTrue(self.allows(1.0))
 
     def test_one_send_after_another(self) -> None:
-        self.state.warms_up(5000.0)
+        self.state.mark_cold_until(5000.0)
         self.assertTrue(self.allows(0.0))
         self.state.sent(0.0)
         self.assertFalse(self.allows(365.0))
@@ -162,13 +162,13 @@
         self.assertTrue(self.allows(5001.0))
 
     def test_services_that_start_warm(self) -> None:
-        self.state.warms_up(5000.0)
+        self.state.mark_cold_until(5000.0)
         self.state.sent(0.0)
         self.assertTrue(self.allows(1.0, Service("app", 100, None)))
 
     def test_a_gateway_that_knows_nobody(self) -> None:
         """It may be one of any number."""
-        self.state.warms_up(5000.0)
+        self.state.mark_cold_until(5000.0)
         self.gateways = ()
         self.assertFalse(self.allows(0.0))
         self.gate.own = None
@@ -178,7 +178,7 @@
     def test_all_start_together(self) -> None:
         """The first gateways that are heard of are not all that there are."""
         self.gate = ColdGate(self.gateways[0])
-        self.state.warms_up(60_000.0)
+        self.state.mark_cold_until(60_000.0)
         self.assertFalse(self.allows(50_000.0))
         self.gate.heard_core(0.0)
         self.gate.heard_core(1500.0)
@@ -187,20 +187,20 @@
 
     def test_an_endpoint_that_ended(self) -> None:
         """It may be back at any moment, before any list tells that it is cold."""
-        self.state.refuses(0.0)
-        self.assertTrue(self.state.cold(UNPROVEN_MS - 1.0))
-        self.state.proved(3000.0, 4000.0)
+        self.state.record_refusal(0.0)
+        self.assertTrue(self.state.cold(UNCONFIRMED_MAX_MS - 1.0))
+        self.state.confirm_running(3000.0, 4000.0)
         self.assertTrue(self.state.cold(6999.0))
         self.assertFalse(self.state.cold(7000.0))
 
     def test_an_endpoint_that_went_dark(self) -> None:
-        self.state.gone(0.0, 0.0)
+        self.state.mark_gone(0.0, 0.0)
         self.assertTrue(self.state.cold(1000.0))
         # It was only cut off for a while, and nobody has asked it since.
-        self.assertFalse(self.state.cold(UNPROVEN_MS))
+        self.assertFalse(self.state.cold(UNCONFIRMED_MAX_MS))
 
     def test_an_answer_of_a_warm_one_proves_nothing(self) -> None:
-        self.state.proved(3000.0, 1000.0)
+        self.state.confirm_running(3000.0, 1000.0)
         self.assertFalse(self.state.cold(1001.0))
 
 
@@ -318,7 +318,7 @@
         chooser.learn([Rollout("app", "v1", RolloutStage.LOAD_TEST, 1.0, 1, 1000.0)])
         states = [EndpointState(endpoint(f"i{n}")) for n in range(4)]
         (tested,) = chooser.allowed("app", "s", "r", states, 0.0).states
-        tested.warms_up(1000.0)
+        tested.mark_cold_until(1000.0)
         (other,) = chooser.allowed("app", "s", "r", states, 0.0).states
         self.assertNotEqual(tested.endpoint.instance, other.endpoint.instance)
 
@@ -332,10 +332,10 @@
         async def work() -> None:
             services = [{"name": "app", "coldS": 3.0, "coldPerS": 10.0}]
             document = standin.document(3, services=services)
-            self.known.table = RouteTable(decode_catalog(standin.encoded(document)))
-            state = self.known.directory.state("i-0")
+            self.context.table = RouteTable(decode_catalog(standin.encoded(document)))
+            state = self.context.directory.state("i-0")
             assert state is not None
-            state.warms_up(asyncio.get_running_loop().time() * 1000.0 + 60_000.0)
+            state.mark_cold_until(asyncio.get_running_loop().time() * 1000.0 + 60_000.0)
             for _ in range(10):
                 self.assertEqual(200, (await self.call(ask("/get/1")))[0])
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -37,8 +37,8 @@
             {"name": "app", "healthPath": "/healthz", "maxConns": CONNECTIONS_MAX}
         ]
         document = standin.document(3, services=services)
-        self.known.table = RouteTable(decode_catalog(standin.encoded(document)))
-        self.known.gateways = tuple(
+        self.context.table = RouteTable(decode_catalog(standin.encoded(document)))
+        self.context.gateways = tuple(
             GatewayVm(f"10.0.0.{n}:70", "hall-1") for n in range(gateways)
         )
 
--- a/tests/test_core_selection.py
+++ b/tests/test_core_selection.py
@@ -9,33 +9,33 @@
 import testtools
 
 from ashlatch.catalog import CoreVm
-from ashlatch.gateway.core_selection import CoreContact
+from ashlatch.gateway.core_selection import CoreSelector
 
 HALLS = ("north", "south", "east", "west", "centre")
 CORES = tuple(CoreVm(f"10.0.{n}.1:7000", hall) for n, hall in enumerate(HALLS))
 SEEDS = tuple(core.address for core in CORES[:3])
 
 
-def contact(hall: str, seed: int = 1) -> CoreContact:
-    return CoreContact(hall, lambda: SEEDS, random.Random(seed))
+def contact(hall: str, seed: int = 1) -> CoreSelector:
+    return CoreSelector(hall, lambda: SEEDS, random.Random(seed))
 
 
 class CoreContactTest(testtools.TestCase):
     def test_begins_with_a_seed(self) -> None:
         asked = {contact("north", seed).address for seed in range(40)}
         self.assertEqual(set(SEEDS), asked)
-        self.assertEqual("", contact("north").nearer())
+        self.assertEqual("", contact("north").local_candidate())
 
     def test_every_gateway_ends_in_its_own_hall(self) -> None:
         for n in range(195):
             hall = HALLS[n % len(HALLS)]
             found = contact(hall, n)
             self.assertIn(found.address, SEEDS)
-            found.learn(CORES)
-            near = found.nearer() or found.address
-            found.move(near)
+            found.update(CORES)
+            near = found.local_candidate() or found.address
+            found.select(near)
             self.assertEqual(hall, found.hall_of(found.address))
-            self.assertEqual("", found.nearer())
+            self.assertEqual("", found.local_candidate())
 
     def test_a_lost_one_is_left_for_any_other(self) -> None:
         """Its hall may be cut off, with all core VMs that are in it."""
@@ -43,28 +43,28 @@
         reached = set()
         for seed in range(60):
             found = contact(HALLS[0], seed)
-            found.learn((*CORES, second))
-            found.move(CORES[0].address)
-            found.lose(CORES[0].address)
+            found.update((*CORES, second))
+            found.select(CORES[0].address)
+            found.leave(CORES[0].address)
             reached.add(found.address)
         others = {core.address for core in (*CORES[1:], second)}
         self.assertEqual(others, reached)
 
     def test_one_that_is_replaced_is_left(self) -> None:
         found = contact(HALLS[0])
-        found.learn(CORES)
-        found.move(CORES[0].address)
+        found.update(CORES)
+        found.select(CORES[0].address)
         new = CoreVm("10.0.0.9:7000", HALLS[0])
-        found.learn((new, *CORES[1:]))
-        self.assertEqual(new.address, found.nearer())
+        found.update((new, *CORES[1:]))
+        self.assertEqual(new.address, found.local_candidate())
 
     def test_a_hall_without_core_vms_asks_on(self) -> None:
         found = contact("island")
-        found.learn(CORES)
-        self.assertEqual("", found.nearer())
+        found.update(CORES)
+        self.assertEqual("", found.local_candidate())
         self.assertIn(found.address, SEEDS)
 
     def test_the_only_one_is_asked_again(self) -> None:
-        alone = CoreContact("north", lambda: SEEDS[:1], random.Random(1))
-        alone.lose(alone.address)
+        alone = CoreSelector("north", lambda: SEEDS[:1], random.Random(1))
+        alone.leave(alone.address)
         self.assertEqual(SEEDS[0], alone.address)
--- a/tests/test_crash_load.py
+++ b/tests/test_crash_load.py
@@ -21,7 +21,7 @@
 
 from ashlatch.codec import encode
 from ashlatch.gateway.traffic import TrafficKind
-from ashlatch.gateway.updates import ContentCrashed
+from ashlatch.gateway.updates import CrashRecordUpdate
 from tests.crash_play import CrashLoad, CrashOutcome, CrashWorld
 from tests.engines import World
 
@@ -83,14 +83,14 @@
             for number in range(ENDS_MAX):
                 at_ms = AT_MS + 2000 * number
                 record = first.quarantine.crashed(7, f"i-{number}", 0, at_ms)
-            told = ContentCrashed(record)
-            first.tell(told)
+            told = CrashRecordUpdate(record)
+            first.broadcast(told)
             held = [g.quarantine.held_ms(7, at_ms) > 0 for g in world.gateways]
             self.assertEqual([True] * self.HALLS * self.EACH, held)
             self.assertTrue(world.datagrams < self.HALLS * self.EACH)
             self.assertTrue(len(encode(told)) < 100)
-            crossed = first.traffic.carried()
-            (over,) = (c for c in crossed if c.crosses and c.kind is KIND)
+            crossed = first.traffic.counts()
+            (over,) = (c for c in crossed if c.cross_hall and c.kind is KIND)
             self.assertEqual(self.HALLS - 1, over.messages)
 
         asyncio.run(run())
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -68,7 +68,7 @@
                 Endpoint(e.instance, "app", e.address, "hall-1", "v1", 8, False)
                 for e in engines
             )
-            self.known.directory.replace(EndpointList(1, 2, endpoints), 0.0)
+            self.context.directory.replace(EndpointList(1, 2, endpoints), 0.0)
             crashing = ask(path, ASK_STREAM, "POST", CRASHING_BODY)
             for number in range(tries):
                 own_id = f"X-Attempt-Id: r{number}".encode()
@@ -116,7 +116,7 @@
             content = content_digest(asked, "acme")
             for number in range(ENDS_MAX):
                 at_ms = unix_ms() - 5000 * number
-                self.known.quarantine.crashed(content, f"i-{number}", 0, at_ms)
+                self.context.quarantine.crashed(content, f"i-{number}", 0, at_ms)
             self.assertEqual(503, (await self.call(ask("/get/1")))[0])
             self.assertEqual(200, (await self.call(ask("/get/2")))[0])
 
@@ -153,13 +153,13 @@
             await crashing.start()
             bad = Endpoint("i-9", "app", crashing.address, "hall-1", "v1", 8, False)
             only_bad = EndpointList(1, 2, (bad,))
-            self.known.directory.replace(only_bad, 0.0)
+            self.context.directory.replace(only_bad, 0.0)
             self.assertEqual(502, (await self.call(ask("/get/1")))[0])
-            self.assertEqual(1, len(self.known.quarantine.to_tell()))
+            self.assertEqual(1, len(self.context.quarantine.to_tell()))
             well = Endpoint("i-0", "app", good.address, "hall-1", "v1", 8, False)
-            self.known.directory.replace(EndpointList(1, 3, (well,)), 0.0)
+            self.context.directory.replace(EndpointList(1, 3, (well,)), 0.0)
             self.assertEqual(200, (await self.call(ask("/get/1")))[0])
-            (record,) = self.known.quarantine.to_tell()
+            (record,) = self.context.quarantine.to_tell()
             self.assertEqual((), record.unsurvived)
 
         self.run_gateway([good], work)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -34,7 +34,7 @@
 from ashlatch.fleet.protocol import ReadReply, SyncRequest
 from ashlatch.fleet.spread import Spread, has_news
 from ashlatch.gateway.directory import Directory
-from ashlatch.gateway.liveness import SilenceWatch
+from ashlatch.gateway.liveness import LivenessProber
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.http.connection import Headers, HttpRequest
@@ -205,19 +205,19 @@
         return [s.endpoint.instance for s in states if s.permission(0.0).granted]
 
     def test_an_evacuated_hall_takes_no_work(self) -> None:
-        self.assertTrue(self.directory.evacuate(Evacuations(1, ("b",))))
+        self.assertTrue(self.directory.apply_evacuations(Evacuations(1, ("b",))))
         self.assertEqual(["i1"], self.open())
-        self.assertTrue(self.directory.evacuate(Evacuations(2)))
+        self.assertTrue(self.directory.apply_evacuations(Evacuations(2)))
         self.assertEqual(["i1", "i2", "i3"], self.open())
 
     def test_older_orders_change_nothing(self) -> None:
-        self.directory.evacuate(Evacuations(4))
-        self.assertFalse(self.directory.evacuate(Evacuations(3, ("b",))))
+        self.directory.apply_evacuations(Evacuations(4))
+        self.assertFalse(self.directory.apply_evacuations(Evacuations(3, ("b",))))
         self.assertEqual(["i1", "i2", "i3"], self.open())
 
     def test_endpoints_that_are_listed_later(self) -> None:
         """A release in an evacuated hall brings endpoints that nobody knew."""
-        self.directory.evacuate(Evacuations(1, ("b",)))
+        self.directory.apply_evacuations(Evacuations(1, ("b",)))
         listed = (endpoint("i1", "a"), endpoint("i4", "b"))
         self.directory.replace(EndpointList(1, 2, listed), 0.0)
         self.assertEqual(["i1"], self.open())
@@ -225,7 +225,7 @@
     def test_before_any_list(self) -> None:
         """A gateway that starts may hear of the order before the endpoints."""
         directory = Directory()
-        directory.evacuate(Evacuations(1, ("b",)))
+        directory.apply_evacuations(Evacuations(1, ("b",)))
         directory.replace(EndpointList(1, 1, (endpoint("i2", "b"),)), 0.0)
         state = directory.state("i2")
         self.assertTrue(state is not None and not state.permission(0.0).granted)
@@ -235,7 +235,7 @@
         listed = tuple(endpoint(f"i{n}", "b", "v2") for n in range(5, 9))
         stays = endpoint("i4", "a", "v2")
         self.directory.replace(EndpointList(1, 2, (*listed, stays)), 0.0)
-        self.directory.evacuate(Evacuations(1, ("b",)))
+        self.directory.apply_evacuations(Evacuations(1, ("b",)))
         chooser = VersionChooser(SessionVersions(5000.0))
         chooser.learn([Rollout("app", "v2", RolloutStage.LOAD_TEST, 0.1, 1, 1000.0)])
         states = self.directory.of_service("app")
@@ -252,8 +252,10 @@
         async def watch() -> None:
             for state in self.directory.all():
                 state.sent(asyncio.get_running_loop().time() * 1000.0 - 2000.0)
-            self.directory.evacuate(Evacuations(1, ("a", "b")))
-            watching = asyncio.create_task(SilenceWatch(self.directory, connect).run())
+            self.directory.apply_evacuations(Evacuations(1, ("a", "b")))
+            watching = asyncio.create_task(
+                LivenessProber(self.directory, connect).run()
+            )
             await asyncio.sleep(0.3)
             watching.cancel()
             await asyncio.gather(watching, return_exceptions=True)
@@ -268,7 +270,7 @@
         worker = standin.StandIn([standin.answer()])
 
         async def work() -> None:
-            self.known.directory.evacuate(Evacuations(1, ("hall-1",)))
+            self.context.directory.apply_evacuations(Evacuations(1, ("hall-1",)))
             status, got = await self.call(ask("/once/1", method="POST"))
             self.assertEqual(503, status)
             self.assertIn(b"Retry-After: 2", got)
@@ -295,7 +297,7 @@
     async def evacuate_and_break(
         self, request: standin.Received, writer: asyncio.StreamWriter
     ) -> None:
-        self.known.directory.evacuate(Evacuations(1, ("hall-1",)))
+        self.context.directory.apply_evacuations(Evacuations(1, ("hall-1",)))
         writer.write(standin.head(request) + b"Transfer-Encoding: chunked\r\n\r\n")
         writer.write(standin.chunk(standin.event(1)))
         await writer.drain()
@@ -306,9 +308,9 @@
             Endpoint(f"i-{n}", "app", worker.address, hall, "v1", 8, False)
             for n, (worker, hall) in enumerate(workers)
         )
-        self.known.directory.replace(EndpointList(1, 2, endpoints), 0.0)
+        self.context.directory.replace(EndpointList(1, 2, endpoints), 0.0)
         # Whoever is chosen first, it is the one that breaks.
-        for state in self.known.directory.all():
+        for state in self.context.directory.all():
             if state.endpoint.instance != "i-0":
                 state.workload.add(5000.0, asyncio.get_running_loop().time() * 1000.0)
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -254,7 +254,7 @@
 
     def test_the_evacuation_is_told_with_the_request(self) -> None:
         events = (
-            gateway_logs.EvacuationsLearnt(3, 2, "logan", 47, 0),
+            gateway_logs.EvacuationsChanged(3, 2, "logan", 47, 0),
             gateway_logs.RequestEnded("r1", "ask", 4, 503, "evacuated", 0, 0, 0, 0, 1),
         )
         lines = list(read_lines("gw-1", logged(*events)))
--- a/tests/test_exposure.py
+++ b/tests/test_exposure.py
@@ -11,7 +11,7 @@
 from ashlatch.catalog import Rollout, RolloutStage
 from ashlatch.fleet.exposure import ExposurePlan, plan_exposure
 from ashlatch.fleet.verdict import Evidence, decide
-from ashlatch.gateway.tally import Tally, TallyKey, step_of
+from ashlatch.gateway.tally import Tally, TallyKey, bucket_of
 
 LOOK_MS = 200.0
 
@@ -51,7 +51,7 @@
             ("v1", int(self.old) - before[1]),
         ):
             key = TallyKey("app", version, "r")
-            tally = Tally(key, count, 0, {step_of(60.0): count} if count else {})
+            tally = Tally(key, count, 0, {bucket_of(60.0): count} if count else {})
             self.evidence.add((tally,), now_ms)
         decision = decide(
             self.rollout, now_ms, self.evidence, now_ms, listed=True, plan=self.plan
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -7,9 +7,9 @@
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.choice import Choice, choose_endpoint, engine_urgency
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.forecast import Forecast, Send
-from ashlatch.gateway.message import Ask, LoadFigures, PromptPart
+from ashlatch.gateway.message import CallerRequest, LoadFigures, PromptPart
 from ashlatch.gateway.pace import Pace
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
@@ -25,8 +25,8 @@
 SUBJECT = PromptPart("subject", 13_000)
 
 
-def asked(prompt_tokens: int, body_bytes: int, *parts: PromptPart) -> Ask:
-    return Ask(
+def asked(prompt_tokens: int, body_bytes: int, *parts: PromptPart) -> CallerRequest:
+    return CallerRequest(
         "r1",
         "POST",
         "/chat/1",
@@ -50,9 +50,9 @@
 SHORT = asked(400, 400, PromptPart("own", 400))
 
 
-def gateway_knowledge() -> Knowledge:
+def gateway_knowledge() -> GatewayContext:
     """A gateway in the hall `here`, before three engines with known paces."""
-    known = Knowledge(
+    known = GatewayContext(
         "here",
         "vm-1",
         VersionChooser(SessionVersions(5000.0)),
@@ -68,8 +68,8 @@
     )
     known.directory.replace(EndpointList(1, 1, endpoints), 0.0)
     for n in range(20):
-        known.pace.began("app", "large", 5000, 400.0, float(n))
-        known.pace.began("app", "small", 5000, 40.0, float(n))
+        known.latency_model.began("app", "large", 5000, 400.0, float(n))
+        known.latency_model.began("app", "small", 5000, 40.0, float(n))
     return known
 
 
@@ -78,7 +78,7 @@
         super().setUp()
         self.known = gateway_knowledge()
 
-    def choose(self, ask: Ask, model: str) -> Choice:
+    def choose(self, ask: CallerRequest, model: str) -> Choice:
         states = list(self.known.directory.of_service("app"))
         allowed = AllowedEndpoints(states, VersionReason.NO_ROLLOUT)
         assert self.known.table is not None
@@ -89,11 +89,11 @@
         assert chosen is not None
         return chosen
 
-    def instance(self, ask: Ask, model: str) -> str:
+    def instance(self, ask: CallerRequest, model: str) -> str:
         return self.choose(ask, model).state.endpoint.instance
 
     def read(self, instance: str, model: str, *parts: PromptPart) -> None:
-        self.known.kept.read(instance, model, parts, 400_000, 0.0)
+        self.known.prefix_caches.record_prefill(instance, model, parts, 400_000, 0.0)
 
     def test_short_prompts_stay_in_the_hall(self) -> None:
         self.assertEqual("i-near", self.instance(SHORT, "small"))
@@ -123,9 +123,9 @@
         self.assertEqual(700.0, state.workload.left_ms(100.0))
         self.assertEqual(500.0, state.workload.left_ms(300.0))
         self.assertNotEqual("i-near", self.instance(SHORT, "small"))
-        state.tell_load(LoadFigures(0, 1, 8), 100.0)
+        state.apply_load(LoadFigures(0, 1, 8), 100.0)
         self.assertEqual(700.0, state.workload.left_ms(100.0))
-        state.tell_load(LoadFigures(0, 0, 8), 100.0)
+        state.apply_load(LoadFigures(0, 0, 8), 100.0)
         self.assertEqual(300.0, state.workload.left_ms(100.0))
 
 
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -204,7 +204,7 @@
         except MalformedRequest:
             return
         self.assertTrue(0 <= asked.prompt_tokens <= 10**9)
-        self.assertTrue(asked.patience_ms is None or asked.patience_ms >= 0)
+        self.assertTrue(asked.timeout_ms is None or asked.timeout_ms >= 0)
 
     def test_numbers_of_callers(self) -> None:
         for number in self.NUMBERS:
