--- a/tests/test_full_engines.py
+++ b/tests/test_full_engines.py
@@ -17,7 +17,7 @@
 import testtools
 
 from ashlatch.gateway.exchange import UNREACHABLE_MAX
-from ashlatch.gateway.updates import EndpointRefuses, LoadSeen, PeerNews
+from ashlatch.gateway.updates import EndpointRefuses, LoadReported, PeerUpdate
 from tests.engines import Load, Outcome, World
 
 TARGET_MS = 1000.0
@@ -25,19 +25,19 @@
 EVEN = Load(requests_per_s=50.0, hot_share=0.0, held_ms=3000.0, target_ms=TARGET_MS)
 
 
-def everything(news: PeerNews) -> bool:
+def everything(news: PeerUpdate) -> bool:
     return True
 
 
-def no_loads(news: PeerNews) -> bool:
-    return not isinstance(news, LoadSeen)
+def no_loads(news: PeerUpdate) -> bool:
+    return not isinstance(news, LoadReported)
 
 
-def no_refusals(news: PeerNews) -> bool:
+def no_refusals(news: PeerUpdate) -> bool:
     return not isinstance(news, EndpointRefuses)
 
 
-def nothing(news: PeerNews) -> bool:
+def nothing(news: PeerUpdate) -> bool:
     return False
 
 
@@ -82,8 +82,8 @@
         """Only busy engines are told of, and not with each answer."""
         heard = {"load": 0, "all": 0}
 
-        def count(news: PeerNews) -> bool:
-            heard["load"] += isinstance(news, LoadSeen)
+        def count(news: PeerUpdate) -> bool:
+            heard["load"] += isinstance(news, LoadReported)
             heard["all"] += 1
             return True
 
@@ -108,7 +108,7 @@
     SHARE = 0.43
 
     def refused(
-        self, seed: int, hears: Callable[[PeerNews], bool], unreachable_max: int
+        self, seed: int, hears: Callable[[PeerUpdate], bool], unreachable_max: int
     ) -> int:
         world = World(2, 40, 8, 16, seed, hears)
         world.crash(self.SHARE, 8000.0)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -87,7 +87,7 @@
             self.assertEqual(404, (await self.call(ask("/none/1")))[0])
             keyless = ask("/open/1").replace(KEY.encode(), b"")
             self.assertEqual(200, (await self.call(keyless))[0])
-            self.known.table = None
+            self.context.table = None
             status, got = await self.call(ask("/get/1"))
             self.assertEqual(503, status)
             self.assertIn(b"Retry-After", got)
@@ -277,7 +277,7 @@
             self.assertEqual(1, worker.open)
             writer.close()
             await asyncio.sleep(0.2)
-            state = next(iter(self.known.directory.of_service("app")))
+            state = next(iter(self.context.directory.of_service("app")))
             self.assertEqual(0, state.load.in_flight)
 
         self.run_gateway([worker], work)
@@ -338,7 +338,7 @@
 
         async def work() -> None:
             told: list[object] = []
-            self.known.tell = told.append
+            self.context.broadcast = told.append
             for _ in range(6):
                 status, _ = await self.call(ask("/stream/1", ASK_STREAM))
                 self.assertEqual(200, status)
@@ -362,11 +362,11 @@
 
         async def work() -> None:
             told: list[object] = []
-            self.known.tell = told.append
+            self.context.broadcast = told.append
             moved = Endpoint("i-0", "app", worker.address, "hall-1", "v2", 8, False)
-            self.known.directory.replace(EndpointList(1, 2, (moved,)), 0.0)
+            self.context.directory.replace(EndpointList(1, 2, (moved,)), 0.0)
             stage = RolloutStage.LOAD_TEST
-            self.known.versions.learn([Rollout("app", "v2", stage, 0.1, 1, 1000.0)])
+            self.context.versions.learn([Rollout("app", "v2", stage, 0.1, 1, 1000.0)])
             for _ in range(2):
                 await self.call(ask("/stream/1", ASK_STREAM))
             moves = [n for n in told if isinstance(n, SessionMoved)]
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -17,13 +17,13 @@
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.codec import encode
 from ashlatch.fleet.protocol import SyncReply
-from ashlatch.gateway.context import Knowledge
-from ashlatch.gateway.core_updates import CoreNews
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.core_updates import CoreUpdates
 from ashlatch.gateway.crash import note_refusal
 from ashlatch.gateway.directory import Directory, EndpointState
 from ashlatch.gateway.message import LoadFigures, PromptPart
-from ashlatch.gateway.peers import GatewayPeers
-from ashlatch.gateway.prefix_cache import PromptRead
+from ashlatch.gateway.peers import PeerProtocol
+from ashlatch.gateway.prefix_cache import PromptPrefill
 from ashlatch.gateway.updates import EndpointRefuses
 from tests.gateway import GatewayHarness
 from tests.standin import StandIn, answer
@@ -40,8 +40,8 @@
 
 def busy(state: EndpointState) -> None:
     """Beliefs of each kind about an endpoint."""
-    state.tell_load(LoadFigures(8, 3, 8), 0.0)
-    state.told_load.heard(4, 0.0)
+    state.apply_load(LoadFigures(8, 3, 8), 0.0)
+    state.advertised_load.heard(4, 0.0)
     state.workload.add(900.0, 0.0)
     state.failed(0.0, unreachable=False)
 
@@ -50,7 +50,7 @@
     def directory(self, *endpoints: Endpoint) -> Directory:
         directory = Directory()
         self.ended: list[str] = []
-        directory.life_ended = self.ended.append
+        directory.on_restart = self.ended.append
         directory.replace(listed(1, *endpoints), 0.0)
         return directory
 
@@ -65,7 +65,7 @@
         directory.replace(listed(2, LATER), 0.0)
         state = self.state(directory)
         self.assertEqual(["i-1"], self.ended)
-        self.assertEqual((0.0, 0.0), (state.requests(0.0), state.failing))
+        self.assertEqual((0.0, 0.0), (state.requests(0.0), state.failure_ratio))
         self.assertEqual(0.0, state.workload.left_ms(0.0))
 
     def test_the_same_life_goes_on(self) -> None:
@@ -109,48 +109,56 @@
 class EndedTest(GatewayHarness):
     """Nobody listens at an address: whatever comes back there has begun anew."""
 
-    def play(self, end: Callable[[Knowledge, EndpointState], None]) -> Knowledge:
+    def play(
+        self, end: Callable[[GatewayContext, EndpointState], None]
+    ) -> GatewayContext:
         async def work() -> None:
-            known = self.known
+            known = self.context
             state = known.directory.state("i-0")
             assert state is not None
             busy(state)
             now_ms = asyncio.get_running_loop().time() * 1000.0
-            known.kept.read("i-0", "small", PARTS, 400_000, now_ms)
-            self.assertEqual(4000, known.kept.tokens("i-0", "small", PARTS))
+            known.prefix_caches.record_prefill("i-0", "small", PARTS, 400_000, now_ms)
+            self.assertEqual(
+                4000, known.prefix_caches.cached_tokens("i-0", "small", PARTS)
+            )
             end(known, state)
-            self.assertEqual(0, known.kept.tokens("i-0", "small", PARTS))
+            self.assertEqual(
+                0, known.prefix_caches.cached_tokens("i-0", "small", PARTS)
+            )
             self.assertEqual(0.0, state.workload.left_ms(now_ms))
             self.assertEqual(0.0, state.load.requests())
 
         self.run_gateway([StandIn([answer()])], work)
-        return self.known
+        return self.context
 
     def test_seen_here(self) -> None:
-        def end(known: Knowledge, state: EndpointState) -> None:
+        def end(known: GatewayContext, state: EndpointState) -> None:
             note_refusal(known, state, asyncio.get_running_loop().time() * 1000.0)
 
         self.play(end)
 
     def test_told_by_another_gateway(self) -> None:
-        def end(known: Knowledge, state: EndpointState) -> None:
+        def end(known: GatewayContext, state: EndpointState) -> None:
             data = encode(EndpointRefuses("i-0"))
-            GatewayPeers(known).datagram_received(data, ("10.0.0.9", 7000))
+            PeerProtocol(known).datagram_received(data, ("10.0.0.9", 7000))
 
         self.play(end)
 
     def test_reads_of_the_life_that_has_ended_are_not_believed(self) -> None:
         """They are on their way through the core for up to a second."""
-        read = PromptRead("i-0", "small", (("aa", 4000),))
+        read = PromptPrefill("i-0", "small", (("aa", 4000),))
         reply = SyncReply(True, reads=(read,))
 
-        def end(known: Knowledge, state: EndpointState) -> None:
+        def end(known: GatewayContext, state: EndpointState) -> None:
             now_ms = asyncio.get_running_loop().time() * 1000.0
-            news = CoreNews(known)
-            known.memory_tokens = lambda instance: 400_000  # type: ignore[method-assign]
-            news.learn_reads(reply)
-            self.assertEqual(4000, known.kept.tokens("i-0", "small", PARTS))
+            news = CoreUpdates(known)
+            known.prefix_cache_tokens = lambda instance: 400_000  # type: ignore[method-assign]
+            news.apply_prefills(reply)
+            self.assertEqual(
+                4000, known.prefix_caches.cached_tokens("i-0", "small", PARTS)
+            )
             note_refusal(known, state, now_ms)
-            news.learn_reads(reply)
+            news.apply_prefills(reply)
 
         self.play(end)
--- a/tests/test_limit_load.py
+++ b/tests/test_limit_load.py
@@ -19,7 +19,7 @@
     apply_peer_limit,
     limit_wait_ms,
 )
-from ashlatch.gateway.updates import LimitNamed
+from ashlatch.gateway.updates import RateLimitChanged
 from ashlatch.policy.rate_limit import (
     NO_LIMIT,
     OWED_MAX_S,
@@ -203,7 +203,7 @@
             world = LimitWorld(size, 2, size, Network(lost=1.0))
             world.limit(0, 2.0)
             for known in world.gateways:
-                known.core_in_touch = False
+                known.core_reachable = False
             world.play(60.0, 40.0)
             self.check(world, 0, 2.0, 10.0)
 
@@ -215,7 +215,7 @@
         for known in world.gateways:
             state = known.directory.state("i-0")
             assert state is not None and state.limit.limited
-            state.refuses(world.now_ms)
+            state.record_refusal(world.now_ms)
             self.assertFalse(state.limit.limited)
 
 
@@ -254,7 +254,7 @@
 
     def told(self, per_s: float, age_ms: float, now_ms: float) -> float:
         """What is known after another gateway's word of an answer that old."""
-        news = LimitNamed("i-0", per_s, age_ms)
+        news = RateLimitChanged("i-0", per_s, age_ms)
         apply_peer_limit(self.known, self.state, news, "g-1:7000", now_ms)
         return self.state.limit.per_s
 
@@ -285,9 +285,9 @@
 
     def test_before_the_others_are_known(self) -> None:
         """A gateway that has just started may be one of any number."""
-        self.known.cold = ColdGate(self.known.gateways[0])
+        self.known.cold_gate = ColdGate(self.known.gateways[0])
         self.assertTrue(limit_wait_ms(self.known, self.state, 60_000.0) > 0.0)
-        self.known.cold.heard_core(60_000.0)
+        self.known.cold_gate.heard_core(60_000.0)
         soon_ms = 60_000.0 + GATEWAYS_KNOWN_MS - 1.0
         self.assertTrue(limit_wait_ms(self.known, self.state, soon_ms) > 0.0)
         self.assertEqual(0.0, limit_wait_ms(self.known, self.state, soon_ms + 1.0))
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -5,7 +5,7 @@
 
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.gateway.directory import Directory, EndpointState
-from ashlatch.gateway.liveness import SilenceWatch
+from ashlatch.gateway.liveness import LivenessProber
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.http.upstream import CONNECT_TIMED_OUT, ConnectFailed, Upstream
 from ashlatch.platform.document import decode_catalog
@@ -36,7 +36,9 @@
             (state,) = directory.all()
             loop = asyncio.get_running_loop()
             state.sent(loop.time() * 1000.0)
-            watch = asyncio.create_task(SilenceWatch(directory, failing(reason)).run())
+            watch = asyncio.create_task(
+                LivenessProber(directory, failing(reason)).run()
+            )
             for _ in range(10):
                 await asyncio.sleep(0.1)
                 if progress:
@@ -67,13 +69,13 @@
             routes = standin.document()["routes"]
             slow = [{**r, "sloMs": TARGET_MS, "timeoutMs": 9000} for r in routes]
             document = standin.encoded(standin.document(routes=slow))
-            self.known.table = RouteTable(decode_catalog(document))
-            for state in self.known.directory.all():
+            self.context.table = RouteTable(decode_catalog(document))
+            for state in self.context.directory.all():
                 # The other one seems busier, so the silent one is asked first.
                 if state.endpoint.instance == "i-1":
                     state.load.in_flight = 1
-                    state.progress_ms = float("inf")
-            watch = SilenceWatch(self.known.directory, failing(reason))
+                    state.last_progress_ms = float("inf")
+            watch = LivenessProber(self.context.directory, failing(reason))
             task = asyncio.create_task(watch.run())
             loop = asyncio.get_running_loop()
             begun_s = loop.time()
--- a/tests/test_memories.py
+++ b/tests/test_memories.py
@@ -7,7 +7,7 @@
 
 from ashlatch.catalog import Endpoint
 from ashlatch.fleet.memories import PART_TOKENS_MIN, PARTS_MAX, read_memories
-from ashlatch.gateway.prefix_cache import PromptRead
+from ashlatch.gateway.prefix_cache import PromptPrefill
 from tests.gateway import hang
 from tests.standin import Script, StandIn, answer
 
@@ -20,8 +20,8 @@
 
 
 class MemoriesTest(testtools.TestCase):
-    def read(self, *scripts: Script) -> tuple[PromptRead, ...]:
-        async def run() -> tuple[PromptRead, ...]:
+    def read(self, *scripts: Script) -> tuple[PromptPrefill, ...]:
+        async def run() -> tuple[PromptPrefill, ...]:
             engines = [StandIn([script]) for script in scripts]
             for engine in engines:
                 await engine.start()
@@ -46,8 +46,8 @@
         ]
         reads = self.read(tells(held), tells([]))
         expected = {
-            PromptRead("i-0", "large", (("aa", 9000), ("cc", 4000))),
-            PromptRead("i-0", "small", (("bb", 3000),)),
+            PromptPrefill("i-0", "large", (("aa", 9000), ("cc", 4000))),
+            PromptPrefill("i-0", "small", (("bb", 3000),)),
         }
         self.assertEqual(expected, set(reads))
         headers = self.seen[0][0].headers
@@ -58,7 +58,7 @@
         refused = answer(b"", 421)
         good = tells([["", "aa", 9000, "large"]])
         reads = self.read(hang, refused, answer(b"{"), good)
-        self.assertEqual((PromptRead("i-3", "large", (("aa", 9000),)),), reads)
+        self.assertEqual((PromptPrefill("i-3", "large", (("aa", 9000),)),), reads)
 
     def test_bounded(self) -> None:
         held: Held = [["", f"p{n}", 1000 + n, "large"] for n in range(2 * PARTS_MAX)]
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -52,12 +52,12 @@
             document = standin.document(3)
             for each in document["routes"]:
                 each["sloMs"] = 162
-            self.known.table = RouteTable(decode_catalog(standin.encoded(document)))
+            self.context.table = RouteTable(decode_catalog(standin.encoded(document)))
             endpoints = (
                 Endpoint("i-0", "app", DARK, "hall-1", "v1", 8, False),
                 Endpoint("i-1", "app", worker.address, "hall-2", "v1", 8, False),
             )
-            self.known.directory.replace(EndpointList(1, 2, endpoints), 0.0)
+            self.context.directory.replace(EndpointList(1, 2, endpoints), 0.0)
             loop = asyncio.get_running_loop()
             begun_s = loop.time()
             status, _ = await self.call(ask("/once/1", method="POST"))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,8 +11,8 @@
     REPLACED_MS,
     EndpointState,
 )
-from ashlatch.gateway.peers import GatewayPeers
-from ashlatch.gateway.traffic import HallTraffic
+from ashlatch.gateway.peers import PeerProtocol
+from ashlatch.gateway.traffic import TrafficCounter
 from ashlatch.gateway.updates import (
     EndpointRefuses,
     EndpointReplaced,
@@ -31,7 +31,7 @@
         self.teller = gateway_knowledge()
         self.hearer = gateway_knowledge()
 
-    def with_sockets(self, work: Callable[[GatewayPeers], Awaitable[None]]) -> None:
+    def with_sockets(self, work: Callable[[PeerProtocol], Awaitable[None]]) -> None:
         """Two gateways that know each other, and a third that is not there."""
 
         async def run() -> None:
@@ -42,29 +42,29 @@
             peers = []
             for known, own in zip((self.teller, self.hearer), gateways, strict=False):
                 known.gateways = gateways
-                peers.append(GatewayPeers(known))
+                peers.append(PeerProtocol(known))
                 await peers[-1].start(own)
             await work(peers[0])
 
         asyncio.run(run())
 
     def test_prompts(self) -> None:
-        async def work(peers: GatewayPeers) -> None:
+        async def work(peers: PeerProtocol) -> None:
             # The hearer is in the hall of the far engines: of the near one it hears
             # when a prompt is long, and of short prompts and what is not listed
             # never.
-            peers.tell(PromptSent("i-near", 200.0))
-            peers.tell(PromptSent("i-far", 200.0))
-            peers.tell(PromptSent("i-far", 800.0))
-            peers.tell(PromptSent("i-farther", 5.0))
-            peers.tell(PromptSent("i-unknown", 800.0))
+            peers.broadcast(PromptSent("i-near", 200.0))
+            peers.broadcast(PromptSent("i-far", 200.0))
+            peers.broadcast(PromptSent("i-far", 800.0))
+            peers.broadcast(PromptSent("i-farther", 5.0))
+            peers.broadcast(PromptSent("i-unknown", 800.0))
             await asyncio.sleep(ARRIVES_S)
             now_ms = asyncio.get_running_loop().time() * 1000.0
             states = self.hearer.directory.all()
             left_ms = [s.workload.left_ms(now_ms) for s in states]
             self.assertTrue(800.0 < left_ms[1] <= 1000.0, left_ms)
             self.assertEqual([0.0, 0.0], [left_ms[0], left_ms[2]])
-            peers.tell(PromptSent("i-near", 800.0))
+            peers.broadcast(PromptSent("i-near", 800.0))
             await asyncio.sleep(ARRIVES_S)
             now_ms = asyncio.get_running_loop().time() * 1000.0
             near = self.hearer.directory.state("i-near")
@@ -85,12 +85,12 @@
             peers = []
             for known, own in zip(knowns, gateways, strict=True):
                 known.hall = own.hall
-                known.traffic = HallTraffic(own.hall, known.metrics)
+                known.traffic = TrafficCounter(own.hall, known.metrics)
                 known.gateways = gateways
-                peers.append(GatewayPeers(known))
+                peers.append(PeerProtocol(known))
                 await peers[-1].start(own)
             for _ in range(3):
-                peers[0].tell(PromptSent("i-far", 1000.0))
+                peers[0].broadcast(PromptSent("i-far", 1000.0))
             await asyncio.sleep(ARRIVES_S)
             now_ms = asyncio.get_running_loop().time() * 1000.0
             for known in knowns[1:]:
@@ -98,9 +98,9 @@
                 assert state is not None
                 left_ms = state.workload.left_ms(now_ms)
                 self.assertTrue(2000.0 < left_ms <= 3000.0, left_ms)
-            carried = [c for known in knowns for c in known.traffic.carried()]
-            crossed = sum(c.messages for c in carried if c.crosses)
-            stayed = sum(c.messages for c in carried if not c.crosses)
+            carried = [c for known in knowns for c in known.traffic.counts()]
+            crossed = sum(c.messages for c in carried if c.cross_hall)
+            stayed = sum(c.messages for c in carried if not c.cross_hall)
             self.assertEqual((3, 6), (crossed, stayed))
 
         asyncio.run(run())
@@ -115,8 +115,8 @@
             for v in ("v1", "v2")
         ]
 
-        async def work(peers: GatewayPeers) -> None:
-            peers.tell(SessionMoved("app", "s1", "v2"))
+        async def work(peers: PeerProtocol) -> None:
+            peers.broadcast(SessionMoved("app", "s1", "v2"))
             await asyncio.sleep(ARRIVES_S)
             now_ms = asyncio.get_running_loop().time() * 1000.0
             for session, version in (("s1", "v2"), ("s2", "v1")):
@@ -127,43 +127,47 @@
         self.with_sockets(work)
 
     def test_replaced_endpoints(self) -> None:
-        async def work(peers: GatewayPeers) -> None:
-            peers.tell(EndpointReplaced("i-near"))
+        async def work(peers: PeerProtocol) -> None:
+            peers.broadcast(EndpointReplaced("i-near"))
             await asyncio.sleep(ARRIVES_S)
             now_ms = asyncio.get_running_loop().time() * 1000.0
-            replaced = [s.replaced(now_ms) for s in self.hearer.directory.all()]
+            replaced = [
+                s.recently_replaced(now_ms) for s in self.hearer.directory.all()
+            ]
             self.assertEqual([True, False, False], replaced)
             later_ms = now_ms + REPLACED_MS
-            replaced = [s.replaced(later_ms) for s in self.hearer.directory.all()]
+            replaced = [
+                s.recently_replaced(later_ms) for s in self.hearer.directory.all()
+            ]
             self.assertEqual([False, False, False], replaced)
 
         self.with_sockets(work)
 
     def test_endpoints_that_refuse_are_left(self) -> None:
-        async def work(peers: GatewayPeers) -> None:
-            peers.tell(EndpointRefuses("i-far"))
+        async def work(peers: PeerProtocol) -> None:
+            peers.broadcast(EndpointRefuses("i-far"))
             await asyncio.sleep(ARRIVES_S)
             now_ms = asyncio.get_running_loop().time() * 1000.0
             states = list(self.hearer.directory.all())
             allowed = [s.breaker.allows(now_ms) for s in states]
             self.assertEqual([True, False, True], allowed)
-            self.assertFalse(states[1].refuses(now_ms))
-            self.assertTrue(states[1].refuses(now_ms + BREAKER_OPEN_MS))
+            self.assertFalse(states[1].record_refusal(now_ms))
+            self.assertTrue(states[1].record_refusal(now_ms + BREAKER_OPEN_MS))
 
         self.with_sockets(work)
 
     def test_a_taken_port_hinders_nothing(self) -> None:
         async def run() -> None:
             taken = GatewayVm(f"{HOST}:{free_port()}", "here")
-            first, second = GatewayPeers(self.teller), GatewayPeers(self.hearer)
+            first, second = PeerProtocol(self.teller), PeerProtocol(self.hearer)
             await first.start(taken)
             await second.start(taken)
             self.hearer.gateways = (taken, GatewayVm("127.0.0.1:1", "here"))
-            second.tell(PromptSent("i-near", 800.0))
+            second.broadcast(PromptSent("i-near", 800.0))
 
         asyncio.run(run())
 
     def test_garbage_is_counted(self) -> None:
-        peers = GatewayPeers(self.hearer)
+        peers = PeerProtocol(self.hearer)
         peers.datagram_received(b"\xc1garbage", ("127.0.0.1", 1))
         self.assertIn("datagrams_unreadable_total 1", self.hearer.metrics.text())
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -4,7 +4,12 @@
 
 from ashlatch.fleet.reads import READS_MAX, ReadLog
 from ashlatch.gateway.message import PromptPart
-from ashlatch.gateway.prefix_cache import FRESH_MS, KEPT_MS, KeptParts, PromptRead
+from ashlatch.gateway.prefix_cache import (
+    EXPIRY_MS,
+    RECENT_USE_MS,
+    PrefixCaches,
+    PromptPrefill,
+)
 
 SHARED = PromptPart("shared", 1000)
 SUBJECT = PromptPart("subject", 5000)
@@ -16,58 +21,60 @@
 class KeptPartsTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.kept = KeptParts()
+        self.kept = PrefixCaches()
 
     def read(
         self, parts: tuple[PromptPart, ...], at_ms: float = 0.0, model: str = "m"
     ) -> None:
-        self.kept.read("i", model, parts, MEMORY_TOKENS, at_ms)
+        self.kept.record_prefill("i", model, parts, MEMORY_TOKENS, at_ms)
 
     def test_leading_parts_for_the_same_model(self) -> None:
         self.read(PROMPT)
         other = PromptPart("other", 300)
-        self.assertEqual(6300, self.kept.tokens("i", "m", PROMPT))
-        self.assertEqual(6000, self.kept.tokens("i", "m", (SHARED, SUBJECT, other)))
-        self.assertEqual(0, self.kept.tokens("i", "m", (other, SUBJECT)))
-        self.assertEqual(0, self.kept.tokens("i", "larger", PROMPT))
-        self.assertEqual(0, self.kept.tokens("j", "m", PROMPT))
+        self.assertEqual(6300, self.kept.cached_tokens("i", "m", PROMPT))
+        self.assertEqual(
+            6000, self.kept.cached_tokens("i", "m", (SHARED, SUBJECT, other))
+        )
+        self.assertEqual(0, self.kept.cached_tokens("i", "m", (other, SUBJECT)))
+        self.assertEqual(0, self.kept.cached_tokens("i", "larger", PROMPT))
+        self.assertEqual(0, self.kept.cached_tokens("j", "m", PROMPT))
 
     def test_least_recently_used_give_way(self) -> None:
         for n in range(3):
             self.read((SHARED, PromptPart(f"s{n}", 5000)), n)
-        last = self.kept.tokens("i", "m", (SHARED, PromptPart("s2", 5000)))
+        last = self.kept.cached_tokens("i", "m", (SHARED, PromptPart("s2", 5000)))
         self.assertEqual(6000, last)
-        first = self.kept.tokens("i", "m", (SHARED, PromptPart("s0", 5000)))
+        first = self.kept.cached_tokens("i", "m", (SHARED, PromptPart("s0", 5000)))
         self.assertEqual(1000, first)
 
     def test_what_is_old_is_not_believed(self) -> None:
         self.read(PROMPT)
-        self.read((PromptPart("new", 10),), KEPT_MS + 1.0)
-        self.assertEqual(0, self.kept.tokens("i", "m", PROMPT))
+        self.read((PromptPart("new", 10),), EXPIRY_MS + 1.0)
+        self.assertEqual(0, self.kept.cached_tokens("i", "m", PROMPT))
 
     def test_engines_that_are_gone(self) -> None:
         self.read(PROMPT)
-        self.kept.keep_only(frozenset({"j"}))
-        self.assertEqual(0, self.kept.tokens("i", "m", PROMPT))
+        self.kept.retain(frozenset({"j"}))
+        self.assertEqual(0, self.kept.cached_tokens("i", "m", PROMPT))
 
     def test_shared_parts_are_told_once(self) -> None:
-        self.kept.note("i", "m", PROMPT, 0.0)
+        self.kept.queue_report("i", "m", PROMPT, 0.0)
         self.read(PROMPT)
-        self.kept.note("i", "m", PROMPT, 1.0)
-        self.kept.note("i", "m", (OWN,), 1.0)
+        self.kept.queue_report("i", "m", PROMPT, 1.0)
+        self.kept.queue_report("i", "m", (OWN,), 1.0)
         told = (("shared", 1000), ("subject", 5000))
-        notes = self.kept.take_notes()
-        self.assertEqual((PromptRead("i", "m", told),), notes)
-        self.assertEqual((), self.kept.take_notes())
-        self.kept.put_back(notes)
-        self.assertEqual(notes, self.kept.take_notes())
-        self.kept.note("i", "m", PROMPT, FRESH_MS + 1.0)
-        self.assertEqual(notes, self.kept.take_notes())
+        notes = self.kept.take_reports()
+        self.assertEqual((PromptPrefill("i", "m", told),), notes)
+        self.assertEqual((), self.kept.take_reports())
+        self.kept.restore_reports(notes)
+        self.assertEqual(notes, self.kept.take_reports())
+        self.kept.queue_report("i", "m", PROMPT, RECENT_USE_MS + 1.0)
+        self.assertEqual(notes, self.kept.take_reports())
 
 
 class ReadLogTest(testtools.TestCase):
-    def reads(self, *names: str) -> tuple[PromptRead, ...]:
-        return tuple(PromptRead(name, "m", ()) for name in names)
+    def reads(self, *names: str) -> tuple[PromptPrefill, ...]:
+        return tuple(PromptPrefill(name, "m", ()) for name in names)
 
     def test_what_is_newer(self) -> None:
         log = ReadLog()
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -111,7 +111,7 @@
 
         def prepare() -> None:
             now_ms = asyncio.get_running_loop().time() * 1000.0
-            state = self.known.directory.state("i-1")
+            state = self.context.directory.state("i-1")
             assert state is not None
             # There is room again before the first endpoint has been silent for long.
             state.limit.set_rate(5.0, Sharers(), 0.0, now_ms)
@@ -146,9 +146,9 @@
                 Endpoint(f"i-{n}", "app", e.worker.address, "hall-1", version, 8, False)
                 for n, (e, version) in enumerate(((new, "v2"), (old, "v1")))
             )
-            self.known.directory.replace(EndpointList(1, 2, listed), 0.0)
+            self.context.directory.replace(EndpointList(1, 2, listed), 0.0)
             trial = Rollout("app", "v2", RolloutStage.TRIAL, 0.5, 1, 1000.0)
-            self.known.versions.learn([trial])
+            self.context.versions.learn([trial])
 
         self.prepare = prepare  # type: ignore[method-assign]
         one_id = ask("/get/1")
--- a/tests/test_recipients.py
+++ b/tests/test_recipients.py
@@ -10,7 +10,7 @@
 import testtools
 
 from ashlatch.catalog import GatewayVm
-from ashlatch.gateway.recipients import Audience, audience_of_prompt
+from ashlatch.gateway.recipients import Recipients, prompt_recipients
 
 HALLS = {"north": 36, "south": 40, "east": 44, "west": 38, "centre": 37}
 GATEWAYS = tuple(
@@ -27,16 +27,16 @@
     engine_hall: str = "north",
     gateways: tuple[GatewayVm, ...] = GATEWAYS,
     seed: int = 1,
-) -> Audience:
-    return audience_of_prompt(read_ms, engine_hall, OWN, gateways, random.Random(seed))
+) -> Recipients:
+    return prompt_recipients(read_ms, engine_hall, OWN, gateways, random.Random(seed))
 
 
 class AudienceTest(testtools.TestCase):
     def test_a_long_prompt_crosses_once_for_each_hall(self) -> None:
         told = audience(LONG_MS)
-        self.assertEqual(35, len(told.near))
-        self.assertEqual({"north"}, {g.hall for g in told.near})
-        self.assertNotIn(OWN, told.near)
+        self.assertEqual(35, len(told.direct))
+        self.assertEqual({"north"}, {g.hall for g in told.direct})
+        self.assertNotIn(OWN, told.direct)
         self.assertEqual(
             ["centre", "east", "south", "west"], [g.hall for g in told.relays]
         )
@@ -44,11 +44,11 @@
     def test_another_prompt_concerns_two_halls(self) -> None:
         self.assertEqual((), audience(MIDDLE_MS).relays)
         far = audience(MIDDLE_MS, "east")
-        self.assertEqual(35, len(far.near))
+        self.assertEqual(35, len(far.direct))
         self.assertEqual(["east"], [g.hall for g in far.relays])
 
     def test_a_short_one_concerns_nobody(self) -> None:
-        self.assertEqual(Audience(), audience(SHORT_MS, "east"))
+        self.assertEqual(Recipients(), audience(SHORT_MS, "east"))
 
     def test_every_gateway_relays_its_share(self) -> None:
         """One that has died takes no more than that with it."""
@@ -63,6 +63,6 @@
     def test_halls_with_one_gateway_and_with_none(self) -> None:
         alone = (OWN, GatewayVm("10.9.0.1:7000", "island"))
         told = audience(LONG_MS, "island", alone)
-        self.assertEqual(Audience((), alone[1:]), told)
-        self.assertEqual(Audience(), audience(LONG_MS, "nowhere", (OWN,)))
-        self.assertEqual(Audience(), audience(LONG_MS, "north", ()))
+        self.assertEqual(Recipients((), alone[1:]), told)
+        self.assertEqual(Recipients(), audience(LONG_MS, "nowhere", (OWN,)))
+        self.assertEqual(Recipients(), audience(LONG_MS, "north", ()))
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -31,13 +31,13 @@
             each["allowedRegions"] = route
         for each in document["tenants"]:
             each["allowedRegions"] = organisation
-        self.known.table = RouteTable(decode_catalog(standin.encoded(document)))
-        self.known.regions = REGIONS
+        self.context.table = RouteTable(decode_catalog(standin.encoded(document)))
+        self.context.regions = REGIONS
         endpoints = tuple(
             Endpoint(f"i-{n}", "app", worker.address, hall, "v1", 8, False)
             for n, (worker, hall) in enumerate(zip(self.workers, REGIONS, strict=True))
         )
-        self.known.directory.replace(EndpointList(1, 2, endpoints), 0.0)
+        self.context.directory.replace(EndpointList(1, 2, endpoints), 0.0)
 
     def answered(self, route: list[str], organisation: list[str]) -> list[int]:
         """How many of 20 requests each endpoint got."""
@@ -80,7 +80,7 @@
     def test_a_hall_of_no_known_region(self) -> None:
         async def work() -> None:
             self.bind(["north"], [])
-            self.known.regions = {}
+            self.context.regions = {}
             self.assertEqual(503, (await self.call(ask("/get/1")))[0])
 
         self.run_gateway(self.workers, work)
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -48,10 +48,10 @@
 from ashlatch.fleet.spread import Spread
 from ashlatch.fleet.verdict import Evidence, decide
 from ashlatch.gateway.budget import BudgetTerms
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.peer_updates import HEARD, Teller
-from ashlatch.gateway.peers import GatewayPeers
+from ashlatch.gateway.peer_updates import PEER_HANDLERS, Sender
+from ashlatch.gateway.peers import PeerProtocol
 from ashlatch.gateway.session_news import announce_session
 from ashlatch.gateway.sessions import (
     MARKS,
@@ -60,7 +60,7 @@
     session_mark,
 )
 from ashlatch.gateway.tally import Tally, TallyKey
-from ashlatch.gateway.updates import PeerNews, SessionMoved
+from ashlatch.gateway.updates import PeerUpdate, SessionMoved
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 from tests import standin
@@ -138,9 +138,9 @@
                 seen = state.endpoint.version
 
 
-def gateway_knowledge() -> Knowledge:
+def gateway_knowledge() -> GatewayContext:
     """A gateway after a load test, which remembers sessions for 1.1 s."""
-    known = Knowledge(
+    known = GatewayContext(
         "hall-1",
         "vm-1",
         VersionChooser(SessionVersions(100.0)),
@@ -153,7 +153,7 @@
     return known
 
 
-def chosen_version(known: Knowledge, session: str, now_ms: float) -> str:
+def chosen_version(known: GatewayContext, session: str, now_ms: float) -> str:
     states = known.directory.of_service("app")
     allowed = known.versions.allowed("app", session, "r", states, now_ms)
     (version,) = {state.endpoint.version for state in allowed.states}
@@ -172,7 +172,7 @@
             known = gateway_knowledge()
             now_ms = asyncio.get_running_loop().time() * 1000.0
             self.assertEqual("v1", chosen_version(known, "s1", now_ms))
-            GatewayPeers(known).datagram_received(self.MOVED, ("127.0.0.9", 1))
+            PeerProtocol(known).datagram_received(self.MOVED, ("127.0.0.9", 1))
             for later_ms in (0.0, 1000.0, 8000.0):
                 self.assertEqual("v2", chosen_version(known, "s1", now_ms + later_ms))
 
@@ -197,18 +197,18 @@
 
         async def work() -> None:
             running = Rollout("app", "v2", RolloutStage.SETTLE, 0.0, 1, DURATION_MS)
-            self.known.versions.learn([running])
+            self.context.versions.learn([running])
             call = asyncio.ensure_future(self.call(ask("/stream/1", ASK_STREAM)))
             while not worker.seen:
                 await asyncio.sleep(0.01)
-            peers = GatewayPeers(self.known)
+            peers = PeerProtocol(self.context)
             peers.datagram_received(self.MOVED, ("127.0.0.9", 1))
             moved.set()
             self.assertEqual(200, (await call)[0])
             listed = (OLD, NEW)
-            self.known.directory.replace(EndpointList(1, 2, listed), 0.0)
+            self.context.directory.replace(EndpointList(1, 2, listed), 0.0)
             now_ms = asyncio.get_running_loop().time() * 1000.0
-            self.assertEqual("v2", chosen_version(self.known, "s1", now_ms))
+            self.assertEqual("v2", chosen_version(self.context, "s1", now_ms))
 
         self.run_gateway([worker], work)
 
@@ -255,13 +255,15 @@
     def test_gateways_hear_late_that_the_trial_has_begun(self) -> None:
         self.check(Load(61, 150.0, heard_within_ms=600.0, delay_ms=20.0), 3)
 
-    def trial(self, known: Knowledge, share: float, now_ms: float) -> list[PeerNews]:
+    def trial(
+        self, known: GatewayContext, share: float, now_ms: float
+    ) -> list[PeerUpdate]:
         """Have a gateway learn of a trial; what it tells from then on."""
         number = 2 if share == 0.0 else 3
         trial = Rollout("app", "v2", RolloutStage.TRIAL, share, number, DURATION_MS)
         known.versions.learn([trial], now_ms)
-        told: list[PeerNews] = []
-        known.tell = told.append
+        told: list[PeerUpdate] = []
+        known.broadcast = told.append
         return told
 
     def test_a_session_that_runs_before_the_trial_is_told_twice(self) -> None:
@@ -286,7 +288,7 @@
         announce_session(there, "app", "s1", "v2", 1100.0)
         self.assertEqual([SessionMoved("app", "s1", "v2")], told)
         self.assertEqual("v1", chosen_version(late, "s1", 1200.0))
-        HEARD.call(late, told[0], Teller("g", 1200.0))
+        PEER_HANDLERS.call(late, told[0], Sender("g", 1200.0))
         self.assertEqual("v2", chosen_version(late, "s1", 1200.0))
 
     def test_a_trial_that_goes_on_tells_nothing(self) -> None:
@@ -294,8 +296,8 @@
         for number, share in ((2, 0.0), (3, 0.07)):
             trial = Rollout("app", "v2", RolloutStage.TRIAL, share, number, DURATION_MS)
             known.versions.learn([trial], 1000.0 * number)
-        told: list[PeerNews] = []
-        known.tell = told.append
+        told: list[PeerUpdate] = []
+        known.broadcast = told.append
         for number in range(100):
             announce_session(known, "app", f"s{number}", "v2", 4500.0)
             announce_session(known, "app", f"t{number}", "v1", 4500.0)
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -6,17 +6,17 @@
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncReply, SyncRequest, gateways_digest
 from ashlatch.fleet.spread import GATEWAYS_SETTLE_MS, TOLD_MAX, Spread
-from ashlatch.gateway.prefix_cache import PromptRead
+from ashlatch.gateway.prefix_cache import PromptPrefill
 
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
 ONE = GatewayVm("10.0.0.1:7000", "hall-1")
 TWO = GatewayVm("10.0.0.2:7000", "hall-2")
-READ = PromptRead("i-1", "large", (("aa", 9000),))
+READ = PromptPrefill("i-1", "large", (("aa", 9000),))
 
 
 def request(
     *gateways: GatewayVm,
-    reads: tuple[PromptRead, ...] = (),
+    reads: tuple[PromptPrefill, ...] = (),
     reads_known: tuple[int, int] = (0, 0),
     gateways_known: int = 0,
     sessions: tuple[SessionMarks, ...] = (),
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -23,9 +23,9 @@
 from ashlatch.fleet.spread import Spread
 from ashlatch.gateway import sync
 from ashlatch.gateway.budget import BudgetTerms
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.sessions import SessionVersions, session_mark
-from ashlatch.gateway.sync import FleetLink
+from ashlatch.gateway.sync import CoreSync
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 from ashlatch.settings import GatewaySettings, read
@@ -85,8 +85,8 @@
         return reply
 
 
-def gateway_knowledge() -> Knowledge:
-    return Knowledge(
+def gateway_knowledge() -> GatewayContext:
+    return GatewayContext(
         "hall-1",
         "vm-1",
         VersionChooser(SessionVersions(5000.0)),
@@ -105,10 +105,10 @@
         async def run() -> list[tuple[float, tuple[int, ...]]]:
             known = gateway_knowledge()
             seeds = Seeds(SETTINGS, lambda: SETTINGS)
-            link = FleetLink(known, seeds, "x:1", 10_000.0, OWN)
-            book = link._book = Book(SyncReply(True), holds=True)
+            link = CoreSync(known, seeds, "x:1", 10_000.0, OWN)
+            book = link._peers = Book(SyncReply(True), holds=True)
             tasks = [asyncio.create_task(link.run())]
-            tasks.append(asyncio.create_task(link.tell_urgent()))
+            tasks.append(asyncio.create_task(link.report_urgent()))
             await asyncio.sleep(0.1)
             stage = RolloutStage.LOAD_TEST
             known.versions.learn([Rollout("app", "v2", stage, 0.0, 1, 1000.0)])
@@ -154,11 +154,11 @@
 
         async def run() -> set[str]:
             known = gateway_knowledge()
-            link = FleetLink(known, Seeds(SETTINGS, lambda: SETTINGS), "x:1", 20.0, OWN)
-            book = link._book = Book(SyncReply(True, self.MEMBERS), holds=True)
+            link = CoreSync(known, Seeds(SETTINGS, lambda: SETTINGS), "x:1", 20.0, OWN)
+            book = link._peers = Book(SyncReply(True, self.MEMBERS), holds=True)
             book.own_replies[self.NEAR.address] = reply
             tasks = [asyncio.create_task(link.run())]
-            tasks.append(asyncio.create_task(link.stay_near()))
+            tasks.append(asyncio.create_task(link.prefer_local_core()))
             await asyncio.sleep(0.3)
             book.asked.clear()
             await asyncio.sleep(0.1)
@@ -166,7 +166,7 @@
                 task.cancel()
             return {address for address, wait_ms, _ in book.asked if wait_ms}
 
-        self.patch(sync, "NEARER_S", (0.05, 0.1))
+        self.patch(sync, "LOCAL_CORE_RETRY_S", (0.05, 0.1))
         return asyncio.run(run())
 
     def test_goes_to_its_own_hall(self) -> None:
@@ -189,10 +189,8 @@
 
         async def run() -> list[tuple[str, float, float]]:
             known = gateway_knowledge()
-            link = FleetLink(
-                known, Seeds(SETTINGS, lambda: SETTINGS), "x:1", 500.0, OWN
-            )
-            book = link._book = Book(reply)
+            link = CoreSync(known, Seeds(SETTINGS, lambda: SETTINGS), "x:1", 500.0, OWN)
+            book = link._peers = Book(reply)
             task = asyncio.create_task(link.run())
             await asyncio.sleep(0.5)
             task.cancel()
--- a/tests/test_traffic_counts.py
+++ b/tests/test_traffic_counts.py
@@ -2,19 +2,19 @@
 
 import testtools
 
-from ashlatch.gateway.traffic import Carried, HallTraffic, TrafficKind
+from ashlatch.gateway.traffic import TrafficCount, TrafficCounter, TrafficKind
 from ashlatch.metrics import Metrics
 
 
 class HallTrafficTest(testtools.TestCase):
     def test_what_crosses_is_told_from_what_stays(self) -> None:
         metrics = Metrics()
-        traffic = HallTraffic("here", metrics)
+        traffic = TrafficCounter("here", metrics)
         for hall, data_bytes in (("here", 100), ("there", 30), ("there", 12)):
             traffic.add(TrafficKind.REQUEST, hall, data_bytes)
-        own = Carried(TrafficKind.REQUEST, False, 1, 100)
-        other = Carried(TrafficKind.REQUEST, True, 2, 42)
-        self.assertEqual((own, other), traffic.carried())
+        own = TrafficCount(TrafficKind.REQUEST, False, 1, 100)
+        other = TrafficCount(TrafficKind.REQUEST, True, 2, 42)
+        self.assertEqual((own, other), traffic.counts())
         shown = metrics.text()
         self.assertIn("request_other_hall_total 2", shown)
         self.assertIn("request_other_hall_bytes_total 42", shown)
--- a/tests/test_verdict.py
+++ b/tests/test_verdict.py
@@ -4,7 +4,7 @@
 
 from ashlatch.catalog import Rollout, RolloutStage
 from ashlatch.fleet.verdict import Decision, Evidence, decide
-from ashlatch.gateway.tally import Tallies, Tally, TallyKey, step_of
+from ashlatch.gateway.tally import Tallies, Tally, TallyKey, bucket_of
 
 
 class VerdictTest(testtools.TestCase):
@@ -26,7 +26,7 @@
     ) -> Tally:
         """Answers that begin after 60 ms, or eight times as late."""
         key = TallyKey("app", version, route)
-        times = {step_of(60.0): answered - late, step_of(480.0): late}
+        times = {bucket_of(60.0): answered - late, bucket_of(480.0): late}
         return Tally(key, answered, failed, times)
 
     def decide(self, part: float, evidence: Evidence, share: float = 0.1) -> Decision:
@@ -73,7 +73,7 @@
         evidence = self.evidence(answered=8)
         tallies = Tallies()
         for _ in range(6):
-            tallies.begun(TallyKey("app", "v2", "r"), 450.0)
+            tallies.started(TallyKey("app", "v2", "r"), 450.0)
         evidence.add(tallies.take(), 0.0)
         self.assertEqual(RolloutStage.ROLLED_BACK, self.decide(0.2, evidence).stage)
 
