--- a/ashlatch/fleet/leader_link.py
+++ b/ashlatch/fleet/leader_link.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from ashlatch.fleet.soft_state import SoftState
-from ashlatch.gateway.prefix_cache import PromptRead
+from ashlatch.gateway.prefix_cache import PromptPrefill
 
 from ashlatch.catalog import CoreVm
 from ashlatch.errors import TransportError
@@ -109,7 +109,7 @@
         self,
         wait_ms: float,
         tallies: tuple[Tally, ...] = (),
-        prefills: tuple[PromptRead, ...] = (),
+        prefills: tuple[PromptPrefill, ...] = (),
     ) -> SyncRequest:
         state = self.state()
         return SyncRequest(
--- a/ashlatch/fleet/prefill_log.py
+++ b/ashlatch/fleet/prefill_log.py
@@ -13,7 +13,7 @@
 from collections import deque
 from itertools import islice
 
-from ashlatch.gateway.prefix_cache import PromptRead
+from ashlatch.gateway.prefix_cache import PromptPrefill
 
 __all__ = [
     "PrefillLog",
@@ -38,9 +38,9 @@
 
     def __init__(self) -> None:
         self.position: Position = (0, 0)
-        self._prefills: deque[PromptRead] = deque(maxlen=PREFILLS_MAX)
+        self._prefills: deque[PromptPrefill] = deque(maxlen=PREFILLS_MAX)
 
-    def extend(self, term: int, prefills: tuple[PromptRead, ...]) -> None:
+    def extend(self, term: int, prefills: tuple[PromptPrefill, ...]) -> None:
         """Numbers and appends new prefills, as the leader of a term."""
         known_term, number = self.position
         if term != known_term:
@@ -49,14 +49,14 @@
         self._prefills.extend(prefills)
         self.position = (term, number + len(prefills))
 
-    def apply(self, position: Position, prefills: tuple[PromptRead, ...]) -> None:
+    def apply(self, position: Position, prefills: tuple[PromptPrefill, ...]) -> None:
         """Appends the leader's prefills up to a position."""
         if position[0] != self.position[0]:
             self._prefills.clear()
         self._prefills.extend(prefills)
         self.position = position
 
-    def since(self, position: Position) -> tuple[PromptRead, ...]:
+    def since(self, position: Position) -> tuple[PromptPrefill, ...]:
         """Returns the prefills after a position; all retained ones for another term."""
         term, number = self.position
         newer = number - position[1] if position[0] == term else number
--- a/ashlatch/fleet/prefix_caches.py
+++ b/ashlatch/fleet/prefix_caches.py
@@ -17,7 +17,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ashlatch.gateway.prefix_cache import PromptRead
+from ashlatch.gateway.prefix_cache import PromptPrefill
 
 from ashlatch.catalog import Endpoint
 from ashlatch.errors import AshlatchError
@@ -57,11 +57,13 @@
     reason: str
 
 
-async def read_prefix_caches(engines: tuple[Endpoint, ...]) -> tuple[PromptRead, ...]:
+async def read_prefix_caches(
+    engines: tuple[Endpoint, ...],
+) -> tuple[PromptPrefill, ...]:
     """Reads the caches of all engines at once; skips engines that do not answer."""
     reads = (_read_prefix_cache(engine) for engine in engines)
     replies = await asyncio.gather(*reads, return_exceptions=True)
-    prefills: list[PromptRead] = []
+    prefills: list[PromptPrefill] = []
     failed = 0
     for engine, reply in zip(engines, replies, strict=True):
         if isinstance(reply, MemoryUnreadable):
@@ -107,7 +109,7 @@
 
 def _to_prefills(
     instance: str, cached: Iterable[KeptPart], parts_max: int
-) -> list[PromptRead]:
+) -> list[PromptPrefill]:
     """Returns the longest cached prefixes of an engine, by model."""
     long_parts = [part for part in cached if part.tokens >= PART_TOKENS_MIN]
     long_parts.sort(key=lambda part: part.tokens, reverse=True)
@@ -115,5 +117,6 @@
     for part in long_parts[:parts_max]:
         by_model[part.model].append((part.part_id, part.tokens))
     return [
-        PromptRead(instance, model, tuple(parts)) for model, parts in by_model.items()
+        PromptPrefill(instance, model, tuple(parts))
+        for model, parts in by_model.items()
     ]
--- a/ashlatch/fleet/protocol.py
+++ b/ashlatch/fleet/protocol.py
@@ -10,7 +10,7 @@
 
 import msgspec
 import xxhash
-from ashlatch.gateway.prefix_cache import PromptRead
+from ashlatch.gateway.prefix_cache import PromptPrefill
 from ashlatch.policy.prefill_rate import PrefillRate
 
 from ashlatch.catalog import (
@@ -66,7 +66,7 @@
     wait_ms: float
     tallies: tuple[Tally, ...] = ()
     sessions: tuple[SessionHashes, ...] = ()
-    prefills: tuple[PromptRead, ...] = ()
+    prefills: tuple[PromptPrefill, ...] = ()
     prefills_known: tuple[int, int] = (0, 0)
     gateways_known: int = 0
     core: CoreVm | None = None
@@ -101,7 +101,7 @@
     endpoints: EndpointList | None = None
     rollouts: tuple[Rollout, ...] = ()
     list_age_ms: float = 0.0
-    prefills: tuple[PromptRead, ...] = ()
+    prefills: tuple[PromptPrefill, ...] = ()
     prefills_known: tuple[int, int] = (0, 0)
     rates: tuple[PrefillRate, ...] = ()
     crashes: tuple[CrashRecord, ...] = ()
--- a/ashlatch/fleet/soft_state.py
+++ b/ashlatch/fleet/soft_state.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable
 
 from ashlatch.fleet.prefill_log import PrefillLog
-from ashlatch.gateway.prefix_cache import PromptRead
+from ashlatch.gateway.prefix_cache import PromptPrefill
 from ashlatch.policy.prefill_rate import PrefillRates
 
 from ashlatch.catalog import CoreVm, EndpointList, GatewayVm, SessionHashes
@@ -59,7 +59,7 @@
         # Gateways of one hall together observe many prefills of an engine each second.
         # One of 39 gateways alone observes too few to know a rate before it needs it.
         self._rates = PrefillRates()
-        self._pending_prefills: list[PromptRead] = []
+        self._pending_prefills: list[PromptPrefill] = []
         self._started_ms = monotonic_ms()
         self._list_read_ms = self._started_ms
         self._leader_term = 0
@@ -113,12 +113,12 @@
             self.urgent.set()
         moved.update(dict.fromkeys(sessions.moved, now_ms))
 
-    def add_prefills(self, prefills: tuple[PromptRead, ...]) -> None:
+    def add_prefills(self, prefills: tuple[PromptPrefill, ...]) -> None:
         """Adds prefills for the leader; drops the oldest beyond the limit."""
         self._pending_prefills.extend(prefills)
         del self._pending_prefills[:-PENDING_PREFILLS_MAX]
 
-    def take_prefills(self) -> tuple[PromptRead, ...]:
+    def take_prefills(self) -> tuple[PromptPrefill, ...]:
         """Returns the prefills that were not sent to the leader yet."""
         pending, self._pending_prefills = self._pending_prefills, []
         return tuple(pending)
--- a/ashlatch/gateway/admission.py
+++ b/ashlatch/gateway/admission.py
@@ -12,13 +12,13 @@
 import logging
 from dataclasses import dataclass
 
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.fingerprint import fingerprint_text, request_fingerprint
 
 from ashlatch.catalog import Organisation, Route, Service
 from ashlatch.clock import unix_ms
-from ashlatch.gateway.logs import RequestHeld
-from ashlatch.gateway.message import Ask, RefusalReason
+from ashlatch.gateway.logs import QuarantinedRequestRefused
+from ashlatch.gateway.message import CallerRequest, RefusalReason
 from ashlatch.http.connection import Responder
 from ashlatch.log import emit
 from ashlatch.platform.headers import refusal_headers
@@ -47,7 +47,7 @@
     `fingerprint` identifies what the request asks for. After `deadline_s` it times out.
     """
 
-    request: Ask
+    request: CallerRequest
     route: Route
     service: Service
     organisation: Organisation | None
@@ -91,7 +91,7 @@
     retry_after_s: float | None = None
 
 
-def admit(context: Knowledge, request: Ask) -> Admission | Refused:
+def admit(context: GatewayContext, request: CallerRequest) -> Admission | Refused:
     """Finds the route, organisation and service of a request."""
     table = context.table
     if table is None:
@@ -105,8 +105,8 @@
         if organisation is None:
             return Refused(401, RefusalReason.UNKNOWN_KEY)
     wait_ms = route.held_max_ms
-    if request.patience_ms is not None:
-        wait_ms = min(wait_ms, request.patience_ms)
+    if request.timeout_ms is not None:
+        wait_ms = min(wait_ms, request.timeout_ms)
     fingerprint = request_fingerprint(
         request, organisation.name if organisation else ""
     )
@@ -115,7 +115,7 @@
         crashes = context.quarantine.crash_count(fingerprint)
         wait_ms = int(context.quarantine.remaining_ms(fingerprint, unix_ms()))
         text = fingerprint_text(fingerprint)
-        emit(log, RequestHeld(request.request_id, text, crashes, wait_ms))
+        emit(log, QuarantinedRequestRefused(request.request_id, text, crashes, wait_ms))
         return refusal
     return Admission(
         request,
@@ -128,7 +128,7 @@
     )
 
 
-def quarantine_refusal(context: Knowledge, fingerprint: int) -> Refused | None:
+def quarantine_refusal(context: GatewayContext, fingerprint: int) -> Refused | None:
     """Returns the refusal of a request that is quarantined for crashing endpoints."""
     quarantined_ms = context.quarantine.remaining_ms(fingerprint, unix_ms())
     if not quarantined_ms:
--- a/ashlatch/gateway/attempt.py
+++ b/ashlatch/gateway/attempt.py
@@ -20,7 +20,7 @@
 from ashlatch.errors import AshlatchError
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Forecast
-from ashlatch.gateway.message import AnswerHead, Ask, Dispatch, LoadFigures
+from ashlatch.gateway.message import AnswerHead, CallerRequest, Dispatch, LoadFigures
 from ashlatch.gateway.pool import ConnectionPool
 from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
 from ashlatch.platform.headers import decode_answer, endpoint_headers
@@ -95,7 +95,7 @@
         self,
         state: EndpointState,
         pool: ConnectionPool,
-        request: Ask,
+        request: CallerRequest,
         dispatch: Dispatch,
         repeatable: bool,
         forecast: Forecast | None = None,
@@ -147,7 +147,7 @@
             # An endpoint that sheds reports that it is idle.
             self.load = head.load
         if self.load is not None:
-            self.state.tell_load(self.load, self._now_ms())
+            self.state.apply_load(self.load, self._now_ms())
         if head.request_id in ("", self._request.request_id) and not head.misdirected:
             # Any other head may come from another endpoint.
             self.unapplied_head = head
@@ -191,11 +191,11 @@
         """Receives something; the deadline is moved if the endpoint is unreachable."""
         if timeout.silence_s is None:
             return await receive()
-        self.state.awaited.add(deadline)
+        self.state.pending_timeouts.add(deadline)
         try:
             return await receive()
         finally:
-            self.state.awaited.discard(deadline)
+            self.state.pending_timeouts.discard(deadline)
 
     def finish(self) -> None:
         """Ends an attempt with a complete answer; keeps the connection if permitted."""
@@ -203,7 +203,9 @@
         connection = self._detach_connection()
         if connection.release(self._loop.time()):
             kept_max = self._connections_max - self.state.load.in_flight + 1
-            self._pool.keep(self.state.endpoint, connection, self.head.idle_s, kept_max)
+            self._pool.release(
+                self.state.endpoint, connection, self.head.idle_s, kept_max
+            )
         self._release_slot()
 
     def close(self) -> None:
--- a/ashlatch/gateway/choice.py
+++ b/ashlatch/gateway/choice.py
@@ -13,12 +13,12 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 
 from ashlatch.catalog import Route, Service
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Forecast, Forecaster, Send
-from ashlatch.gateway.message import Ask
+from ashlatch.gateway.message import CallerRequest
 from ashlatch.gateway.permission import send_permission
 from ashlatch.gateway.versions import AllowedEndpoints
 from ashlatch.policy.endpoint import Candidate
@@ -84,7 +84,7 @@
 
 
 def choose_endpoint(
-    context: Knowledge,
+    context: GatewayContext,
     service: Service,
     allowed: AllowedEndpoints,
     tried: frozenset[str],
@@ -132,7 +132,7 @@
 
 
 def _permitted(
-    context: Knowledge,
+    context: GatewayContext,
     service: Service,
     states: Iterable[EndpointState],
     now_ms: float,
@@ -155,7 +155,7 @@
     """Returns the endpoints that were not tried, without unhealthy ones if possible."""
     untried = [s for s in states if s.endpoint.instance not in tried]
     responsive = [s for s in untried if _likely_answers(s, now_ms)]
-    reliable = [s for s in responsive if s.failing < FAILURE_SHARE_MAX]
+    reliable = [s for s in responsive if s.failure_ratio < FAILURE_SHARE_MAX]
     progressing = [s for s in reliable if not s.stalled(now_ms)]
     return progressing or reliable or responsive or untried
 
@@ -165,7 +165,7 @@
     return state.breaker.allows(now_ms) and not state.backoff.may_shed(now_ms)
 
 
-def first_model(route: Route, request: Ask) -> str:
+def first_model(route: Route, request: CallerRequest) -> str:
     """Returns the first model for a request, or empty to keep the caller's."""
     if not route.models or request.model or not request.names_model:
         return ""
@@ -195,7 +195,9 @@
     return URGENCIES_PER_STEP * steps + min(urgency, URGENCIES_PER_STEP - 1)
 
 
-def _candidate(context: Knowledge, state: EndpointState, now_ms: float) -> Candidate:
+def _candidate(
+    context: GatewayContext, state: EndpointState, now_ms: float
+) -> Candidate:
     endpoint = state.endpoint
     requests = state.requests(now_ms)
     return Candidate(
--- a/ashlatch/gateway/chooser.py
+++ b/ashlatch/gateway/chooser.py
@@ -12,7 +12,7 @@
 import asyncio
 from collections.abc import Iterable
 
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.retry_time import find_retry_time
 
 from ashlatch.gateway.admission import RETRY_AFTER_S, Admission, Refused
@@ -48,7 +48,7 @@
     `tried` holds the ids of the endpoints to leave out.
     """
 
-    def __init__(self, context: Knowledge, admission: Admission) -> None:
+    def __init__(self, context: GatewayContext, admission: Admission) -> None:
         self.tried: set[str] = set()
         self._context = context
         self._admission = admission
@@ -129,7 +129,7 @@
         else:
             wait_ms, tokens = forecast.wait_ms, forecast.prefill_tokens
         service = self._admission.service.name
-        latency_model = self._context.pace
+        latency_model = self._context.latency_model
         return wait_ms + latency_model.expected_ms(
             service, model, tokens, self._now_ms()
         )
--- a/ashlatch/gateway/cold.py
+++ b/ashlatch/gateway/cold.py
@@ -66,7 +66,7 @@
         interval_ms = self._pause_ms(state, service, gateways)
         if interval_ms is None:
             return NEVER_MS
-        return max(0.0, state.sent_ms + interval_ms - now_ms)
+        return max(0.0, state.last_sent_ms + interval_ms - now_ms)
 
     def _pause_ms(
         self,
@@ -111,5 +111,5 @@
         if service is None or state.endpoint.hall not in returned:
             continue
         count += 1
-        state.warms_up(now_ms + service.cold_ms)
+        state.mark_cold_until(now_ms + service.cold_ms)
     return count
--- a/ashlatch/gateway/crash_detector.py
+++ b/ashlatch/gateway/crash_detector.py
@@ -13,18 +13,18 @@
 import logging
 from collections.abc import Awaitable, Callable
 
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.fingerprint import fingerprint_text
-from ashlatch.gateway.updates import ContentCrashed, EndpointRefuses
+from ashlatch.gateway.updates import CrashRecordUpdate, EndpointRefuses
 
 from ashlatch.clock import unix_ms
 from ashlatch.gateway.attempt import AttemptFailed, FailureKind
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.logs import (
-    ContentHeld,
-    ContentSurvived,
-    CrashNoted,
+    CrashRecordCleared,
+    CrashRecorded,
     EndpointNotListening,
+    FingerprintQuarantined,
 )
 from ashlatch.http.upstream import CONNECT_REFUSED, ConnectFailed, Upstream
 from ashlatch.log import emit
@@ -54,21 +54,25 @@
 Connect = Callable[[str, float], Awaitable[Upstream]]
 
 
-def record_refusal(context: Knowledge, state: EndpointState, now_ms: float) -> None:
+def record_refusal(
+    context: GatewayContext, state: EndpointState, now_ms: float
+) -> None:
     """Excludes an endpoint that refuses connections, and broadcasts that.
 
     Otherwise each gateway would find that out on its own, one request after another: an
     endpoint that has crashed has no load, so it is tried before those that have.
     """
-    if state.refuses(now_ms):
+    if state.record_refusal(now_ms):
         endpoint = state.endpoint
         event = EndpointNotListening(endpoint.instance, endpoint.service)
         emit(log, event, logging.WARNING)
-        context.forget_life(endpoint.instance)
-        context.tell(EndpointRefuses(endpoint.instance))
+        context.forget_instance(endpoint.instance)
+        context.broadcast(EndpointRefuses(endpoint.instance))
 
 
-def apply_peer_crashes(context: Knowledge, record: CrashRecord, source: str) -> None:
+def apply_peer_crashes(
+    context: GatewayContext, record: CrashRecord, source: str
+) -> None:
     """Applies what another gateway has found out about a request fingerprint."""
     quarantine = context.quarantine
     fingerprint = record.fingerprint
@@ -77,7 +81,7 @@
     quarantined_ms = quarantine.remaining_ms(fingerprint, unix_ms())
     if quarantined_ms > quarantined_before_ms:
         crashes = quarantine.crash_count(fingerprint)
-        event = ContentHeld(
+        event = FingerprintQuarantined(
             fingerprint_text(fingerprint), crashes, int(quarantined_ms), source
         )
         emit(log, event, logging.WARNING)
@@ -91,14 +95,16 @@
     holds the probes that are running or have just ended.
     """
 
-    def __init__(self, context: Knowledge, connect: Connect = Upstream.connect) -> None:
+    def __init__(
+        self, context: GatewayContext, connect: Connect = Upstream.connect
+    ) -> None:
         self._context = context
         self._connect = connect
         self._loop = asyncio.get_running_loop()
 
     async def has_crashed(self, state: EndpointState, failure: AttemptFailed) -> bool:
         """Checks whether an endpoint's process has ended during a request."""
-        if state.ended_lately(self._now_ms()):
+        if state.ended_recently(self._now_ms()):
             return True
         if failure.kind is not FailureKind.BROKEN or state.evacuated:
             return False
@@ -143,7 +149,7 @@
         )
         crashes = len(record.counted_crashes)
         quarantined_ms = context.quarantine.remaining_ms(fingerprint, now_unix_ms)
-        event = CrashNoted(
+        event = CrashRecorded(
             request_id,
             fingerprint_text(fingerprint),
             endpoint.instance,
@@ -152,15 +158,15 @@
         )
         emit(log, event, logging.WARNING)
         context.metrics.count("crashes_noted")
-        context.crashes_found()
+        context.report_crashes()
         if crashes >= BROADCAST_CRASHES_MIN:
-            context.tell(ContentCrashed(record))
+            context.broadcast(CrashRecordUpdate(record))
 
     def record_completion(self, request_id: str, fingerprint: int) -> None:
         """Records that a request has completed without a crash."""
         if self._context.quarantine.record_completed(fingerprint):
-            emit(log, ContentSurvived(request_id, fingerprint_text(fingerprint)))
-            self._context.crashes_found()
+            emit(log, CrashRecordCleared(request_id, fingerprint_text(fingerprint)))
+            self._context.report_crashes()
 
     def _now_ms(self) -> float:
         return self._loop.time() * 1000.0
--- a/ashlatch/gateway/exchange.py
+++ b/ashlatch/gateway/exchange.py
@@ -12,7 +12,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.crash_detector import CrashDetector
 from ashlatch.gateway.request_record import RequestRecord
 from ashlatch.gateway.timeouts import (
@@ -68,7 +68,7 @@
     """Serves one admitted request; `run` returns when the caller has the answer."""
 
     def __init__(
-        self, context: Knowledge, admission: Admission, responder: Responder
+        self, context: GatewayContext, admission: Admission, responder: Responder
     ) -> None:
         self._context = context
         self._admission = admission
@@ -267,7 +267,7 @@
             for event in splitter.feed(part):
                 self._forward_event(head, event)
             await self._responder.drain()
-        if splitter.rest.strip():
+        if splitter.remainder.strip():
             raise AttemptFailed(FailureKind.BROKEN, "stream ended within an event")
         if not self._responder.begun:
             self._responder.begin(head.status, _body_headers(head))
--- a/ashlatch/gateway/fingerprint.py
+++ b/ashlatch/gateway/fingerprint.py
@@ -11,12 +11,15 @@
 
 import xxhash
 
-from ashlatch.gateway.message import Ask
+from ashlatch.gateway.message import CallerRequest
 
-__all__ = ["request_fingerprint", "fingerprint_text"]
+__all__ = [
+    "request_fingerprint",
+    "fingerprint_text",
+]
 
 
-def request_fingerprint(request: Ask, organisation: str) -> int:
+def request_fingerprint(request: CallerRequest, organisation: str) -> int:
     """Returns a hash that is the same at every gateway for equal requests.
 
     Equal requests come from the same organisation, or have the same key where there is
--- a/ashlatch/gateway/forecast.py
+++ b/ashlatch/gateway/forecast.py
@@ -13,10 +13,10 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.message import Ask
+from ashlatch.gateway.message import CallerRequest
 from ashlatch.policy.endpoint import rank
 
 __all__ = [
@@ -71,7 +71,7 @@
     run at an endpoint that crashed, and are routed away from the others that ran there.
     """
 
-    request: Ask
+    request: CallerRequest
     model: str
     slack_ms: float
     isolated: bool = False
@@ -82,7 +82,7 @@
 
     def __init__(
         self,
-        context: Knowledge,
+        context: GatewayContext,
         service: str,
         states: Sequence[EndpointState],
         send: Send,
@@ -93,8 +93,8 @@
         self._slack_ms = max(1.0, send.slack_ms)
         self._now_ms = now_ms
         self._model = send.model or send.request.model
-        self._token_ms = context.pace.token_ms(service, self._model)
-        self._slot_time_ms = context.pace.slot_time_ms(service)
+        self._token_ms = context.latency_model.token_ms(service, self._model)
+        self._slot_time_ms = context.latency_model.slot_time_ms(service)
         self._home = _home_engine(send.request, states)
         queued_ms = sum(s.workload.remaining_ms(now_ms) for s in states) / len(states)
         self._engine_weight = min(1.0 + queued_ms / BUSY_WORKLOAD_MS, BUSY_WEIGHT_MAX)
@@ -105,7 +105,7 @@
         requests = state.requests(self._now_ms)
         wait_ms = state.workload.remaining_ms(self._now_ms)
         wait_ms += self._slot_wait_ms(state, requests)
-        cached_tokens = self._context.kept.tokens(
+        cached_tokens = self._context.prefix_caches.cached_tokens(
             state.endpoint.instance, self._model, self._request.prompt_parts
         )
         tokens = max(0, self._request.prompt_tokens - cached_tokens)
@@ -147,7 +147,7 @@
         return cost_ms
 
 
-def _home_engine(request: Ask, states: Sequence[EndpointState]) -> str:
+def _home_engine(request: CallerRequest, states: Sequence[EndpointState]) -> str:
     """Returns the endpoint that is preferred for the prompts of a subject.
 
     The last prompt part belongs to the request or its session; the one before it is
--- a/ashlatch/gateway/limits.py
+++ b/ashlatch/gateway/limits.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ashlatch.gateway.context import Knowledge
-from ashlatch.gateway.updates import LimitedSend, LimitNamed
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.updates import RateLimitChanged, RateLimitedSend
 
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.logs import EndpointLimited
@@ -53,7 +53,9 @@
     executed: bool
 
 
-def limit_wait_ms(context: Knowledge, state: EndpointState, now_ms: float) -> float:
+def limit_wait_ms(
+    context: GatewayContext, state: EndpointState, now_ms: float
+) -> float:
     """Returns the time until the rate limit of an endpoint permits a request.
 
     A gateway that does not know the others yet waits: when many start together, each
@@ -61,24 +63,24 @@
     """
     if not state.limit.limited:
         return 0.0
-    if not context.cold.knows_gateways(now_ms):
+    if not context.cold_gate.knows_gateways(now_ms):
         return UNKNOWN_GATEWAYS_WAIT_MS
     return state.limit.wait_ms(_sharers(context), now_ms)
 
 
 def record_limited_send(
-    context: Knowledge, state: EndpointState, now_ms: float
+    context: GatewayContext, state: EndpointState, now_ms: float
 ) -> None:
     """Records a send to an endpoint, and broadcasts it if the endpoint is limited."""
     if not state.limit.limited:
         return
     state.limit.record_sent(_sharers(context), context.generator.random(), now_ms)
     context.metrics.count("sends_limited")
-    context.tell(LimitedSend(state.endpoint.instance))
+    context.broadcast(RateLimitedSend(state.endpoint.instance))
 
 
 def apply_answer_limit(
-    context: Knowledge, state: EndpointState, report: LimitReport, now_ms: float
+    context: GatewayContext, state: EndpointState, report: LimitReport, now_ms: float
 ) -> None:
     """Applies the limit in an answer, and broadcasts it if it is new.
 
@@ -92,15 +94,17 @@
         return
     if state.limit.is_new(per_s, now_ms):
         age_ms = now_ms - report.sent_ms
-        context.tell(LimitNamed(state.endpoint.instance, per_s, round(age_ms, 1)))
+        context.broadcast(
+            RateLimitChanged(state.endpoint.instance, per_s, round(age_ms, 1))
+        )
         state.limit.broadcast_ms = now_ms
     _apply_limit(context, state, per_s, report.request_id, now_ms)
 
 
 def apply_peer_limit(
-    context: Knowledge,
+    context: GatewayContext,
     state: EndpointState,
-    update: LimitNamed,
+    update: RateLimitChanged,
     source: str,
     now_ms: float,
 ) -> None:
@@ -114,13 +118,19 @@
     _apply_limit(context, state, update.limit_per_s, source, now_ms)
 
 
-def apply_peer_send(context: Knowledge, state: EndpointState, now_ms: float) -> None:
+def apply_peer_send(
+    context: GatewayContext, state: EndpointState, now_ms: float
+) -> None:
     """Records another gateway's send to an endpoint that it knows to be limited."""
     state.limit.record_peer_sent(_sharers(context), context.generator.random(), now_ms)
 
 
 def _apply_limit(
-    context: Knowledge, state: EndpointState, per_s: float, source: str, now_ms: float
+    context: GatewayContext,
+    state: EndpointState,
+    per_s: float,
+    source: str,
+    now_ms: float,
 ) -> None:
     limit = state.limit
     before_per_s = limit.per_s
@@ -137,12 +147,14 @@
         emit(log, event)
 
 
-def limit_interval_ms(context: Knowledge, limited: Iterable[EndpointState]) -> float:
+def limit_interval_ms(
+    context: GatewayContext, limited: Iterable[EndpointState]
+) -> float:
     """Returns the time between two sends of this gateway's share of several limits."""
     rate_per_s = sum(max(s.limit.per_s, RATE_MIN_PER_S) for s in limited)
     return SECOND_MS * _sharers(context).gateways / rate_per_s
 
 
-def _sharers(context: Knowledge) -> LimitSharing:
-    in_touch = context.core_in_touch and context.peers_in_touch
+def _sharers(context: GatewayContext) -> LimitSharing:
+    in_touch = context.core_reachable and context.peers_reachable
     return LimitSharing(max(1, len(context.gateways)), in_touch)
--- a/ashlatch/gateway/permission.py
+++ b/ashlatch/gateway/permission.py
@@ -10,7 +10,7 @@
 :license: MIT, see LICENSE for details.
 """
 
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 
 from ashlatch.catalog import Service
 from ashlatch.gateway.directory import EndpointState
@@ -23,7 +23,7 @@
 
 
 def send_permission(
-    context: Knowledge, service: Service, state: EndpointState, now_ms: float
+    context: GatewayContext, service: Service, state: EndpointState, now_ms: float
 ) -> Permission:
     """Returns whether a request may be sent to an endpoint, and if not, why."""
     endpoint_permission = state.permission(now_ms)
@@ -31,7 +31,7 @@
     if endpoint_permission is ALLOWED and not state.limit.limited and not may_be_cold:
         return ALLOWED
     limit_ms = limit_wait_ms(context, state, now_ms)
-    cold_ms = context.cold.wait_ms(state, service, context.gateways, now_ms)
+    cold_ms = context.cold_gate.wait_ms(state, service, context.gateways, now_ms)
     waits = [(DenialReason.LIMITED, limit_ms), (DenialReason.COLD, cold_ms)]
     if endpoint_permission.denial_reason is not None:
         waits.insert(
--- a/ashlatch/gateway/request_record.py
+++ b/ashlatch/gateway/request_record.py
@@ -13,7 +13,7 @@
 import logging
 import math
 
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.crash_detector import record_refusal
 from ashlatch.gateway.fingerprint import fingerprint_text
 from ashlatch.gateway.session_updates import announce_session
@@ -26,7 +26,7 @@
 from ashlatch.gateway.forecast import Forecast
 from ashlatch.gateway.limits import LimitReport, apply_answer_limit, record_limited_send
 from ashlatch.gateway.logs import (
-    AnswerWeighed,
+    AnswerEvaluated,
     AttemptEnded,
     EndpointMisdirected,
     EndpointResumed,
@@ -35,7 +35,7 @@
     RequestSent,
 )
 from ashlatch.gateway.notices import apply_notice
-from ashlatch.gateway.reports import pass_on_load
+from ashlatch.gateway.reports import broadcast_load
 from ashlatch.gateway.tally import TallyKey
 from ashlatch.gateway.traffic import TrafficKind
 from ashlatch.http.upstream import CONNECT_REFUSED
@@ -62,7 +62,7 @@
     `first_s` is when forwarding of the answer began.
     """
 
-    def __init__(self, context: Knowledge, admission: Admission) -> None:
+    def __init__(self, context: GatewayContext, admission: Admission) -> None:
         self.sends = 0
         self.unreachable = 0
         self.events = 0
@@ -130,11 +130,13 @@
         engine = self._admission.service.engine
         memory_tokens = engine.memory_tokens if engine else 0
         choice.state.workload.add(choice.forecast.prefill_ms, self._now_ms())
-        context.tell(
+        context.broadcast(
             PromptSent(endpoint.instance, round(choice.forecast.prefill_ms, 1))
         )
-        context.kept.note(endpoint.instance, model, parts, self._now_ms())
-        context.kept.read(
+        context.prefix_caches.queue_report(
+            endpoint.instance, model, parts, self._now_ms()
+        )
+        context.prefix_caches.record_prefill(
             endpoint.instance, model, parts, memory_tokens, self._now_ms()
         )
 
@@ -145,19 +147,19 @@
         traffic.add(TrafficKind.REQUEST, hall, attempt.sent_bytes)
         traffic.add(TrafficKind.ANSWER, hall, attempt.received_bytes)
         service = attempt.state.endpoint.service
-        self._context.pace.record_slot_time(service, self._elapsed_ms(attempt))
+        self._context.latency_model.record_slot_time(service, self._elapsed_ms(attempt))
 
     def record_answer_begin(self, attempt: Attempt, model: str) -> None:
         """Records that the head of an answer was received."""
         self._broadcast_load(attempt)
         self._apply_answer_head(attempt)
         first_ms = self._elapsed_ms(attempt)
-        self._context.tallies.begun(self._tally_key(attempt), first_ms)
-        attempt.state.proved(self._admission.service.cold_ms, self._now_ms())
+        self._context.tallies.started(self._tally_key(attempt), first_ms)
+        attempt.state.confirm_running(self._admission.service.cold_ms, self._now_ms())
         service = self._admission.service.name
         forecast = attempt.forecast
         if forecast is not None:
-            self._context.pace.record_first_event(
+            self._context.latency_model.record_first_event(
                 service,
                 model,
                 forecast.prefill_tokens,
@@ -174,7 +176,7 @@
         """
         load, attempt.load = attempt.load, None
         if load is not None and attempt.forecast is not None:
-            pass_on_load(self._context, attempt.state, load, self._now_ms())
+            broadcast_load(self._context, attempt.state, load, self._now_ms())
 
     def _apply_answer_head(self, attempt: Attempt) -> None:
         """Applies what an answer's head reports about its endpoint, once."""
@@ -207,7 +209,7 @@
         """Records whether an answer that has begun is forwarded or asked again."""
         assert attempt.head is not None
         load = attempt.head.load
-        event = AnswerWeighed(
+        event = AnswerEvaluated(
             self._admission.request.request_id,
             self.sends,
             model,
@@ -251,7 +253,7 @@
         if kind is FailureKind.ERROR:
             self._context.tallies.failed(self._tally_key(attempt))
         if kind is FailureKind.SILENT and not self.events:
-            self._context.tallies.begun(
+            self._context.tallies.started(
                 self._tally_key(attempt), self._elapsed_ms(attempt)
             )
         if kind is FailureKind.MISDIRECTED:
@@ -274,8 +276,8 @@
     def _record_replacement(self, state: EndpointState) -> None:
         """Excludes an endpoint whose address belongs to another one now, everywhere."""
         instance = state.endpoint.instance
-        if not state.replaced(self._now_ms()):
-            self._context.tell(EndpointReplaced(instance))
+        if not state.recently_replaced(self._now_ms()):
+            self._context.broadcast(EndpointReplaced(instance))
             event = EndpointMisdirected(instance, state.endpoint.service)
             emit(log, event, logging.WARNING)
         state.replaced_ms = self._now_ms()
@@ -292,7 +294,7 @@
                 endpoint.service,
                 kind.value,
                 state.breaker.failures,
-                state.failing,
+                state.failure_ratio,
             )
             emit(log, event, logging.WARNING)
 
--- a/ashlatch/gateway/retry_time.py
+++ b/ashlatch/gateway/retry_time.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 
 from ashlatch.catalog import Service
 from ashlatch.gateway.directory import EndpointState
@@ -47,7 +47,10 @@
 
 
 def find_retry_time(
-    context: Knowledge, service: Service, states: Iterable[EndpointState], now_ms: float
+    context: GatewayContext,
+    service: Service,
+    states: Iterable[EndpointState],
+    now_ms: float,
 ) -> RetryTime | None:
     """Returns when a caller should retry if all endpoints are denied for some time.
 
@@ -66,7 +69,7 @@
         limited = [s for p, s in waiting if p.denial_reason is DenialReason.LIMITED]
         step_ms = limit_interval_ms(context, limited)
     opens_ms = now_ms + first.wait_ms
-    retry_ms = max(opens_ms, context.returns_ms.get(service.name, opens_ms))
-    context.returns_ms[service.name] = min(retry_ms + step_ms, now_ms + RETRY_MAX_MS)
+    retry_ms = max(opens_ms, context.next_retry_ms.get(service.name, opens_ms))
+    context.next_retry_ms[service.name] = min(retry_ms + step_ms, now_ms + RETRY_MAX_MS)
     after_s = (retry_ms - now_ms) / SECOND_MS
     return RetryTime(first.denial_reason, min(max(RETRY_MIN_S, after_s), RETRY_MAX_S))
--- a/ashlatch/gateway/session_updates.py
+++ b/ashlatch/gateway/session_updates.py
@@ -10,8 +10,8 @@
 :license: MIT, see LICENSE for details.
 """
 
-from ashlatch.gateway.context import Knowledge
-from ashlatch.gateway.updates import SessionMoved, SessionRuns
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.updates import SessionActive, SessionMoved
 
 __all__ = [
     "announce_session",
@@ -24,7 +24,7 @@
 
 
 def announce_session(
-    context: Knowledge, service: str, session: str, version: str, now_ms: float
+    context: GatewayContext, service: str, session: str, version: str, now_ms: float
 ) -> None:
     """Broadcasts that a request of a session goes to an endpoint of a version."""
     versions = context.versions
@@ -33,9 +33,9 @@
         awaited_version = versions.rollouts[service].version
         context.metrics.count("sessions_announced")
         for _ in range(COPIES):
-            context.tell(SessionRuns(service, awaited_version, hash_value))
-    isolated = not context.peers_in_touch
+            context.broadcast(SessionActive(service, awaited_version, hash_value))
+    isolated = not context.peers_reachable
     if versions.record_move(service, session, version, now_ms, isolated):
         context.metrics.count("sessions_told")
-        context.tell(SessionMoved(service, session, version))
+        context.broadcast(SessionMoved(service, session, version))
     versions.sessions.record(service, session, version, now_ms)
--- a/tests/crash_simulation.py
+++ b/tests/crash_simulation.py
@@ -16,14 +16,14 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from tests.stub_server import document, encode_document, engine_service
 
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.choice import choose_endpoint
 from ashlatch.gateway.forecast import Send
-from ashlatch.gateway.message import Ask, PromptPart
+from ashlatch.gateway.message import CallerRequest, PromptPart
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import AllowedEndpoints, VersionChooser, VersionReason
@@ -80,8 +80,8 @@
 class _Request:
     fingerprint: int
     crashing: bool
-    ask: Ask
-    context: Knowledge
+    ask: CallerRequest
+    context: GatewayContext
     tries_left: int
     sends: int = 0
     tried: set[str] = field(default_factory=set)
@@ -119,8 +119,8 @@
         for _ in range(engines):
             self._start_engine()
 
-    def _new_gateway(self, table: RouteTable, number: int, seed: int) -> Knowledge:
-        context = Knowledge(
+    def _new_gateway(self, table: RouteTable, number: int, seed: int) -> GatewayContext:
+        context = GatewayContext(
             "hall-1",
             f"vm-{number}",
             VersionChooser(SessionVersions(5000.0)),
@@ -131,7 +131,7 @@
         context.table = table
         for n in range(20):
             tokens = SUBJECT_TOKENS
-            context.pace.record_first_event(
+            context.latency_model.record_first_event(
                 "app", MODEL, tokens, tokens * TOKEN_MS, float(n)
             )
         return context
@@ -146,7 +146,7 @@
             for name in self._at_engine
         )
         for context in self.gateways:
-            number = context.directory.order[1] + 1
+            number = context.directory.list_version[1] + 1
             context.directory.replace(EndpointList(1, number, endpoints), self.now_ms)
 
     def run(self, load: CrashLoad) -> CrashOutcome:
@@ -221,7 +221,7 @@
         request.tried.add(name)
         chosen.state.sent(self.now_ms)
         for other in self.gateways:
-            other.kept.read(
+            other.prefix_caches.record_prefill(
                 name, MODEL, request.ask.prompt_parts, MEMORY_TOKENS, self.now_ms
             )
         self._at_engine[name].append(request)
@@ -272,12 +272,12 @@
             self.outcome.failed += 1
 
 
-def _make_request(fingerprint: int) -> Ask:
+def _make_request(fingerprint: int) -> CallerRequest:
     subject = PromptPart(f"subject-{fingerprint % SUBJECTS}", SUBJECT_TOKENS)
     parts = (subject, PromptPart(f"own-{fingerprint}", REQUEST_TOKENS))
     target = f"/chat/{fingerprint}"
     host = "shop.example"
-    return Ask(
+    return CallerRequest(
         f"r-{fingerprint}", "POST", target, host, [], b"", 0.0, None, "", "", True,
         SUBJECT_TOKENS + REQUEST_TOKENS, 100, parts, "", "",
     )  # fmt: skip
--- a/tests/limit_simulation.py
+++ b/tests/limit_simulation.py
@@ -15,7 +15,7 @@
 from functools import partial
 from typing import Any, cast
 
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.retry_time import find_retry_time
 from tests.stub_server import document, encode_document
 
@@ -26,8 +26,8 @@
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Send
 from ashlatch.gateway.limits import LimitReport, apply_answer_limit, record_limited_send
-from ashlatch.gateway.message import Ask
-from ashlatch.gateway.peers import GatewayPeers
+from ashlatch.gateway.message import CallerRequest
+from ashlatch.gateway.peers import PeerProtocol
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import AllowedEndpoints, VersionChooser, VersionReason
@@ -102,8 +102,8 @@
             GatewayVm(f"g-{n}:7000", HALLS[n % 3]) for n in range(gateways)
         )
         self._numbers = {vm.address: n for n, vm in enumerate(self._vms)}
-        self.gateways: list[Knowledge] = []
-        self._peers: list[GatewayPeers] = []
+        self.gateways: list[GatewayContext] = []
+        self._peers: list[PeerProtocol] = []
         for number in range(gateways):
             context, peers = self._new_gateway(number, -GATEWAYS_KNOWN_MS)
             self.gateways.append(context)
@@ -111,9 +111,9 @@
 
     def _new_gateway(
         self, number: int, core_received_ms: float
-    ) -> tuple[Knowledge, GatewayPeers]:
+    ) -> tuple[GatewayContext, PeerProtocol]:
         vm = self._vms[number]
-        context = Knowledge(
+        context = GatewayContext(
             vm.hall,
             vm.address,
             VersionChooser(SessionVersions(5000.0)),
@@ -123,13 +123,13 @@
         )
         context.table = self._table
         context.gateways = self._vms
-        context.cold = ColdSendLimiter(vm)
-        context.cold.gateways_received(core_received_ms)
+        context.cold_gate = ColdSendLimiter(vm)
+        context.cold_gate.gateways_received(core_received_ms)
         context.directory.replace(EndpointList(1, 1, self._listed), self.now_ms)
-        peers = GatewayPeers(context)
-        peers._own = vm
+        peers = PeerProtocol(context)
+        peers._local = vm
         peers._transport = cast(Any, self)
-        context.tell = peers.tell
+        context.broadcast = peers.broadcast
         return context, peers
 
     def restart(self, number: int) -> None:
@@ -140,12 +140,12 @@
     def cut_off(self, number: int) -> None:
         """Disconnects a gateway from the others and the core; it knows that."""
         self.disconnected.add(number)
-        self.gateways[number].core_in_touch = False
+        self.gateways[number].core_reachable = False
 
     def rejoin(self, number: int) -> None:
         """Reconnects a gateway to the others and the core."""
         self.disconnected.discard(number)
-        self.gateways[number].core_in_touch = True
+        self.gateways[number].core_reachable = True
 
     def resume(self, number: int) -> None:
         """Resumes a gateway with all events since its suspension."""
@@ -243,7 +243,7 @@
     def _receive_answer(
         self,
         number: int,
-        context: Knowledge,
+        context: GatewayContext,
         state: EndpointState,
         limit_per_s: float,
         sent_ms: float,
@@ -263,7 +263,7 @@
         apply_answer_limit(context, state, report, self.now_ms)
 
 
-REQUEST = Ask(
+REQUEST = CallerRequest(
     "r", "GET", "/get/1", "shop.example", [], b"", 0.0, None, "", "", False,
     0, 0, (), "", "",
 )  # fmt: skip
--- a/tests/limit_soak.py
+++ b/tests/limit_soak.py
@@ -12,8 +12,9 @@
 
 from functools import partial
 
-from ashlatch.policy.rate_limit import NO_LIMIT
 from tests.limit_simulation import LimitWorld
+
+from ashlatch.policy.rate_limit import NO_LIMIT
 from tests.limited import WINDOW_S, allowed, most_within
 from tests.random_worlds import Plan, draw_plan, run_worlds
 
@@ -99,7 +100,7 @@
             for context in self.gateways:
                 state = context.directory.state(f"i-{number}")
                 assert state is not None
-                state.refuses(self.now_ms)
+                state.record_refusal(self.now_ms)
 
         self.schedule(at_s * 1000.0, begin)
         self.plan.faults.append(f"endpoint {number} restarts at {at_s:.1f}")
--- a/tests/session_simulation.py
+++ b/tests/session_simulation.py
@@ -12,15 +12,15 @@
 from functools import partial
 from typing import Any, cast
 
-from ashlatch.gateway.context import Knowledge
-from ashlatch.gateway.peer_updates import HEARD, Teller
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.peer_updates import PEER_HANDLERS, Sender
 from ashlatch.gateway.session_updates import announce_session
-from ashlatch.gateway.updates import HallNews, PeerNews
+from ashlatch.gateway.updates import HallUpdate, PeerUpdate
 
 from ashlatch.catalog import Endpoint, EndpointList, GatewayVm, Rollout, RolloutStage
 from ashlatch.codec import decode
 from ashlatch.gateway.budget import BudgetTerms
-from ashlatch.gateway.peers import GatewayPeers
+from ashlatch.gateway.peers import PeerProtocol
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
@@ -80,10 +80,10 @@
             Endpoint(f"i-{n}", "app", f"i-{n}:1", HALLS[n % 3], version, 64, False)
             for n, version in enumerate(("v1", "v1", "v2", "v2"))
         )
-        self.gateways: list[Knowledge] = []
-        self._peers: list[GatewayPeers] = []
+        self.gateways: list[GatewayContext] = []
+        self._peers: list[PeerProtocol] = []
         for vm in self._vms:
-            context = Knowledge(
+            context = GatewayContext(
                 vm.hall,
                 vm.address,
                 VersionChooser(SessionVersions(SESSION_MS)),
@@ -93,11 +93,11 @@
             )
             context.gateways = self._vms
             context.directory.replace(EndpointList(1, 1, listed), 0.0)
-            peers = GatewayPeers(context)
-            peers._own = vm
+            peers = PeerProtocol(context)
+            peers._local = vm
             peers._transport = cast(Any, self)
             if self.load.broadcasts:
-                context.tell = peers.tell
+                context.broadcast = peers.broadcast
             self.gateways.append(context)
             self._peers.append(peers)
 
@@ -115,9 +115,9 @@
         self.schedule(self.now_ms + after_ms, partial(self._deliver, number, data))
 
     def _deliver(self, number: int, data: bytes) -> None:
-        update: PeerNews = decode(data, PeerNews)
-        HEARD.call(self.gateways[number], update, Teller("g", self.now_ms))
-        if isinstance(update, HallNews) and update.for_hall:
+        update: PeerUpdate = decode(data, PeerUpdate)
+        PEER_HANDLERS.call(self.gateways[number], update, Sender("g", self.now_ms))
+        if isinstance(update, HallUpdate) and update.for_hall:
             self._peers[number]._relay(update)
 
     def run(self) -> "SessionWorld":
@@ -143,7 +143,7 @@
             )
             self.schedule(received_ms, partial(self._apply_rollout, context, rollout))
 
-    def _apply_rollout(self, context: Knowledge, rollout: Rollout) -> None:
+    def _apply_rollout(self, context: GatewayContext, rollout: Rollout) -> None:
         context.versions.apply_rollouts([rollout], self.now_ms)
 
     def _begin_trial(self) -> None:
@@ -163,7 +163,7 @@
             )
         )  # fmt: skip
 
-    def _hashes_running_at(self, context: Knowledge, at_ms: float) -> set[int]:
+    def _hashes_running_at(self, context: GatewayContext, at_ms: float) -> set[int]:
         """Returns the hashes of the sessions in the last report of a gateway."""
         versions = context.versions.sessions
         last_requests = {
--- a/tests/shed_simulation.py
+++ b/tests/shed_simulation.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from tests.limit_simulation import REQUEST, LimitWorld, Network
 
 from ashlatch.gateway.choice import choose_endpoint
@@ -41,7 +41,7 @@
     """One caller's request at a gateway."""
 
     gateway: int
-    context: Knowledge
+    context: GatewayContext
     tried: set[str] = field(default_factory=set)
 
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -12,8 +12,8 @@
 import h11
 import msgspec
 import testtools
-from ashlatch.gateway.peer_updates import HEARD, Teller
-from ashlatch.gateway.updates import EndpointAnnouncesLeaving, PeerNews
+from ashlatch.gateway.peer_updates import PEER_HANDLERS, Sender
+from ashlatch.gateway.updates import EndpointLeaving, PeerUpdate
 from tests.stub_server import (
     ReceivedRequest,
     StubServer,
@@ -78,7 +78,7 @@
         return asyncio.get_running_loop().time() * 1000.0
 
     def state(self, instance: str) -> EndpointState:
-        state = self.known.directory.state(instance)
+        state = self.context.directory.state(instance)
         assert state is not None
         return state
 
@@ -190,9 +190,9 @@
                     zip(workers, ("v2", "v2", "v1"), strict=True)
                 )
             )
-            self.known.directory.replace(EndpointList(1, 2, listed), 0.0)
+            self.context.directory.replace(EndpointList(1, 2, listed), 0.0)
             test = Rollout("app", "v2", RolloutStage.LOAD_TEST, 0.0, 1, 1000.0)
-            self.known.versions.apply_rollouts([test])
+            self.context.versions.apply_rollouts([test])
             tested = rank(("i-0", "i-1"), "v2")[0]
             self.state(tested).backoff.record_request(5000.0, self.now_ms())
 
@@ -228,10 +228,10 @@
                 Endpoint(f"i-{n}", "app", w.address, "hall-1", f"v{2 - n}", 8, False)
                 for n, w in enumerate(workers)
             )
-            self.known.directory.replace(EndpointList(1, 2, listed), 0.0)
+            self.context.directory.replace(EndpointList(1, 2, listed), 0.0)
             trial = Rollout("app", "v2", RolloutStage.TRIAL, 0.1, 1, 1000.0)
-            self.known.versions.apply_rollouts([trial])
-            self.known.versions.sessions.record("app", "s1", "v2", self.now_ms())
+            self.context.versions.apply_rollouts([trial])
+            self.context.versions.sessions.record("app", "s1", "v2", self.now_ms())
             self.state("i-0").backoff.record_request(3000.0, self.now_ms())
 
         ((status, text),) = self.send_requests(
@@ -272,9 +272,9 @@
             self.state("i-1").breaker.trip(self.now_ms())
             await self.call(ask("/get/1"))
             self.state("i-1").breaker.record_success()
-            listed = tuple(state.endpoint for state in self.known.directory.all())
+            listed = tuple(state.endpoint for state in self.context.directory.all())
             for number, endpoints in enumerate((listed[1:], listed)):
-                self.known.directory.replace(
+                self.context.directory.replace(
                     EndpointList(1, 2 + number, endpoints), self.now_ms()
                 )
             for number in range(10):
@@ -289,9 +289,11 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.context = GatewayHarness("run_gateway").knowledge([StubServer([])], 50.0)
-        self.broadcast: list[PeerNews] = []
-        self.context.tell = self.broadcast.append
+        self.context = GatewayHarness("run_gateway").build_context(
+            [StubServer([])], 50.0
+        )
+        self.broadcast: list[PeerUpdate] = []
+        self.context.broadcast = self.broadcast.append
         listed = msgspec.structs.replace(self.state().endpoint, started_unix_ms=5)
         self.context.directory.replace(EndpointList(1, 1, (listed,)), 0.0)
 
@@ -310,11 +312,11 @@
     def test_leaving_is_broadcast_once(self) -> None:
         self.receive_answer(True)
         self.receive_answer(True)
-        self.assertEqual([EndpointAnnouncesLeaving("i-0")], self.broadcast)
+        self.assertEqual([EndpointLeaving("i-0")], self.broadcast)
 
     def test_a_gateway_that_received_it_sends_nothing_there(self) -> None:
-        update = EndpointAnnouncesLeaving("i-0")
-        HEARD.call(self.context, update, Teller("10.0.0.1", 0.0))
+        update = EndpointLeaving("i-0")
+        PEER_HANDLERS.call(self.context, update, Sender("10.0.0.1", 0.0))
         self.assertEqual(
             DenialReason.LEAVING, self.state().permission(0.0).denial_reason
         )
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -321,4 +321,4 @@
             events = splitter.feed(stream[:position]) + splitter.feed(stream[position:])
             self.assertEqual(["1", "2", ""], [e.event_id for e in events])
             self.assertEqual(stream, b"".join(e.data for e in events))
-            self.assertEqual(b"", splitter.rest)
+            self.assertEqual(b"", splitter.remainder)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -10,12 +10,13 @@
 
 import asyncio
 
+from tests.stub_server import ReceivedRequest, StubServer
+
 from ashlatch.catalog import GatewayVm
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.platform.document import decode_catalog
 from tests import stub_server
 from tests.gateway import GatewayHarness, ask
-from tests.stub_server import ReceivedRequest, StubServer
 
 CONNECTIONS_MAX = 50
 GATEWAYS = 10
@@ -37,10 +38,10 @@
             {"name": "app", "healthPath": "/healthz", "maxConns": CONNECTIONS_MAX}
         ]
         document = stub_server.document(3, services=services)
-        self.known.table = RouteTable(
+        self.context.table = RouteTable(
             decode_catalog(stub_server.encode_document(document))
         )
-        self.known.gateways = tuple(
+        self.context.gateways = tuple(
             GatewayVm(f"10.0.0.{n}:70", "hall-1") for n in range(gateways)
         )
 
--- a/tests/test_crash_load.py
+++ b/tests/test_crash_load.py
@@ -19,7 +19,7 @@
 import statistics
 
 import testtools
-from ashlatch.gateway.updates import ContentCrashed
+from ashlatch.gateway.updates import CrashRecordUpdate
 from tests.crash_simulation import CrashLoad, CrashOutcome, CrashWorld
 
 from ashlatch.codec import encode
@@ -84,16 +84,16 @@
             for number in range(CRASHES_MAX):
                 at_ms = AT_MS + 2000 * number
                 record = first.quarantine.record_crash(7, f"i-{number}", 0, at_ms)
-            update = ContentCrashed(record)
-            first.tell(update)
+            update = CrashRecordUpdate(record)
+            first.broadcast(update)
             quarantined = [
                 g.quarantine.remaining_ms(7, at_ms) > 0 for g in world.gateways
             ]
             self.assertEqual([True] * self.HALLS * self.GATEWAYS_PER_HALL, quarantined)
             self.assertTrue(world.datagrams < self.HALLS * self.GATEWAYS_PER_HALL)
             self.assertTrue(len(encode(update)) < 100)
-            crossed = first.traffic.carried()
-            (over,) = (c for c in crossed if c.crosses and c.kind is KIND)
+            crossed = first.traffic.counts()
+            (over,) = (c for c in crossed if c.cross_hall and c.kind is KIND)
             self.assertEqual(self.HALLS - 1, over.messages)
 
         asyncio.run(run())
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -67,7 +67,7 @@
                 Endpoint(e.instance, "app", e.address, "hall-1", "v1", 8, False)
                 for e in engines
             )
-            self.known.directory.replace(EndpointList(1, 2, endpoints), 0.0)
+            self.context.directory.replace(EndpointList(1, 2, endpoints), 0.0)
             crashing = ask(path, ASK_STREAM, "POST", CRASHING_BODY)
             for number in range(tries):
                 own_id = f"X-Attempt-Id: r{number}".encode()
@@ -115,7 +115,9 @@
             fingerprint = request_fingerprint(request, "acme")
             for number in range(CRASHES_MAX):
                 at_ms = unix_ms() - 5000 * number
-                self.known.quarantine.record_crash(fingerprint, f"i-{number}", 0, at_ms)
+                self.context.quarantine.record_crash(
+                    fingerprint, f"i-{number}", 0, at_ms
+                )
             self.assertEqual(503, (await self.call(ask("/get/1")))[0])
             self.assertEqual(200, (await self.call(ask("/get/2")))[0])
 
@@ -156,15 +158,15 @@
                 "i-9", "app", crashing.address, "hall-1", "v1", 8, False
             )
             only_bad = EndpointList(1, 2, (crashing_endpoint,))
-            self.known.directory.replace(only_bad, 0.0)
+            self.context.directory.replace(only_bad, 0.0)
             self.assertEqual(502, (await self.call(ask("/get/1")))[0])
-            self.assertEqual(1, len(self.known.quarantine.unconfirmed()))
+            self.assertEqual(1, len(self.context.quarantine.unconfirmed()))
             healthy = Endpoint(
                 "i-0", "app", healthy_worker.address, "hall-1", "v1", 8, False
             )
-            self.known.directory.replace(EndpointList(1, 3, (healthy,)), 0.0)
+            self.context.directory.replace(EndpointList(1, 3, (healthy,)), 0.0)
             self.assertEqual(200, (await self.call(ask("/get/1")))[0])
-            (record,) = self.known.quarantine.unconfirmed()
+            (record,) = self.context.quarantine.unconfirmed()
             self.assertEqual((), record.counted_crashes)
 
         self.run_gateway([healthy_worker], work)
--- a/tests/test_evaluation.py
+++ b/tests/test_evaluation.py
@@ -1,10 +1,10 @@
 """Tests of the evaluation of a new version against the old one."""
 
 import testtools
+from ashlatch.fleet.evaluation import Decision, Evidence, decide
 
 from ashlatch.catalog import Rollout, RolloutStage
-from ashlatch.fleet.evaluation import Decision, Evidence, decide
-from ashlatch.gateway.tally import Tallies, Tally, TallyKey, step_of
+from ashlatch.gateway.tally import Tallies, Tally, TallyKey, bucket_of
 
 
 class EvaluationTest(testtools.TestCase):
@@ -26,7 +26,7 @@
     ) -> Tally:
         """Returns answers that begin after 60 ms; the late ones after 480 ms."""
         key = TallyKey("app", version, route)
-        times = {step_of(60.0): answered - late, step_of(480.0): late}
+        times = {bucket_of(60.0): answered - late, bucket_of(480.0): late}
         return Tally(key, answered, failed, times)
 
     def decide(
@@ -78,7 +78,7 @@
         evidence = self.evidence(answered=8)
         tallies = Tallies()
         for _ in range(6):
-            tallies.begun(TallyKey("app", "v2", "r"), 450.0)
+            tallies.started(TallyKey("app", "v2", "r"), 450.0)
         evidence.add(tallies.take(), 0.0)
         self.assertEqual(RolloutStage.ROLLED_BACK, self.decide(0.2, evidence).stage)
 
--- a/tests/test_exposure.py
+++ b/tests/test_exposure.py
@@ -6,13 +6,13 @@
 """
 
 import testtools
+from ashlatch.fleet.evaluation import Evidence, decide
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from ashlatch.catalog import Rollout, RolloutStage
-from ashlatch.fleet.evaluation import Evidence, decide
 from ashlatch.fleet.exposure import ExposurePlan, plan_exposure
-from ashlatch.gateway.tally import Tally, TallyKey, step_of
+from ashlatch.gateway.tally import Tally, TallyKey, bucket_of
 
 INTERVAL_MS = 200.0
 
@@ -52,7 +52,7 @@
             ("v1", int(self.old) - before[1]),
         ):
             key = TallyKey("app", version, "r")
-            tally = Tally(key, count, 0, {step_of(60.0): count} if count else {})
+            tally = Tally(key, count, 0, {bucket_of(60.0): count} if count else {})
             self.evidence.add((tally,), now_ms)
         decision = decide(
             self.rollout, now_ms, self.evidence, now_ms, ready=True, plan=self.plan
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -3,7 +3,7 @@
 import random
 
 import testtools
-from ashlatch.gateway.context import Knowledge
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.latency_model import LatencyModel
 from tests.stub_server import document, encode_document, engine_service
 
@@ -11,7 +11,7 @@
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.choice import Choice, choose_endpoint, engine_urgency
 from ashlatch.gateway.forecast import Forecast, Send
-from ashlatch.gateway.message import Ask, LoadFigures, PromptPart
+from ashlatch.gateway.message import CallerRequest, LoadFigures, PromptPart
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import AllowedEndpoints, VersionChooser, VersionReason
@@ -25,8 +25,10 @@
 SUBJECT = PromptPart("subject", 13_000)
 
 
-def make_request(prompt_tokens: int, body_bytes: int, *parts: PromptPart) -> Ask:
-    return Ask(
+def make_request(
+    prompt_tokens: int, body_bytes: int, *parts: PromptPart
+) -> CallerRequest:
+    return CallerRequest(
         "r1",
         "POST",
         "/chat/1",
@@ -50,9 +52,9 @@
 SHORT = make_request(400, 400, PromptPart("own", 400))
 
 
-def gateway_context() -> Knowledge:
+def gateway_context() -> GatewayContext:
     """Returns a gateway in the hall `here`, with three engines of known rates."""
-    context = Knowledge(
+    context = GatewayContext(
         "here",
         "vm-1",
         VersionChooser(SessionVersions(5000.0)),
@@ -68,8 +70,8 @@
     )
     context.directory.replace(EndpointList(1, 1, endpoints), 0.0)
     for n in range(20):
-        context.pace.record_first_event("app", "large", 5000, 400.0, float(n))
-        context.pace.record_first_event("app", "small", 5000, 40.0, float(n))
+        context.latency_model.record_first_event("app", "large", 5000, 400.0, float(n))
+        context.latency_model.record_first_event("app", "small", 5000, 40.0, float(n))
     return context
 
 
@@ -78,7 +80,7 @@
         super().setUp()
         self.context = gateway_context()
 
-    def choose(self, request: Ask, model: str) -> Choice:
+    def choose(self, request: CallerRequest, model: str) -> Choice:
         states = list(self.context.directory.of_service("app"))
         allowed = AllowedEndpoints(states, VersionReason.NO_ROLLOUT)
         assert self.context.table is not None
@@ -94,11 +96,11 @@
         assert chosen is not None
         return chosen
 
-    def instance(self, request: Ask, model: str) -> str:
+    def instance(self, request: CallerRequest, model: str) -> str:
         return self.choose(request, model).state.endpoint.instance
 
     def cache_prompt(self, instance: str, model: str, *parts: PromptPart) -> None:
-        self.context.kept.read(instance, model, parts, 400_000, 0.0)
+        self.context.prefix_caches.record_prefill(instance, model, parts, 400_000, 0.0)
 
     def test_short_prompts_stay_in_the_hall(self) -> None:
         self.assertEqual("i-near", self.instance(SHORT, "small"))
@@ -129,9 +131,9 @@
         self.assertEqual(700.0, state.workload.remaining_ms(100.0))
         self.assertEqual(500.0, state.workload.remaining_ms(300.0))
         self.assertNotEqual("i-near", self.instance(SHORT, "small"))
-        state.tell_load(LoadFigures(0, 1, 8), 100.0)
+        state.apply_load(LoadFigures(0, 1, 8), 100.0)
         self.assertEqual(700.0, state.workload.remaining_ms(100.0))
-        state.tell_load(LoadFigures(0, 0, 8), 100.0)
+        state.apply_load(LoadFigures(0, 0, 8), 100.0)
         self.assertEqual(300.0, state.workload.remaining_ms(100.0))
 
 
--- a/tests/test_limit_load.py
+++ b/tests/test_limit_load.py
@@ -11,7 +11,7 @@
 from functools import partial
 
 import testtools
-from ashlatch.gateway.updates import LimitNamed
+from ashlatch.gateway.updates import RateLimitChanged
 from tests.limit_simulation import LimitWorld, Network
 
 from ashlatch.gateway.cold import GATEWAYS_KNOWN_MS, ColdSendLimiter
@@ -205,7 +205,7 @@
             world = LimitWorld(size, 2, size, Network(lost=1.0))
             world.limit(0, 2.0)
             for context in world.gateways:
-                context.core_in_touch = False
+                context.core_reachable = False
             world.run(60.0, 40.0)
             self.check(world, 0, 2.0, 10.0)
 
@@ -217,7 +217,7 @@
         for context in world.gateways:
             state = context.directory.state("i-0")
             assert state is not None and state.limit.limited
-            state.refuses(world.now_ms)
+            state.record_refusal(world.now_ms)
             self.assertFalse(state.limit.limited)
 
 
@@ -257,7 +257,7 @@
 
     def apply_peer(self, per_s: float, age_ms: float, now_ms: float) -> float:
         """Applies a peer's report of an answer that old; returns the known limit."""
-        update = LimitNamed("i-0", per_s, age_ms)
+        update = RateLimitChanged("i-0", per_s, age_ms)
         apply_peer_limit(self.context, self.state, update, "g-1:7000", now_ms)
         return self.state.limit.per_s
 
@@ -288,9 +288,9 @@
 
     def test_before_the_other_gateways_are_known(self) -> None:
         """A gateway that has just started may be one of any number."""
-        self.context.cold = ColdSendLimiter(self.context.gateways[0])
+        self.context.cold_gate = ColdSendLimiter(self.context.gateways[0])
         self.assertTrue(limit_wait_ms(self.context, self.state, 60_000.0) > 0.0)
-        self.context.cold.gateways_received(60_000.0)
+        self.context.cold_gate.gateways_received(60_000.0)
         soon_ms = 60_000.0 + GATEWAYS_KNOWN_MS - 1.0
         self.assertTrue(limit_wait_ms(self.context, self.state, soon_ms) > 0.0)
         self.assertEqual(0.0, limit_wait_ms(self.context, self.state, soon_ms + 1.0))
--- a/tests/test_malformed_input.py
+++ b/tests/test_malformed_input.py
@@ -17,6 +17,7 @@
 import testtools
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from tests.stub_server import StubServer
 
 from ashlatch.fleet.discovery import ListReader, ListUnreadable
 from ashlatch.http.connection import HttpRequest
@@ -26,7 +27,6 @@
 from ashlatch.platform.memory import decode_memory
 from ashlatch.platform.reading import JsonUnreadable
 from tests import stub_server
-from tests.stub_server import StubServer
 
 ENTRY = {
     "id": "i-1",
@@ -204,7 +204,7 @@
         except MalformedRequest:
             return
         self.assertTrue(0 <= asked.prompt_tokens <= 10**9)
-        self.assertTrue(asked.patience_ms is None or asked.patience_ms >= 0)
+        self.assertTrue(asked.timeout_ms is None or asked.timeout_ms >= 0)
 
     def test_numbers_of_callers(self) -> None:
         for number in self.NUMBERS:
--- a/tests/test_prefix_caches.py
+++ b/tests/test_prefix_caches.py
@@ -5,7 +5,7 @@
 
 import testtools
 from ashlatch.fleet.prefix_caches import PART_TOKENS_MIN, PARTS_MAX, read_prefix_caches
-from ashlatch.gateway.prefix_cache import PromptRead
+from ashlatch.gateway.prefix_cache import PromptPrefill
 from tests.stub_server import Script, StubServer, answer_with
 
 from ashlatch.catalog import Endpoint
@@ -20,8 +20,8 @@
 
 
 class PrefixCachesTest(testtools.TestCase):
-    def read(self, *scripts: Script) -> tuple[PromptRead, ...]:
-        async def run() -> tuple[PromptRead, ...]:
+    def read(self, *scripts: Script) -> tuple[PromptPrefill, ...]:
+        async def run() -> tuple[PromptPrefill, ...]:
             engines = [StubServer([script]) for script in scripts]
             for engine in engines:
                 await engine.start()
@@ -46,8 +46,8 @@
         ]
         prefills = self.read(answer_with_cache(held), answer_with_cache([]))
         expected = {
-            PromptRead("i-0", "large", (("aa", 9000), ("cc", 4000))),
-            PromptRead("i-0", "small", (("bb", 3000),)),
+            PromptPrefill("i-0", "large", (("aa", 9000), ("cc", 4000))),
+            PromptPrefill("i-0", "small", (("bb", 3000),)),
         }
         self.assertEqual(expected, set(prefills))
         headers = self.seen[0][0].headers
@@ -58,7 +58,7 @@
         refused = answer_with(b"", 421)
         healthy = answer_with_cache([["", "aa", 9000, "large"]])
         prefills = self.read(hang, refused, answer_with(b"{"), healthy)
-        self.assertEqual((PromptRead("i-3", "large", (("aa", 9000),)),), prefills)
+        self.assertEqual((PromptPrefill("i-3", "large", (("aa", 9000),)),), prefills)
 
     def test_the_longest_prefixes_are_taken_up_to_a_limit(self) -> None:
         held: HeldParts = [
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -34,15 +34,15 @@
             each["allowedRegions"] = route_regions
         for each in document["tenants"]:
             each["allowedRegions"] = organisation_regions
-        self.known.table = RouteTable(
+        self.context.table = RouteTable(
             decode_catalog(stub_server.encode_document(document))
         )
-        self.known.regions = REGIONS
+        self.context.regions = REGIONS
         endpoints = tuple(
             Endpoint(f"i-{n}", "app", worker.address, hall, "v1", 8, False)
             for n, (worker, hall) in enumerate(zip(self.workers, REGIONS, strict=True))
         )
-        self.known.directory.replace(EndpointList(1, 2, endpoints), 0.0)
+        self.context.directory.replace(EndpointList(1, 2, endpoints), 0.0)
 
     def answers_by_endpoint(
         self, route: list[str], organisation: list[str]
@@ -89,7 +89,7 @@
     def test_a_hall_of_no_known_region(self) -> None:
         async def work() -> None:
             self.bind(["north"], [])
-            self.known.regions = {}
+            self.context.regions = {}
             self.assertEqual(503, (await self.call(ask("/get/1")))[0])
 
         self.run_gateway(self.workers, work)
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -31,10 +31,10 @@
 import testtools
 from ashlatch.fleet.evaluation import Evidence, decide
 from ashlatch.fleet.soft_state import SoftState
-from ashlatch.gateway.context import Knowledge
-from ashlatch.gateway.peer_updates import HEARD, Teller
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.peer_updates import PEER_HANDLERS, Sender
 from ashlatch.gateway.session_updates import announce_session
-from ashlatch.gateway.updates import PeerNews, SessionMoved
+from ashlatch.gateway.updates import PeerUpdate, SessionMoved
 from tests.session_simulation import Load, SessionWorld
 from tests.stub_server import ReceivedRequest, StubServer
 
@@ -53,7 +53,7 @@
 from ashlatch.fleet.protocol import SyncRequest
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.peers import GatewayPeers
+from ashlatch.gateway.peers import PeerProtocol
 from ashlatch.gateway.sessions import (
     HASH_RANGE,
     MOVABLE_SHARE,
@@ -138,9 +138,9 @@
                 version_before = state.endpoint.version
 
 
-def gateway_context() -> Knowledge:
+def gateway_context() -> GatewayContext:
     """Returns a gateway after a load test, which remembers sessions for 1.1 s."""
-    context = Knowledge(
+    context = GatewayContext(
         "hall-1",
         "vm-1",
         VersionChooser(SessionVersions(100.0)),
@@ -153,7 +153,7 @@
     return context
 
 
-def chosen_version(context: Knowledge, session: str, now_ms: float) -> str:
+def chosen_version(context: GatewayContext, session: str, now_ms: float) -> str:
     states = context.directory.of_service("app")
     allowed = context.versions.allowed("app", session, "r", states, now_ms)
     (version,) = {state.endpoint.version for state in allowed.states}
@@ -172,7 +172,7 @@
             context = gateway_context()
             now_ms = asyncio.get_running_loop().time() * 1000.0
             self.assertEqual("v1", chosen_version(context, "s1", now_ms))
-            GatewayPeers(context).datagram_received(self.MOVED, ("127.0.0.9", 1))
+            PeerProtocol(context).datagram_received(self.MOVED, ("127.0.0.9", 1))
             for later_ms in (0.0, 1000.0, 8000.0):
                 self.assertEqual("v2", chosen_version(context, "s1", now_ms + later_ms))
 
@@ -199,18 +199,18 @@
 
         async def work() -> None:
             running = Rollout("app", "v2", RolloutStage.SETTLE, 0.0, 1, DURATION_MS)
-            self.known.versions.apply_rollouts([running])
+            self.context.versions.apply_rollouts([running])
             call = asyncio.ensure_future(self.call(ask("/stream/1", ASK_STREAM)))
             while not worker.requests:
                 await asyncio.sleep(0.01)
-            peers = GatewayPeers(self.known)
+            peers = PeerProtocol(self.context)
             peers.datagram_received(self.MOVED, ("127.0.0.9", 1))
             moved.set()
             self.assertEqual(200, (await call)[0])
             listed = (OLD, NEW)
-            self.known.directory.replace(EndpointList(1, 2, listed), 0.0)
+            self.context.directory.replace(EndpointList(1, 2, listed), 0.0)
             now_ms = asyncio.get_running_loop().time() * 1000.0
-            self.assertEqual("v2", chosen_version(self.known, "s1", now_ms))
+            self.assertEqual("v2", chosen_version(self.context, "s1", now_ms))
 
         self.run_gateway([worker], work)
 
@@ -258,14 +258,14 @@
         self.check(Load(61, 150.0, received_within_ms=600.0, delay_ms=20.0), 3)
 
     def apply_trial(
-        self, context: Knowledge, share: float, now_ms: float
-    ) -> list[PeerNews]:
+        self, context: GatewayContext, share: float, now_ms: float
+    ) -> list[PeerUpdate]:
         """Applies a trial at a gateway; returns the list of its later broadcasts."""
         number = 2 if share == 0.0 else 3
         trial = Rollout("app", "v2", RolloutStage.TRIAL, share, number, DURATION_MS)
         context.versions.apply_rollouts([trial], now_ms)
-        broadcasts: list[PeerNews] = []
-        context.tell = broadcasts.append
+        broadcasts: list[PeerUpdate] = []
+        context.broadcast = broadcasts.append
         return broadcasts
 
     def test_a_session_that_runs_before_the_trial_is_broadcast_twice(self) -> None:
@@ -290,7 +290,7 @@
         announce_session(sender, "app", "s1", "v2", 1100.0)
         self.assertEqual([SessionMoved("app", "s1", "v2")], broadcasts)
         self.assertEqual("v1", chosen_version(receiver, "s1", 1200.0))
-        HEARD.call(receiver, broadcasts[0], Teller("g", 1200.0))
+        PEER_HANDLERS.call(receiver, broadcasts[0], Sender("g", 1200.0))
         self.assertEqual("v2", chosen_version(receiver, "s1", 1200.0))
 
     def test_a_running_trial_broadcasts_nothing(self) -> None:
@@ -298,8 +298,8 @@
         for number, share in ((2, 0.0), (3, 0.07)):
             trial = Rollout("app", "v2", RolloutStage.TRIAL, share, number, DURATION_MS)
             context.versions.apply_rollouts([trial], 1000.0 * number)
-        broadcasts: list[PeerNews] = []
-        context.tell = broadcasts.append
+        broadcasts: list[PeerUpdate] = []
+        context.broadcast = broadcasts.append
         for number in range(100):
             announce_session(context, "app", f"s{number}", "v2", 4500.0)
             announce_session(context, "app", f"t{number}", "v1", 4500.0)
--- a/tests/test_soft_state.py
+++ b/tests/test_soft_state.py
@@ -6,7 +6,7 @@
     PENDING_PREFILLS_MAX,
     SoftState,
 )
-from ashlatch.gateway.prefix_cache import PromptRead
+from ashlatch.gateway.prefix_cache import PromptPrefill
 
 from ashlatch.catalog import CoreVm, EndpointList, GatewayVm, SessionHashes
 from ashlatch.fleet.machine import FleetState
@@ -15,12 +15,12 @@
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
 ONE = GatewayVm("10.0.0.1:7000", "hall-1")
 TWO = GatewayVm("10.0.0.2:7000", "hall-2")
-PREFILL = PromptRead("i-1", "large", (("aa", 9000),))
+PREFILL = PromptPrefill("i-1", "large", (("aa", 9000),))
 
 
 def request(
     *gateways: GatewayVm,
-    prefills: tuple[PromptRead, ...] = (),
+    prefills: tuple[PromptPrefill, ...] = (),
     prefills_known: tuple[int, int] = (0, 0),
     gateways_known: int = 0,
     sessions: tuple[SessionHashes, ...] = (),
