--- a/ashlatch/gateway/context.py
+++ b/ashlatch/gateway/context.py
@@ -1,8 +1,8 @@
 """
-ashlatch.gateway.knowledge
-~~~~~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.gateway.context
+~~~~~~~~~~~~~~~~~~~~~~~~
 
-What one gateway knows and has counted; shared by all its requests.
+The state and counters of one gateway, shared by all its requests.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -32,27 +32,30 @@
 __all__ = ["GatewayContext"]
 
 
-def _discard_update(news: PeerUpdate) -> None:
-    """A gateway that has no way to the others yet."""
+def _discard_update(update: PeerUpdate) -> None:
+    """Drops an update while the gateway has no socket to its peers yet."""
 
 
 def _skip_core_report() -> None:
-    """A gateway that has no way to the core yet."""
+    """Does nothing while the gateway has no connection to the core yet."""
 
 
 @dataclass
 class GatewayContext:
-    """`regions` are those of the halls. `table` is unset until the first configuration
-    has come.
-
-    `gateways` are those that the fleet has heard of lately; they share the
-    budgets and the connections that endpoints accept. `tell` tells them
-    something at once, which may be lost. `probes` ask whether an endpoint has ended,
-    by its id. `crashes_found` has the core told of what
-    `quarantine` has learnt here. `cold` says which endpoints that have just started may
-    be sent to from here. `core_in_touch` and `peers_in_touch` are whether the core and
-    the other gateways can be heard, as far as is known. `returns_ms` is when the next
-    caller may come back who finds no endpoint of a service with room in its rate limit.
+    """Holds the state of a gateway that its requests share.
+
+    `regions` maps halls to their regions. `table` is None until the first
+    configuration has arrived. `gateways` are the gateways that recently contacted the
+    core; they share the budgets and the connections that endpoints accept.
+    `broadcast` sends an update to the other gateways at once; it may be lost.
+
+    `probes` holds, by endpoint id, the running checks whether an endpoint's process
+    has ended. `report_crashes` triggers a report to the core of the crashes that
+    `quarantine` recorded here. `cold_gate` decides which endpoints that have just
+    started may receive requests from this gateway. `core_reachable` and
+    `peers_reachable` tell whether messages from the core and from the other gateways
+    arrive, as far as is known. `next_retry_ms` gives, by service, the retry time for
+    the next caller that finds no endpoint with capacity in its rate limit.
     """
 
     hall: str
@@ -86,29 +89,32 @@
         self.directory.on_restart = self.forget_instance
 
     def forget_instance(self, instance: str) -> None:
-        """An endpoint's process has ended: nothing of it is left at its address."""
+        """Drops cached prefixes and connections of an endpoint whose process ended."""
         self.prefix_caches.forget(instance)
         self.pool.drop(instance)
 
     def budget(self, service: str) -> RepeatBudget:
-        """The budget of repeated sends of a service."""
+        """Returns the retry budget of a service; creates it on first use."""
         found = self.budgets.get(service)
         if found is None:
             found = self.budgets[service] = RepeatBudget(self.budget_terms)
         return found
 
     def connections_max(self, service: Service) -> int:
-        """This gateway's part of the connections that an endpoint accepts from all."""
+        """Returns this gateway's share of the connections that an endpoint accepts."""
         return max(1, service.connections_max // max(1, len(self.gateways)))
 
     def cold_ms(self, state: EndpointState) -> float:
-        """How long an endpoint is cold after its start."""
+        """Returns for how long an endpoint counts as cold after its start."""
         services = self.table.services if self.table else {}
         service = services.get(state.endpoint.service)
         return service.cold_ms if service is not None else 0.0
 
     def prefix_cache_tokens(self, instance: str) -> int:
-        """What an engine's memory holds; 0 for what is no engine, or unknown."""
+        """Returns the prefix cache capacity of an engine, in tokens.
+
+        0 if the endpoint is unknown or is not an engine.
+        """
         state = self.directory.state(instance)
         if state is None or self.table is None:
             return 0
--- a/ashlatch/gateway/directory.py
+++ b/ashlatch/gateway/directory.py
@@ -2,8 +2,8 @@
 ashlatch.gateway.directory
 ~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-The endpoints that a gateway may send to, and what it has seen of each: load,
-failures, connections.
+The endpoints that a gateway may send to, and the load, failures and limits that it
+has observed of each.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -33,25 +33,26 @@
 
 __all__ = ["Directory", "EndpointState"]
 
-# Failures in a row until an endpoint is left alone, and for how long.
+# After this many failures in a row, an endpoint receives no requests for this long.
 BREAKER_FAILURES = 2
 BREAKER_OPEN_MS = 1500.0
-# With requests there, an endpoint that has sent nothing for this long reads a
-# long prompt, or hangs. Events of a stream come every 20 to 130 ms.
+# An endpoint with requests in flight that has sent nothing for this long is
+# prefilling a long prompt, or hangs. Events of a stream come every 20 to 130 ms.
 STALL_MS = 250.0
-# After another endpoint has answered at its address, one is left alone for this
-# long: until the list has been read again, a leader of the core killed between.
+# How long an endpoint receives no requests after another one has answered at its
+# address. Covers the time until the list is read again, also when the leader of the
+# core is killed in between.
 REPLACED_MS = 4000.0
-# A request that breaks this soon after its endpoint was found to have ended broke by
-# that: the connections of a process end together, within milliseconds.
+# A request that fails this soon after its endpoint was found to have ended failed
+# because of that: the connections of a process close together, within milliseconds.
 ENDED_RECENTLY_MS = 1000.0
-# An endpoint that was found to have ended may be about to start again, idle and cold,
-# and be told as it was before for seconds: until it has answered somebody it counts as
-# cold, for this long at most.
+# An endpoint that was found to have ended may be about to restart, idle and cold,
+# while reports about the old process still arrive for seconds. Until it has answered
+# a request it counts as cold, for this long at most.
 UNCONFIRMED_MAX_MS = 20_000.0
-# How fast the share of failed attempts follows what is seen.
+# Weight of a new result in the moving average of failed attempts.
 FAILURE_GAIN = 0.12
-# How many endpoints are remembered that are not listed any more.
+# The largest number of endpoints that are remembered after they left the list.
 UNLISTED_MAX = 1000
 
 _LEAVING = Permission(Barrier.LEAVING, NEVER_MS)
@@ -60,18 +61,18 @@
 
 @dataclass
 class EndpointState:
-    """One endpoint in its present life.
-
-    `failing` is the recent share of attempts that failed by its doing.
-    `progress_ms` is when it last sent anything, or got its only request.
-    `replaced_ms` is when another endpoint was found at its address, `refused_ms`
-    when a gateway was last told that nobody listens there, `ended_ms` when its
-    process or its VM was last found to have ended.
-    `unanswered` requests were sent there and have no head of an answer yet.
-    `awaited` are the limits of those waits that may be given up. `told_load` is
-    what gateways have told each other of its load. `evacuated` is whether its hall
-    is. `sent_ms` is when this gateway sent there last. `announced_leaving` is whether
-    it has said in an answer that it is about to end.
+    """State of one endpoint in its current incarnation.
+
+    `failure_ratio` is the recent share of attempts that failed because of it.
+    `last_progress_ms` is when it last sent anything, or received a request while it
+    had no other. `replaced_ms` is when another endpoint was found at its address,
+    `refused_ms` when it was last newly found that nothing listens there, `ended_ms`
+    when its process or its VM was last found to have ended. `unanswered` counts the
+    requests sent there that have no head of an answer yet, `pending_timeouts` holds
+    the timeouts of those waits that may be abandoned. `advertised_load` is the load
+    that gateways have broadcast of it. `evacuated` tells whether its hall is
+    evacuated, `last_sent_ms` when this gateway last sent a request there.
+    `announced_leaving` tells whether it said in an answer that it is about to stop.
     """
 
     endpoint: Endpoint
@@ -97,31 +98,34 @@
     _restart_unconfirmed: bool = False
 
     def cold(self, now_ms: float) -> bool:
-        """Whether it has started a moment ago, or may be about to."""
+        """Checks whether it has just started, or may be about to."""
         if self._restart_unconfirmed and now_ms - self.ended_ms < UNCONFIRMED_MAX_MS:
             return True
         return now_ms < self._cold_until_ms
 
     def mark_cold_until(self, until_ms: float) -> None:
-        """It is cold until then at least."""
+        """Lets it count as cold at least until a time."""
         self._cold_until_ms = max(self._cold_until_ms, until_ms)
 
     def confirm_running(self, cold_ms: float, now_ms: float) -> None:
-        """It has answered somebody; if it had ended, it was cold since for a time."""
+        """Records an answer, to this or another gateway.
+
+        If its process had ended, it has restarted and counts as cold for `cold_ms`.
+        """
         if self._restart_unconfirmed:
             self._restart_unconfirmed = False
             self.mark_cold_until(now_ms + cold_ms)
 
     @property
     def leaving(self) -> bool:
-        """Whether it is about to end, by the list or by its own answers."""
+        """Whether it is about to stop, by the list or by its own answers."""
         return self.endpoint.leaving or self.announced_leaving
 
     def permission(self, now_ms: float) -> Permission:
-        """Whether a request may be sent there, by what is known of it alone.
+        """Decides whether a request may be sent there, by its own state only.
 
-        What several gateways share there is another matter: rate limits, and the
-        requests that a cold endpoint bears.
+        The limits that gateways share are not checked here: rate limits, and the
+        number of requests that a cold endpoint can handle.
         """
         if self.leaving:
             return _LEAVING
@@ -134,12 +138,12 @@
         return combine([(Barrier.REPLACED, replaced_ms), (Barrier.BACKOFF, backoff_ms)])
 
     def has_restriction(self, now_ms: float) -> bool:
-        """Whether it has asked in an answer to be sent less, or nothing."""
+        """Checks whether it has asked in an answer for fewer requests, or none."""
         backs_off = self.backoff.wait_ms(now_ms) > 0.0
         return self.announced_leaving or backs_off or self.limit.limited
 
     def sent(self, now_ms: float) -> None:
-        """A request goes there."""
+        """Records that a request is sent there."""
         self.last_sent_ms = now_ms
         self.backoff.sent(now_ms)
         if self.load.in_flight == 0:
@@ -147,35 +151,35 @@
         self.load.sent(now_ms)
 
     def progressed(self, now_ms: float) -> None:
-        """Something has come from there."""
+        """Records that it has sent data."""
         self.last_progress_ms = now_ms
 
     def silent_ms(self, now_ms: float) -> float:
-        """For how long requests have been there and nothing has come."""
+        """Returns for how long it has sent nothing with requests in flight."""
         return now_ms - self.last_progress_ms if self.load.in_flight > 0 else 0.0
 
     def stalled(self, now_ms: float) -> bool:
-        """Whether requests are there and nothing comes."""
+        """Checks whether it sends nothing although requests are in flight."""
         return self.silent_ms(now_ms) > STALL_MS
 
     def recently_replaced(self, now_ms: float) -> bool:
-        """Whether another endpoint was found at its address lately."""
+        """Checks whether another endpoint was recently found at its address."""
         return now_ms - self.replaced_ms < REPLACED_MS
 
     def mark_gone(self, now_ms: float, now_s: float) -> None:
-        """Its VM has gone: end what waits for it and may go elsewhere.
+        """Records that its VM is gone; ends the waits that may move elsewhere.
 
-        `now_s` is the time of the loop, which the limits are told in.
+        `now_s` is the time of the event loop, in which the timeouts are expressed.
         """
         self.breaker.gone(now_ms)
         self.ended_ms = now_ms
         self._restart_unconfirmed = True
-        for limit in self.pending_timeouts:
-            if not limit.expired():
-                limit.reschedule(now_s)
+        for timeout in self.pending_timeouts:
+            if not timeout.expired():
+                timeout.reschedule(now_s)
 
     def apply_load(self, figures: LoadFigures, now_ms: float) -> None:
-        """Take the load that came with an answer, here or at another gateway."""
+        """Applies the load reported with an answer, here or at another gateway."""
         report = LoadReport(
             self.endpoint.instance,
             now_ms,
@@ -186,45 +190,46 @@
         )
         self.load.reported(report)
         if figures.waiting == 0:
-            # One prompt is read there at most. Without this, times to read that
-            # were guessed too high, as after a start, add up to work that is not
-            # there, and the largest model is not asked.
+            # At most one prompt is being prefilled there. Without this correction,
+            # prefill times that were estimated too high, as after a start, add up to
+            # work that does not exist, and the largest model is never asked.
             self.workload.nothing_waits(now_ms)
 
     def requests(self, now_ms: float) -> float:
-        """How many requests are estimated to be at the endpoint."""
+        """Returns the estimated number of requests at the endpoint."""
         if self.load.stale(now_ms):
             return float(self.load.in_flight)
         return self.load.requests()
 
     def utilisation(self, now_ms: float) -> float:
-        """Estimated requests for each place."""
+        """Returns the estimated number of requests per slot."""
         return self.requests(now_ms) / self.endpoint.slots
 
     def succeeded(self) -> None:
-        """An answer that counts has come."""
+        """Records a successful attempt."""
         self.breaker.succeeded()
         self.failure_ratio -= FAILURE_GAIN * self.failure_ratio
 
     def record_refusal(self, now_ms: float) -> bool:
-        """Nobody listens at its address: leave it alone for a while.
+        """Records that nothing listens at its address; opens its breaker.
 
-        Returns whether that is news: not within the time that it is left alone.
+        Returns whether that is new: a refusal while the breaker is still open from
+        an earlier one is not.
         """
-        news = now_ms - self.refused_ms >= BREAKER_OPEN_MS
-        if news:
+        is_new = now_ms - self.refused_ms >= BREAKER_OPEN_MS
+        if is_new:
             self.refused_ms = now_ms
         self.breaker.gone(now_ms)
         self.ended_ms = now_ms
         self._restart_unconfirmed = True
-        if news:
+        if is_new:
             self._reset_estimates()
-        return news
+        return is_new
 
     def _reset_estimates(self) -> None:
-        """Believe nothing of before: what comes back at the address begins anew.
+        """Resets the estimates: a process that restarts at the address starts afresh.
 
-        Requests that are still counted as sent there end one by one.
+        Requests that are still counted as in flight there end one by one.
         """
         self.failure_ratio = 0.0
         self.workload = Workload()
@@ -233,22 +238,23 @@
         self.load.forget_report()
 
     def ended_recently(self, now_ms: float) -> bool:
-        """Whether its process or its VM was found to have ended just now."""
+        """Checks whether its process or its VM was just found to have ended."""
         return now_ms - self.ended_ms < ENDED_RECENTLY_MS
 
     def failed(self, now_ms: float, unreachable: bool) -> None:
-        """An attempt failed by the endpoint's doing."""
+        """Records an attempt that failed because of the endpoint."""
         self.failure_ratio += FAILURE_GAIN * (1.0 - self.failure_ratio)
         if unreachable:
             self.breaker.failed(now_ms)
 
 
 class Directory:
-    """Endpoints by service. A list that is older than the known one is void.
+    """Holds the listed endpoints by service; ignores lists older than the current one.
 
-    `listed_ms` is when the platform was last known to list these endpoints.
-    `life_ended` is called with the id of an endpoint that has started again.
-    `evacuations` are those that the fleet was last heard to know.
+    `list_version` is the epoch and number of the current list, `listed_ms` when the
+    platform was last known to list these endpoints. `on_restart` is called with the
+    id of an endpoint that has restarted. `evacuations` is the latest state of
+    evacuations received from the core.
     """
 
     def __init__(self) -> None:
@@ -261,38 +267,40 @@
         self._by_service: dict[str, list[EndpointState]] = {}
 
     def replace(self, listed: EndpointList, now_ms: float, age_ms: float = 0.0) -> bool:
-        """Take a list of all endpoints, read `age_ms` ago; false when it is old."""
+        """Applies a list of all endpoints, read `age_ms` ago; False if it is older."""
         if listed.order < self.list_version:
             return False
         self.list_version = listed.order
         self.listed_ms = now_ms
-        known = self._unlisted | self._states
+        previous = self._unlisted | self._states
         self._states = {}
         self._by_service = {}
         for endpoint in listed.endpoints:
-            state = self._state_for(known.get(endpoint.instance), endpoint)
+            state = self._state_for(previous.get(endpoint.instance), endpoint)
             state.evacuated = endpoint.hall in self.evacuations.halls
             if endpoint.cold_left_ms > 0.0:
                 state.mark_cold_until(now_ms - age_ms + endpoint.cold_left_ms)
             self._states[endpoint.instance] = state
             self._by_service.setdefault(endpoint.service, []).append(state)
-        self._retain_unlisted(known, now_ms)
+        self._retain_unlisted(previous, now_ms)
         return True
 
-    def _retain_unlisted(self, known: dict[str, EndpointState], now_ms: float) -> None:
-        """Remember what endpoints that are not listed now have asked for.
+    def _retain_unlisted(
+        self, previous: dict[str, EndpointState], now_ms: float
+    ) -> None:
+        """Retains endpoints that left the list but have asked for fewer requests.
 
-        An entry that cannot be read is missing from one list and back in the next.
+        An entry that cannot be parsed is missing from one list and back in the next.
         """
-        absent = [
+        unlisted = [
             (instance, state)
-            for instance, state in known.items()
+            for instance, state in previous.items()
             if instance not in self._states and state.has_restriction(now_ms)
         ]
-        self._unlisted = dict(absent[-UNLISTED_MAX:])
+        self._unlisted = dict(unlisted[-UNLISTED_MAX:])
 
     def apply_evacuations(self, evacuations: Evacuations) -> bool:
-        """Take which halls are evacuated; false when that is not newer."""
+        """Applies the set of evacuated halls; returns False if it is not newer."""
         if evacuations.number <= self.evacuations.number:
             return False
         self.evacuations = evacuations
@@ -301,39 +309,39 @@
         return True
 
     def _state_for(
-        self, known: EndpointState | None, listed: Endpoint
+        self, previous: EndpointState | None, listed: Endpoint
     ) -> EndpointState:
-        """What is believed of an endpoint that is listed; nothing of a new life."""
-        if known is None:
+        """Returns the state of a listed endpoint; a fresh one for a new incarnation."""
+        if previous is None:
             return EndpointState(listed)
-        if known.endpoint.address != listed.address:
+        if previous.endpoint.address != listed.address:
             return EndpointState(listed)
-        if listed.begins_after(known.endpoint):
+        if listed.begins_after(previous.endpoint):
             self.on_restart(listed.instance)
             return EndpointState(listed)
-        # A list that lags may still tell the start before the last one.
-        started_ms = max(known.endpoint.started_unix_ms, listed.started_unix_ms)
-        known.endpoint = msgspec.structs.replace(listed, started_unix_ms=started_ms)
-        return known
+        # A list that lags behind may still give the start time of an earlier process.
+        started_ms = max(previous.endpoint.started_unix_ms, listed.started_unix_ms)
+        previous.endpoint = msgspec.structs.replace(listed, started_unix_ms=started_ms)
+        return previous
 
     def all(self) -> Iterable[EndpointState]:
-        """The endpoints of all services, leaving ones too."""
+        """Returns the endpoints of all services, including leaving ones."""
         return self._states.values()
 
     def of_service(self, service: str) -> Iterable[EndpointState]:
-        """All endpoints of a service, leaving ones too."""
+        """Returns all endpoints of a service, including leaving ones."""
         return self._by_service.get(service, ())
 
     def state(self, instance: str) -> EndpointState | None:
-        """One endpoint by its id, if it is listed."""
+        """Returns an endpoint by its id, or None if it is not listed."""
         return self._states.get(instance)
 
     def instances(self) -> frozenset[str]:
-        """The ids of all listed endpoints."""
+        """Returns the ids of all listed endpoints."""
         return frozenset(self._states)
 
     def serving(self, instance: str) -> bool:
-        """Whether an endpoint is listed and not about to leave."""
+        """Checks whether an endpoint is listed and not about to stop."""
         state = self._states.get(instance)
         return state is not None and not state.leaving
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -479,14 +479,14 @@
     Mutant(
         "older-start-believed",
         "ashlatch/gateway/directory.py",
-        "max(known.endpoint.started_unix_ms, listed.started_unix_ms)",
+        "max(previous.endpoint.started_unix_ms, listed.started_unix_ms)",
         "listed.started_unix_ms",
         LIVES,
     ),
     Mutant(
         "beliefs-outlive-the-process",
         "ashlatch/gateway/directory.py",
-        "        if news:\n            self._reset_estimates()\n",
+        "        if is_new:\n            self._reset_estimates()\n",
         "",
         LIVES,
     ),
@@ -606,8 +606,8 @@
         "limits-untold",
         "ashlatch/gateway/limits.py",
         "known.broadcast(\n"
-        "            RateLimitChanged(state.endpoint.instance, per_s, round(age_ms, 1))\n"
-        "        )",
+        "            RateLimitChanged("
+        "state.endpoint.instance, per_s, round(age_ms, 1))\n        )",
         "pass",
         LIMITS,
     ),
@@ -817,16 +817,16 @@
     Mutant(
         "absent-endpoints-forgotten",
         "ashlatch/gateway/directory.py",
-        "known = self._unlisted | self._states",
-        "known = self._states",
+        "previous = self._unlisted | self._states",
+        "previous = self._states",
         BACKOFF,
     ),
     Mutant(
         "sheddings-untold",
         "ashlatch/gateway/notices.py",
         "known.broadcast(\n"
-        "            BackoffRequested(state.endpoint.instance, round(head.backoff_ms, 1))\n"
-        "        )",
+        "            BackoffRequested("
+        "state.endpoint.instance, round(head.backoff_ms, 1))\n        )",
         "pass",
         SHEDDING,
     ),
