--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -482,14 +482,14 @@
     Mutant(
         "older-start-believed",
         "ashlatch/gateway/directory.py",
-        "max(known.endpoint.started_unix_ms, listed.started_unix_ms)",
+        "max(previous.endpoint.started_unix_ms, listed.started_unix_ms)",
         "listed.started_unix_ms",
         LIVES,
     ),
     Mutant(
         "beliefs-outlive-the-process",
         "ashlatch/gateway/directory.py",
-        "        if news:\n            self._reset_estimates()\n",
+        "        if is_new:\n            self._reset_estimates()\n",
         "",
         LIVES,
     ),
@@ -818,16 +818,16 @@
     Mutant(
         "absent-endpoints-forgotten",
         "ashlatch/gateway/directory.py",
-        "known = self._unlisted | self._states",
-        "known = self._states",
+        "previous = self._unlisted | self._states",
+        "previous = self._states",
         BACKOFF,
     ),
     Mutant(
         "sheddings-untold",
         "ashlatch/gateway/notices.py",
         "known.broadcast(\n"
-        "            BackoffRequested(state.endpoint.instance, round(head.backoff_ms, 1))\n"
-        "        )",
+        "            BackoffRequested("
+        "state.endpoint.instance, round(head.backoff_ms, 1))\n        )",
         "pass",
         SHEDDING,
     ),
