--- a/ashlatch/gateway/context.py
+++ b/ashlatch/gateway/context.py
@@ -90,7 +90,7 @@
 
     def forget_instance(self, instance: str) -> None:
         """Drops cached prefixes and connections of an endpoint whose process ended."""
-        self.prefix_caches.forget(instance)
+        self.prefix_caches.drop(instance)
         self.pool.drop(instance)
 
     def budget(self, service: str) -> RepeatBudget:
--- a/ashlatch/gateway/peer_updates.py
+++ b/ashlatch/gateway/peer_updates.py
@@ -1,9 +1,9 @@
 """
-ashlatch.gateway.hearing
-~~~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.gateway.peer_updates
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-What a gateway takes from the datagrams of others: a handler for each kind of news. News
-of an endpoint that is not listed here tells nothing.
+Handlers for the updates that other gateways send in datagrams, one for each kind.
+Updates about endpoints that are not listed here are ignored.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -43,107 +43,123 @@
 
 log = logging.getLogger("ashlatch.gateway")
 
-PEER_HANDLERS = Handlers("gateway news")
+PEER_HANDLERS = Handlers("gateway update")
 
 
 @dataclass(frozen=True)
 class Sender:
-    """The gateway that tells, by its address, and when it is heard."""
+    """The gateway that sent an update, by its address, and when the update arrived."""
 
     address: str
-    now_ms: float
+    received_ms: float
 
 
 @PEER_HANDLERS.on(SessionMoved)
-def _session_moved(known: GatewayContext, news: SessionMoved, teller: Sender) -> None:
-    known.metrics.count("sessions_heard")
-    known.versions.hear_move(news.service, news.session, news.version)
+def _session_moved(
+    context: GatewayContext, update: SessionMoved, sender: Sender
+) -> None:
+    context.metrics.count("sessions_heard")
+    context.versions.hear_move(update.service, update.session, update.version)
 
 
 @PEER_HANDLERS.on(SessionActive)
-def _session_runs(known: GatewayContext, news: SessionActive, teller: Sender) -> None:
-    known.versions.hear_running(news.service, news.version, news.session_hash)
+def _session_active(
+    context: GatewayContext, update: SessionActive, sender: Sender
+) -> None:
+    context.versions.hear_running(update.service, update.version, update.session_hash)
 
 
 @PEER_HANDLERS.on(CrashRecordUpdate)
-def _content_crashed(
-    known: GatewayContext, news: CrashRecordUpdate, teller: Sender
+def _crash_record(
+    context: GatewayContext, update: CrashRecordUpdate, sender: Sender
 ) -> None:
-    learn_crashes(known, news.record, teller.address)
+    learn_crashes(context, update.record, sender.address)
 
 
 @PEER_HANDLERS.on(EndpointReplaced)
-def _replaced(known: GatewayContext, news: EndpointReplaced, teller: Sender) -> None:
-    state = known.directory.state(news.instance)
+def _endpoint_replaced(
+    context: GatewayContext, update: EndpointReplaced, sender: Sender
+) -> None:
+    state = context.directory.state(update.instance)
     if state is None:
         return
-    state.replaced_ms = teller.now_ms
+    state.replaced_ms = sender.received_ms
     service = state.endpoint.service
-    misdirected = EndpointMisdirected(news.instance, service, teller.address)
+    misdirected = EndpointMisdirected(update.instance, service, sender.address)
     emit(log, misdirected, logging.WARNING)
 
 
 @PEER_HANDLERS.on(PromptSent)
-def _prompt_sent(known: GatewayContext, news: PromptSent, teller: Sender) -> None:
-    state = known.directory.state(news.instance)
+def _prompt_sent(context: GatewayContext, update: PromptSent, sender: Sender) -> None:
+    state = context.directory.state(update.instance)
     if state is not None:
-        state.workload.add(news.prefill_ms, teller.now_ms)
+        state.workload.add(update.prefill_ms, sender.received_ms)
 
 
 @PEER_HANDLERS.on(EndpointRefuses)
-def _refuses(known: GatewayContext, news: EndpointRefuses, teller: Sender) -> None:
-    state = known.directory.state(news.instance)
-    if state is None or not state.record_refusal(teller.now_ms):
+def _endpoint_refuses(
+    context: GatewayContext, update: EndpointRefuses, sender: Sender
+) -> None:
+    state = context.directory.state(update.instance)
+    if state is None or not state.record_refusal(sender.received_ms):
         return
     service = state.endpoint.service
-    silent = EndpointNotListening(news.instance, service, teller.address)
-    emit(log, silent, logging.WARNING)
-    known.forget_instance(news.instance)
+    not_listening = EndpointNotListening(update.instance, service, sender.address)
+    emit(log, not_listening, logging.WARNING)
+    context.forget_instance(update.instance)
 
 
 @PEER_HANDLERS.on(EndpointLeaving)
-def _announces_leaving(
-    known: GatewayContext, news: EndpointLeaving, teller: Sender
+def _endpoint_leaving(
+    context: GatewayContext, update: EndpointLeaving, sender: Sender
 ) -> None:
-    state = known.directory.state(news.instance)
+    state = context.directory.state(update.instance)
     if state is not None:
-        mark_leaving(known, state, teller.address)
+        mark_leaving(context, state, sender.address)
 
 
 @PEER_HANDLERS.on(BackoffRequested)
-def _sheds(known: GatewayContext, news: BackoffRequested, teller: Sender) -> None:
-    state = known.directory.state(news.instance)
+def _backoff_requested(
+    context: GatewayContext, update: BackoffRequested, sender: Sender
+) -> None:
+    state = context.directory.state(update.instance)
     if state is None:
         return
-    state.backoff.record_peer_request(news.backoff_ms, teller.now_ms)
-    service, backoff_ms = state.endpoint.service, int(news.backoff_ms)
+    state.backoff.record_peer_request(update.backoff_ms, sender.received_ms)
+    service, backoff_ms = state.endpoint.service, int(update.backoff_ms)
     emit(
         log,
-        EndpointBackoffElsewhere(news.instance, service, backoff_ms, teller.address),
+        EndpointBackoffElsewhere(update.instance, service, backoff_ms, sender.address),
     )
 
 
 @PEER_HANDLERS.on(RateLimitChanged)
-def _limit_named(known: GatewayContext, news: RateLimitChanged, teller: Sender) -> None:
-    state = known.directory.state(news.instance)
+def _rate_limit_changed(
+    context: GatewayContext, update: RateLimitChanged, sender: Sender
+) -> None:
+    state = context.directory.state(update.instance)
     if state is not None:
-        apply_peer_limit(known, state, news, teller.address, teller.now_ms)
+        apply_peer_limit(context, state, update, sender.address, sender.received_ms)
 
 
 @PEER_HANDLERS.on(RateLimitedSend)
-def _limited_send(known: GatewayContext, news: RateLimitedSend, teller: Sender) -> None:
-    state = known.directory.state(news.instance)
+def _rate_limited_send(
+    context: GatewayContext, update: RateLimitedSend, sender: Sender
+) -> None:
+    state = context.directory.state(update.instance)
     if state is not None:
-        apply_peer_send(known, state, teller.now_ms)
+        apply_peer_send(context, state, sender.received_ms)
 
 
 @PEER_HANDLERS.on(LoadReported)
-def _load_seen(known: GatewayContext, news: LoadReported, teller: Sender) -> None:
-    state = known.directory.state(news.instance)
+def _load_reported(
+    context: GatewayContext, update: LoadReported, sender: Sender
+) -> None:
+    state = context.directory.state(update.instance)
     if state is None:
         return
-    figures = LoadFigures(news.running, news.waiting, news.slots)
-    state.apply_load(figures, teller.now_ms)
-    state.confirm_running(known.cold_ms(state), teller.now_ms)
-    level = load_level(news.running + news.waiting, news.slots)
-    state.advertised_load.heard(level, teller.now_ms)
+    figures = LoadFigures(update.running, update.waiting, update.slots)
+    state.apply_load(figures, sender.received_ms)
+    state.confirm_running(context.cold_ms(state), sender.received_ms)
+    level = load_level(update.running + update.waiting, update.slots)
+    state.advertised_load.heard(level, sender.received_ms)
--- a/ashlatch/gateway/peers.py
+++ b/ashlatch/gateway/peers.py
@@ -2,7 +2,7 @@
 ashlatch.gateway.peers
 ~~~~~~~~~~~~~~~~~~~~~~
 
-The datagrams between gateways: one socket to tell the others and to hear them.
+Sends and receives the datagrams between gateways, on one socket.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -64,7 +64,7 @@
     BackoffRequested: TrafficKind.BACKOFF,
     SessionActive: TrafficKind.SESSION,
 }
-# What every gateway should hear, wherever the endpoint is.
+# Updates that every gateway receives, wherever the endpoint is.
 _FOR_ALL = (
     EndpointRefuses
     | CrashRecordUpdate
@@ -77,17 +77,17 @@
 
 
 class PeerProtocol(asyncio.DatagramProtocol):
-    """One gateway's socket for datagrams of and to the other gateways."""
+    """The datagram protocol of one gateway for updates from and to the other gateways."""
 
-    def __init__(self, known: GatewayContext) -> None:
-        self._context = known
+    def __init__(self, context: GatewayContext) -> None:
+        self._context = context
         self._transport: asyncio.DatagramTransport | None = None
         self._local: GatewayVm | None = None
 
-    async def start(self, own: GatewayVm) -> None:
-        """Take datagrams at the own address; without it, the gateway serves on."""
-        self._local = own
-        at = Address.parse(own.address)
+    async def start(self, local: GatewayVm) -> None:
+        """Binds the socket to the local address; if that fails, the gateway runs without it."""
+        self._local = local
+        at = Address.parse(local.address)
         loop = asyncio.get_running_loop()
         try:
             await loop.create_datagram_endpoint(
@@ -95,80 +95,86 @@
             )
         except OSError as error:
             self._context.peers_reachable = False
-            emit(log, PeersUnavailable(own.address, str(error)), logging.WARNING)
+            emit(log, PeersUnavailable(local.address, str(error)), logging.WARNING)
 
-    def broadcast(self, news: PeerUpdate) -> None:
-        """Tell the other gateways; never waits, and may be lost."""
+    def broadcast(self, update: PeerUpdate) -> None:
+        """Sends an update to the other gateways; never blocks, and the update may be lost."""
         if self._transport is None or self._local is None:
             return
-        if isinstance(news, HallUpdate):
-            self._broadcast_by_hall(news)
+        if isinstance(update, HallUpdate):
+            self._broadcast_by_hall(update)
         else:
-            self._send(news, [g for g in self._context.gateways if g != self._local])
+            self._send(update, [g for g in self._context.gateways if g != self._local])
 
-    def _broadcast_by_hall(self, news: HallUpdate) -> None:
-        """Tell those whom it concerns, other halls by one message each.
+    def _broadcast_by_hall(self, update: HallUpdate) -> None:
+        """Sends an update to the gateways it concerns, with one datagram to each other hall.
 
-        Told to each gateway, news of prompts would take bytes between halls of the
-        order of the prompts themselves.
+        Sent to every gateway, updates about prompts would take about as many bytes
+        between halls as the prompts themselves.
         """
-        audience = self._recipients(news)
-        self._send(news, audience.direct)
-        self._send(msgspec.structs.replace(news, for_hall=True), audience.relays)
+        recipients = self._recipients(update)
+        self._send(update, recipients.direct)
+        self._send(
+            msgspec.structs.replace(update, relay_to_hall=True), recipients.relays
+        )
 
-    def _recipients(self, news: HallUpdate) -> Recipients:
+    def _recipients(self, update: HallUpdate) -> Recipients:
         assert self._local is not None
-        known = self._context
-        if isinstance(news, _FOR_ALL):
-            return all_recipients(self._local, known.gateways, known.generator)
-        state = known.directory.state(news.instance)
+        context = self._context
+        if isinstance(update, _FOR_ALL):
+            return all_recipients(self._local, context.gateways, context.generator)
+        state = context.directory.state(update.instance)
         if state is None:
             return Recipients()
         hall = state.endpoint.hall
-        if isinstance(news, PromptSent):
+        if isinstance(update, PromptSent):
             return prompt_recipients(
-                news.prefill_ms, hall, self._local, known.gateways, known.generator
+                update.prefill_ms,
+                hall,
+                self._local,
+                context.gateways,
+                context.generator,
             )
-        level = load_level(news.running + news.waiting, news.slots)
+        level = load_level(update.running + update.waiting, update.slots)
         return load_recipients(
-            level, hall, self._local, known.gateways, known.generator
+            level, hall, self._local, context.gateways, context.generator
         )
 
-    def _relay(self, news: HallUpdate) -> None:
-        """Tell the own hall what a gateway of another one has told for it."""
+    def _relay(self, update: HallUpdate) -> None:
+        """Forwards an update from another hall to the gateways of the local hall."""
         if self._local is None:
             return
-        own, gateways = self._local, self._context.gateways
-        near = gateways_in_hall(own.hall, own, gateways)
-        self._send(msgspec.structs.replace(news, for_hall=False), near)
+        local, gateways = self._local, self._context.gateways
+        direct = gateways_in_hall(local.hall, local, gateways)
+        self._send(msgspec.structs.replace(update, relay_to_hall=False), direct)
         self._context.metrics.count("news_relayed")
 
-    def _send(self, news: PeerUpdate, to: Iterable[GatewayVm]) -> None:
+    def _send(self, update: PeerUpdate, gateways: Iterable[GatewayVm]) -> None:
         if self._transport is None:
             return
-        data = encode(news)
-        kind = _TRAFFIC_KINDS[type(news)]
-        for gateway in to:
+        data = encode(update)
+        kind = _TRAFFIC_KINDS[type(update)]
+        for gateway in gateways:
             at = Address.parse(gateway.address)
             self._transport.sendto(data, (at.host, at.port))
             self._context.traffic.add(kind, gateway.hall, len(data))
 
     def connection_made(self, transport: Any) -> None:
-        """The socket is open."""
+        """Called when the socket is open."""
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Another gateway tells something."""
+        """Applies an update from another gateway and relays it if that is asked for."""
         try:
-            news: PeerUpdate = decode(data, PeerUpdate)
+            update: PeerUpdate = decode(data, PeerUpdate)
         except msgspec.MsgspecError:
             self._context.metrics.count("datagrams_unreadable")
             return
         now_ms = asyncio.get_running_loop().time() * 1000.0
-        PEER_HANDLERS.call(self._context, news, Sender(addr[0], now_ms))
-        if isinstance(news, HallUpdate) and news.for_hall:
-            self._relay(news)
+        PEER_HANDLERS.call(self._context, update, Sender(addr[0], now_ms))
+        if isinstance(update, HallUpdate) and update.relay_to_hall:
+            self._relay(update)
 
     def error_received(self, exc: Exception) -> None:
-        """A gateway that was told is not there; the fleet forgets it soon."""
+        """Counts a datagram to a gateway that is not running; the fleet removes it soon."""
         self._context.metrics.count("datagrams_refused")
--- a/ashlatch/gateway/prefix_cache.py
+++ b/ashlatch/gateway/prefix_cache.py
@@ -115,7 +115,7 @@
         for instance in [i for i in self._caches if i not in instances]:
             del self._caches[instance]
 
-    def forget(self, instance: str) -> None:
+    def drop(self, instance: str) -> None:
         """An engine has started again, with an empty memory."""
         self._caches.pop(instance, None)
 
--- a/ashlatch/gateway/recipients.py
+++ b/ashlatch/gateway/recipients.py
@@ -1,13 +1,13 @@
 """
-ashlatch.gateway.audience
-~~~~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.gateway.recipients
+~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Which gateways are told of a prompt that an engine has got, of its load, or that it
-is not there. Those of the own hall are told each by itself; of another hall one
-gateway is told, drawn anew each time, and tells the others there. Nobody has to
-agree on who that is: a gateway that has died, frozen or been cut off takes its
-share of the news with it and no more, one in 39 on average with 195 gateways in
-five halls, until the fleet forgets it.
+Selects which gateways receive an update about a prompt, a load or an endpoint that is
+not listening. Gateways of the local hall each receive it directly; in every other hall
+one gateway, drawn anew for each update, receives it and relays it to the others there.
+No agreement on the relay is needed: a gateway that has crashed, frozen or lost its
+network loses only its share of the updates until the fleet removes it, one in 39 on
+average with 195 gateways in five halls.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -27,84 +27,86 @@
     "gateways_in_hall",
 ]
 
-# Prompts that are read sooner hardly make anybody wait.
+# Prompts with a shorter prefill hardly delay other requests.
 SEND_MIN_MS = 30.0
-# Those that hold an engine for longer than most answers take to begin matter to
-# gateways of all halls.
+# Prompts that occupy an engine for longer than most answers take to begin matter to
+# the gateways of all halls.
 SEND_TO_ALL_MIN_MS = 300.0
 
 
 @dataclass(frozen=True)
 class Recipients:
-    """`near` are told for themselves, each of `relays` for its whole hall."""
+    """`direct` receive an update for themselves, each of `relays` for its whole hall."""
 
     direct: tuple[GatewayVm, ...] = ()
     relays: tuple[GatewayVm, ...] = ()
 
 
 def prompt_recipients(
-    read_ms: float,
-    engine_hall: str,
-    own: GatewayVm,
+    prefill_ms: float,
+    endpoint_hall: str,
+    local: GatewayVm,
     gateways: tuple[GatewayVm, ...],
     generator: random.Random,
 ) -> Recipients:
-    """Who is told of a prompt that an engine reads for `read_ms`.
+    """Returns who receives the update about a prompt with a prefill of `prefill_ms`.
 
-    Short prompts concern nobody, others the gateways of the own hall and of the
-    engine's, which are the likely ones to send there; long ones concern all.
+    Nobody for short prompts. For others the gateways of the local hall and of the
+    engine's, which are the most likely to send there; all gateways for long ones.
     """
-    if read_ms < SEND_MIN_MS:
+    if prefill_ms < SEND_MIN_MS:
         return Recipients()
     return _recipients(
-        read_ms >= SEND_TO_ALL_MIN_MS, engine_hall, own, gateways, generator
+        prefill_ms >= SEND_TO_ALL_MIN_MS, endpoint_hall, local, gateways, generator
     )
 
 
 def load_recipients(
     level: int,
-    engine_hall: str,
-    own: GatewayVm,
+    endpoint_hall: str,
+    local: GatewayVm,
     gateways: tuple[GatewayVm, ...],
     generator: random.Random,
 ) -> Recipients:
-    """Who is told of an endpoint's load, by the quarter of its places taken.
+    """Returns who receives the update about an endpoint's load.
 
-    The gateways of the own hall and of the endpoint's; all when it is full, since
-    those that look for a kept prompt come from any hall.
+    `level` is the share of its slots in use, in quarters. The gateways of the local
+    hall and of the endpoint's receive it; all gateways if the endpoint is full, since
+    requests for a cached prefix come from any hall.
     """
-    return _recipients(level >= FULL, engine_hall, own, gateways, generator)
+    return _recipients(level >= FULL, endpoint_hall, local, gateways, generator)
 
 
 def all_recipients(
-    own: GatewayVm, gateways: tuple[GatewayVm, ...], generator: random.Random
+    local: GatewayVm, gateways: tuple[GatewayVm, ...], generator: random.Random
 ) -> Recipients:
-    """Who is told of what concerns everybody.
+    """Returns the recipients of an update that concerns all gateways.
 
-    An endpoint whose process is not there looks idle, so all would try it before the
-    others; and the caller of a request that crashes endpoints may come to any gateway.
+    An endpoint whose process is not running looks idle, so every gateway would try it
+    before the others; and the caller of a request that crashes endpoints may reach any
+    gateway.
     """
-    return _recipients(True, own.hall, own, gateways, generator)
+    return _recipients(True, local.hall, local, gateways, generator)
 
 
 def _recipients(
-    everywhere: bool,
-    engine_hall: str,
-    own: GatewayVm,
+    all_halls: bool,
+    endpoint_hall: str,
+    local: GatewayVm,
     gateways: tuple[GatewayVm, ...],
     generator: random.Random,
 ) -> Recipients:
-    halls = {gateway.hall for gateway in gateways} if everywhere else {engine_hall}
+    halls = {gateway.hall for gateway in gateways} if all_halls else {endpoint_hall}
     relays = []
-    for hall in sorted(halls - {own.hall}):
-        there = gateways_in_hall(hall, own, gateways)
-        if there:
-            relays.append(generator.choice(there))
-    return Recipients(gateways_in_hall(own.hall, own, gateways), tuple(relays))
+    for hall in sorted(halls - {local.hall}):
+        candidates = gateways_in_hall(hall, local, gateways)
+        if candidates:
+            relays.append(generator.choice(candidates))
+    return Recipients(gateways_in_hall(local.hall, local, gateways), tuple(relays))
 
 
 def gateways_in_hall(
-    hall: str, own: GatewayVm, gateways: tuple[GatewayVm, ...]
+    hall: str, local: GatewayVm, gateways: tuple[GatewayVm, ...]
 ) -> tuple[GatewayVm, ...]:
-    """The gateways of a hall but for the own one."""
-    return tuple(g for g in gateways if g.hall == hall and g != own)
+    """Returns the gateways of a hall except the local one."""
+    return tuple(g for g in gateways if g.hall == hall and g != local)
--- a/ashlatch/gateway/updates.py
+++ b/ashlatch/gateway/updates.py
@@ -1,9 +1,9 @@
 """
-ashlatch.gateway.news
-~~~~~~~~~~~~~~~~~~~~~
+ashlatch.gateway.updates
+~~~~~~~~~~~~~~~~~~~~~~~~
 
-What gateways tell each other at once, in datagrams. All of it only helps to
-choose better: a datagram may be lost.
+The updates that gateways send each other in datagrams. They only improve the choice
+of endpoints, so a datagram may be lost.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -32,23 +32,24 @@
 
 
 class PromptSent(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """An engine has got a prompt that it reads for about `read_ms`.
+    """An engine received a prompt whose prefill takes about `prefill_ms`.
 
-    An engine's report comes with answers only, and one prompt may hold an
-    engine for a second and more: without this, gateways queue behind each
-    other's prompts while other engines stand idle. With `for_hall`, who gets it
-    tells the other gateways of its hall.
+    An engine reports its load with answers only, and one prompt may occupy an engine
+    for a second and more. Without this update, gateways queue behind each other's
+    prompts while other engines are idle. With `relay_to_hall`, the receiver forwards
+    the update to the other gateways of its hall.
     """
 
     instance: str
     prefill_ms: float
-    for_hall: bool = False
+    relay_to_hall: bool = False
 
 
 class SessionMoved(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """A load test has moved a session to the version under test.
+    """A load test moved a session to the version under test.
 
-    Its next request may come by another gateway, and must not go back.
+    Its next request may arrive at another gateway and must not return to the old
+    version.
     """
 
     service: str
@@ -57,102 +58,108 @@
 
 
 class EndpointReplaced(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Another endpoint has answered at the address of this one."""
+    """Another endpoint answered at the address of this one."""
 
     instance: str
 
 
 class LoadReported(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """An endpoint has told its load with an answer, and it is or was busy.
+    """An endpoint reported its load with an answer, and it is or was busy.
 
-    With `for_hall`, who gets it tells the other gateways of its hall.
+    With `relay_to_hall`, the receiver forwards the update to the other gateways of its
+    hall.
     """
 
     instance: str
     running: int
     waiting: int
     slots: int
-    for_hall: bool = False
+    relay_to_hall: bool = False
 
 
 class EndpointRefuses(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """Nobody listens at the address of this endpoint: its process is not there.
+    """Nothing listens at the address of this endpoint: its process is not running.
 
-    With `for_hall`, who gets it tells the other gateways of its hall.
+    With `relay_to_hall`, the receiver forwards the update to the other gateways of its
+    hall.
     """
 
     instance: str
-    for_hall: bool = False
+    relay_to_hall: bool = False
 
 
 class CrashRecordUpdate(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Endpoints have ended while they ran a content, or it has survived that.
+    """Endpoints ended while they ran a request, or one completed it without a crash.
 
-    With `for_hall`, who gets it tells the other gateways of its hall.
+    `record` identifies the request by its fingerprint. With `relay_to_hall`, the
+    receiver forwards the update to the other gateways of its hall.
     """
 
     record: CrashRecord
-    for_hall: bool = False
+    relay_to_hall: bool = False
 
 
 class RateLimitChanged(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """An endpoint has named a rate limit, or none any more (infinite).
+    """An endpoint announced a rate limit, or that it has none any more (infinite).
 
-    The request whose answer named it was sent `age_ms` ago. With `for_hall`, who gets
-    it tells the other gateways of its hall.
+    The request whose answer announced it was sent `age_ms` ago. With `relay_to_hall`,
+    the receiver forwards the update to the other gateways of its hall.
     """
 
     instance: str
     limit_per_s: float
     age_ms: float
-    for_hall: bool = False
+    relay_to_hall: bool = False
 
 
 class RateLimitedSend(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """A request goes to an endpoint that has named a rate limit.
+    """A request was sent to an endpoint that has announced a rate limit.
 
-    With `for_hall`, who gets it tells the other gateways of its hall.
+    With `relay_to_hall`, the receiver forwards the update to the other gateways of its
+    hall.
     """
 
     instance: str
-    for_hall: bool = False
+    relay_to_hall: bool = False
 
 
 class EndpointLeaving(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """An endpoint has said in an answer that it is about to end.
+    """An endpoint announced in an answer that it is about to stop.
 
-    With `for_hall`, who gets it tells the other gateways of its hall.
+    With `relay_to_hall`, the receiver forwards the update to the other gateways of its
+    hall.
     """
 
     instance: str
-    for_hall: bool = False
+    relay_to_hall: bool = False
 
 
 class BackoffRequested(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """An endpoint has turned a request away and asked its gateway for a backoff.
+    """An endpoint turned a request away and asked its gateway to back off.
 
-    With `for_hall`, who gets it tells the other gateways of its hall.
+    With `relay_to_hall`, the receiver forwards the update to the other gateways of its
+    hall.
     """
 
     instance: str
     backoff_ms: float
-    for_hall: bool = False
+    relay_to_hall: bool = False
 
 
 class SessionActive(msgspec.Struct, frozen=True, array_like=True, tag=11):
-    """A session runs on the version before while the trial of a version is awaited.
+    """A session runs on the previous version while a new one's trial is pending.
 
-    `mark` is the session's for that version. With `for_hall`, who gets it tells the
-    other gateways of its hall.
+    `session_hash` is the hash of the session for that version. With `relay_to_hall`,
+    the receiver forwards the update to the other gateways of its hall.
     """
 
     service: str
     version: str
     session_hash: int
-    for_hall: bool = False
+    relay_to_hall: bool = False
 
 
-# What is about one endpoint.
+# Updates about one endpoint.
 EndpointUpdate = (
     PromptSent
     | EndpointReplaced
@@ -164,7 +171,7 @@
     | BackoffRequested
 )
 PeerUpdate = EndpointUpdate | SessionMoved | SessionActive | CrashRecordUpdate
-# What concerns gateways by their halls.
+# Updates that are sent hall by hall, through one relay in each other hall.
 HallUpdate = (
     PromptSent
     | LoadReported
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -395,8 +395,8 @@
     Mutant(
         "one-relay-for-each-hall",
         "ashlatch/gateway/recipients.py",
-        "            relays.append(generator.choice(there))\n",
-        "            relays.append(there[0])\n",
+        "            relays.append(generator.choice(candidates))\n",
+        "            relays.append(candidates[0])\n",
         AUDIENCE,
     ),
     Mutant(
@@ -409,7 +409,7 @@
     Mutant(
         "refusing-endpoints-kept-to-oneself",
         "ashlatch/gateway/peer_updates.py",
-        "    if state is None or not state.record_refusal(teller.now_ms):\n",
+        "    if state is None or not state.record_refusal(sender.received_ms):\n",
         "    if True:\n",
         ENGINES,
     ),
--- a/tests/session_play.py
+++ b/tests/session_play.py
@@ -113,7 +113,7 @@
     def _bring(self, number: int, data: bytes) -> None:
         news: PeerUpdate = decode(data, PeerUpdate)
         PEER_HANDLERS.call(self.gateways[number], news, Sender("g", self.now_ms))
-        if isinstance(news, HallUpdate) and news.for_hall:
+        if isinstance(news, HallUpdate) and news.relay_to_hall:
             self._peers[number]._relay(news)
 
     def play(self) -> "SessionWorld":
