--- a/tests/session_simulation.py
+++ b/tests/session_simulation.py
@@ -117,7 +117,7 @@
     def _deliver(self, number: int, data: bytes) -> None:
         update: PeerUpdate = decode(data, PeerUpdate)
         PEER_HANDLERS.call(self.gateways[number], update, Sender("g", self.now_ms))
-        if isinstance(update, HallUpdate) and update.for_hall:
+        if isinstance(update, HallUpdate) and update.relay_to_hall:
             self._peers[number]._relay(update)
 
     def run(self) -> "SessionWorld":
