--- a/ashlatch/gateway/core_selection.py
+++ b/ashlatch/gateway/core_selection.py
@@ -1,11 +1,12 @@
 """
-ashlatch.gateway.contact
-~~~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.gateway.core_selection
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Which core VM a gateway asks for news: one of its own hall while that one is in
-touch with the leader, since what stays in a hall costs nothing. Every core VM
-has the same news; of 195 gateways in five halls that ask any of five, four in
-five of all answers would cross, 156 copies of what the five core VMs have.
+Selects the core VM that a gateway syncs with: one of its own hall while that one is
+connected to the leader, since traffic within a hall is free. Every core VM has the
+same updates; if 195 gateways in five halls synced with any of five core VMs, four in
+five of all answers would cross between halls, 156 copies of what the five core VMs
+have.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -20,16 +21,15 @@
 
 
 class CoreSelector:
-    """The core VM that is asked, by its address; empty before the first one.
+    """Holds the address of the core VM to sync with; empty before the first request.
 
-    `seeds` gives the addresses that the settings name, whose halls nobody knows
-    at first::
+    `seeds` returns the addresses from the settings, whose halls are unknown at first::
 
-        contact = CoreContact("hall-1", lambda: ("10.0.0.9:7000",), Random(1))
-        contact.address  # "10.0.0.9:7000"
+        selector = CoreSelector("hall-1", lambda: ("10.0.0.9:7000",), Random(1))
+        selector.address  # "10.0.0.9:7000"
         far, near = CoreVm("10.0.0.9:7000", "hall-2"), CoreVm("10.0.0.1:7000", "hall-1")
-        contact.learn((far, near))
-        contact.nearer()  # "10.0.0.1:7000"
+        selector.update((far, near))
+        selector.local_candidate()  # "10.0.0.1:7000"
     """
 
     def __init__(
@@ -46,45 +46,45 @@
 
     @property
     def address(self) -> str:
-        """Whom to ask next."""
+        """The address of the core VM for the next request."""
         if not self._address:
             self._address = self._generator.choice(self.addresses())
         return self._address
 
     def addresses(self) -> tuple[str, ...]:
-        """The addresses of all core VMs, and the seeds."""
+        """Returns the addresses of all core VMs, and the seeds."""
         cores = (core.address for core in self._cores)
         return tuple(dict.fromkeys((*cores, *self._seeds())))
 
     def hall_of(self, address: str) -> str:
-        """The hall of a core VM; empty while that is unknown."""
+        """Returns the hall of a core VM; empty while it is unknown."""
         halls = (core.hall for core in self._cores if core.address == address)
         return next(halls, "")
 
     def update(self, cores: tuple[CoreVm, ...]) -> None:
-        """Take which core VMs there are."""
+        """Replaces the set of core VMs."""
         self._cores = cores
 
     def leave(self, address: str) -> None:
-        """A core VM has not answered, or knows no leader: ask any other.
+        """Switches to any other core VM: this one did not answer or has no leader.
 
-        Not one of the own hall by preference: when a hall is cut off, all of its
-        core VMs are.
+        Core VMs of the local hall are not preferred: when a hall loses its network, all
+        of its core VMs are unreachable.
         """
-        others = [known for known in self.addresses() if known != address]
+        others = [other for other in self.addresses() if other != address]
         self._address = self._generator.choice(others) if others else address
 
     def local_candidate(self) -> str:
-        """A core VM of the own hall while one of another is asked; or empty.
+        """Returns a core VM of the local hall if the selected one is of another hall.
 
-        It is to be tried before it is moved to, so that one which is frozen or
-        cut off keeps nobody from news.
+        Otherwise empty. The caller tries the candidate before it selects it, so that a
+        frozen or unreachable one does not interrupt the updates.
         """
         if not self._address or self.hall_of(self._address) == self._hall:
             return ""
-        near = [core.address for core in self._cores if core.hall == self._hall]
-        return self._generator.choice(near) if near else ""
+        local = [core.address for core in self._cores if core.hall == self._hall]
+        return self._generator.choice(local) if local else ""
 
     def select(self, address: str) -> None:
-        """Ask this core VM from now on."""
+        """Selects this core VM for the next requests."""
         self._address = address
--- a/ashlatch/gateway/core_updates.py
+++ b/ashlatch/gateway/core_updates.py
@@ -1,10 +1,9 @@
 """
-ashlatch.gateway.corenews
-~~~~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.gateway.core_updates
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-What a gateway learns from the core's answers: configuration, endpoints, roll-outs,
-evacuations, gateways, and what others have found out. Each change of what it believes
-is logged.
+Applies the core's answers to a gateway: configuration, endpoints, roll-outs,
+evacuations, gateways, and what other gateways have reported. Each change is logged.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -38,20 +37,21 @@
 
 
 class CoreUpdates:
-    """Takes answers of core VMs into a gateway's knowledge.
+    """Applies answers of core VMs to a gateway's context.
 
-    The attributes are what a question tells to be known already.
+    The attributes are the positions that a sync request sends, so that the answer
+    holds only what is newer.
     """
 
-    def __init__(self, known: GatewayContext) -> None:
+    def __init__(self, context: GatewayContext) -> None:
         self.document_version = 0
         self.rollout_number = 0
         self.reads_position = (0, 0)
         self.crashes_position = 0
-        self._context = known
+        self._context = context
 
     def apply(self, address: str, reply: SyncReply) -> None:
-        """Take the answer of the core VM at an address."""
+        """Applies the answer of the core VM at an address."""
         if reply.evacuations is not None:
             self._apply_evacuations(reply.evacuations)
         if reply.document and reply.document_version > self.document_version:
@@ -67,7 +67,7 @@
         self._context.latency_model.learn(reply.rates)
 
     def _apply_current(self, reply: SyncReply) -> None:
-        """Take what only a core VM in touch with its leader can tell."""
+        """Applies the parts valid only from a core VM that is connected to its leader."""
         now_ms = _now_ms()
         self._context.cold_gate.heard_core(now_ms)
         if reply.gateways is not None:
@@ -76,14 +76,14 @@
 
     def _record_rollout(self, rollout: Rollout) -> None:
         self.rollout_number = max(self.rollout_number, rollout.number)
-        learnt = RolloutChanged(
+        changed = RolloutChanged(
             rollout.service,
             rollout.version,
             rollout.stage.value,
             rollout.share,
             rollout.number,
         )
-        emit(log, learnt)
+        emit(log, changed)
 
     def _apply_gateways(self, gateways: tuple[GatewayVm, ...]) -> None:
         before = len(self._context.gateways)
@@ -91,34 +91,34 @@
         emit(log, GatewaysChanged(len(gateways), before))
 
     def _apply_crashes(self, address: str, reply: SyncReply) -> None:
-        """Take which requests crash endpoints, by what other gateways have found."""
+        """Applies the records of requests that crash endpoints, from other gateways."""
         for record in reply.crashes:
             learn_crashes(self._context, record, address)
             self._context.quarantine.confirm(record)
         self.crashes_position = max(self.crashes_position, reply.crashes_known)
 
     def apply_prefills(self, reply: SyncReply) -> None:
-        """Take what engines have read for other gateways."""
+        """Applies the prefills at engines that other gateways have reported."""
         self.reads_position = reply.reads_known
         now_ms = _now_ms()
-        for read in reply.reads:
-            memory_tokens = self._context.prefix_cache_tokens(read.instance)
-            state = self._context.directory.state(read.instance)
+        for prefill in reply.reads:
+            cache_tokens = self._context.prefix_cache_tokens(prefill.instance)
+            state = self._context.directory.state(prefill.instance)
             if state is not None and state.ended_recently(now_ms):
-                # Told of the life that has just ended, whose memory is gone.
+                # Reported of the process that has just ended, whose cache is lost.
                 continue
-            if memory_tokens:
-                parts = tuple(PromptPart(*part) for part in read.parts)
+            if cache_tokens:
+                parts = tuple(PromptPart(*part) for part in prefill.parts)
                 self._context.prefix_caches.record_prefill(
-                    read.instance, read.model, parts, memory_tokens, now_ms
+                    prefill.instance, prefill.model, parts, cache_tokens, now_ms
                 )
 
     def _apply_document(self, version: int, document: bytes) -> None:
         try:
             catalog = decode_catalog(zlib.decompress(document))
         except DocumentError as error:
-            # It was checked before it was committed, by a core VM that runs
-            # another release: go on with the one before.
+            # A core VM of another release validated it before the commit; keep the
+            # previous configuration.
             detail = str(error.exceptions[0])
             emit(log, DocumentUnreadable(version, detail), logging.ERROR)
             return
@@ -143,13 +143,13 @@
             )
         endpoints = sum(state.evacuated for state in directory.all())
         halls = ",".join(evacuations.halls)
-        learnt = EvacuationsChanged(evacuations.number, before, halls, endpoints, cold)
-        emit(log, learnt)
+        changed = EvacuationsChanged(evacuations.number, before, halls, endpoints, cold)
+        emit(log, changed)
 
     def replace_endpoints(
         self, endpoints: EndpointList, source: str, age_ms: float = 0.0
     ) -> None:
-        """Take a list of endpoints that was read some time ago, unless it is old."""
+        """Applies a list of endpoints read `age_ms` ago, unless it is outdated."""
         if not self._context.directory.replace(endpoints, _now_ms(), age_ms):
             return
         instances = self._context.directory.instances()
--- a/ashlatch/gateway/peers.py
+++ b/ashlatch/gateway/peers.py
@@ -77,7 +77,7 @@
 
 
 class PeerProtocol(asyncio.DatagramProtocol):
-    """The datagram protocol of one gateway for updates from and to the other gateways."""
+    """Sends updates to the other gateways and receives theirs, by datagrams."""
 
     def __init__(self, context: GatewayContext) -> None:
         self._context = context
@@ -85,7 +85,7 @@
         self._local: GatewayVm | None = None
 
     async def start(self, local: GatewayVm) -> None:
-        """Binds the socket to the local address; if that fails, the gateway runs without it."""
+        """Binds the socket to the local address; the gateway also runs without it."""
         self._local = local
         at = Address.parse(local.address)
         loop = asyncio.get_running_loop()
@@ -98,7 +98,7 @@
             emit(log, PeersUnavailable(local.address, str(error)), logging.WARNING)
 
     def broadcast(self, update: PeerUpdate) -> None:
-        """Sends an update to the other gateways; never blocks, and the update may be lost."""
+        """Sends an update to the other gateways; never blocks, and it may be lost."""
         if self._transport is None or self._local is None:
             return
         if isinstance(update, HallUpdate):
@@ -107,7 +107,7 @@
             self._send(update, [g for g in self._context.gateways if g != self._local])
 
     def _broadcast_by_hall(self, update: HallUpdate) -> None:
-        """Sends an update to the gateways it concerns, with one datagram to each other hall.
+        """Sends an update to the gateways it concerns, one datagram to each other hall.
 
         Sent to every gateway, updates about prompts would take about as many bytes
         between halls as the prompts themselves.
@@ -176,5 +176,5 @@
             self._relay(update)
 
     def error_received(self, exc: Exception) -> None:
-        """Counts a datagram to a gateway that is not running; the fleet removes it soon."""
+        """Counts a datagram to a gateway that is not running; the fleet removes it."""
         self._context.metrics.count("datagrams_refused")
--- a/ashlatch/gateway/prefix_cache.py
+++ b/ashlatch/gateway/prefix_cache.py
@@ -1,12 +1,12 @@
 """
-ashlatch.gateway.kept
-~~~~~~~~~~~~~~~~~~~~~
+ashlatch.gateway.prefix_cache
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-What each engine is believed to keep of the prompts that it has read, by model.
-An engine reads a part of a prompt anew unless it has kept that part and all
-parts before it for the same model, and reading is most of what a long prompt
-costs. A gateway learns from its own sends and, through the core, from those of
-all others: alone it would see a small part of them.
+Estimates which parts of prompts each engine holds in its prefix cache, by model. An
+engine prefills a part of a prompt again unless the part and all parts before it are
+cached for the same model, and the prefill is most of the cost of a long prompt. A
+gateway records its own sends and, through the core, those of all others: its own are
+only a small part of them.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -21,25 +21,25 @@
 
 __all__ = ["PrefixCaches", "PromptPrefill"]
 
-# The share of an engine's memory that is counted on for prompts it has read;
-# requests that run take the rest.
+# The share of an engine's cache that is assumed to hold earlier prompts; running
+# requests use the rest.
 CACHE_SHARE = 0.7
-# Parts of which nothing is known to give way are forgotten after this: their
-# engine may have dropped them for others that this gateway has not heard of.
+# Parts with no known reason for eviction expire after this time: their engine may
+# have evicted them for others that this gateway received no report of.
 EXPIRY_MS = 60_000.0
-# A use of a part within this time is as good as now: it bounds what is told.
+# A part used within this time is not reported again; this bounds the reports.
 RECENT_USE_MS = 10_000.0
-# Less than this is read again in less time than it takes to be told.
+# Fewer tokens are prefilled again in less time than a report takes.
 REPORT_TOKENS_MIN = 500
-# Reads that wait for the next report; the oldest are dropped beyond these.
+# The largest number of prefills queued for the next report; the oldest are dropped.
 PENDING_MAX = 512
 
 
 class PromptPrefill(msgspec.Struct, frozen=True, array_like=True):
-    """An engine has read a prompt for a model.
+    """An engine has prefilled a prompt for a model.
 
-    `parts` are those that other requests may share, in their order, each with
-    its tokens.
+    `parts` are the ones that other requests may share, in order, each with its number
+    of tokens.
     """
 
     instance: str
@@ -49,15 +49,15 @@
 
 @dataclass
 class _PrefixCache:
-    """The parts of one engine, the least recently used first."""
+    """The cached parts of one engine, the least recently used first."""
 
     parts: dict[tuple[str, str], tuple[int, float]] = field(default_factory=dict)
     tokens: int = 0
 
     def touch(self, key: tuple[str, str], tokens: int, now_ms: float) -> None:
-        known = self.parts.pop(key, None)
-        if known is not None:
-            self.tokens -= known[0]
+        previous = self.parts.pop(key, None)
+        if previous is not None:
+            self.tokens -= previous[0]
         self.parts[key] = (tokens, now_ms)
         self.tokens += tokens
 
@@ -72,11 +72,11 @@
 
 @dataclass
 class PrefixCaches:
-    """Beliefs about the memories of all engines::
+    """Estimates the prefix caches of all engines::
 
-    kept = KeptParts()
-    kept.read("i-1", "large", parts, memory_tokens=400_000, now_ms=0.0)
-    kept.tokens("i-1", "large", parts)
+    caches = PrefixCaches()
+    caches.record_prefill("i-1", "large", parts, cache_tokens=400_000, now_ms=0.0)
+    caches.cached_tokens("i-1", "large", parts)
     """
 
     _caches: dict[str, _PrefixCache] = field(default_factory=dict)
@@ -90,67 +90,67 @@
         cache_tokens: int,
         now_ms: float,
     ) -> None:
-        """An engine has read a prompt, and keeps all of it for now."""
-        memory = self._caches.setdefault(instance, _PrefixCache())
+        """Records that an engine has prefilled a prompt; all of it is cached for now."""
+        cache = self._caches.setdefault(instance, _PrefixCache())
         for part in parts:
-            memory.touch((model, part.part_id), part.tokens, now_ms)
-        memory.evict(CACHE_SHARE * cache_tokens, now_ms - EXPIRY_MS)
+            cache.touch((model, part.part_id), part.tokens, now_ms)
+        cache.evict(CACHE_SHARE * cache_tokens, now_ms - EXPIRY_MS)
 
     def cached_tokens(
         self, instance: str, model: str, parts: Iterable[PromptPart]
     ) -> int:
-        """How many of a prompt's first tokens an engine need not read."""
-        memory = self._caches.get(instance)
-        if memory is None:
+        """Returns how many of a prompt's first tokens an engine has cached."""
+        cache = self._caches.get(instance)
+        if cache is None:
             return 0
-        found = 0
+        matched = 0
         for part in parts:
-            if (model, part.part_id) not in memory.parts:
+            if (model, part.part_id) not in cache.parts:
                 break
-            found += part.tokens
-        return found
+            matched += part.tokens
+        return matched
 
     def retain(self, instances: frozenset[str]) -> None:
-        """Forget engines that are listed no more."""
+        """Drops engines that are not listed any more."""
         for instance in [i for i in self._caches if i not in instances]:
             del self._caches[instance]
 
     def drop(self, instance: str) -> None:
-        """An engine has started again, with an empty memory."""
+        """Drops an engine that has restarted with an empty cache."""
         self._caches.pop(instance, None)
 
     def queue_report(
         self, instance: str, model: str, parts: tuple[PromptPart, ...], now_ms: float
     ) -> None:
-        """Tell others, with the next report, that a prompt is read.
+        """Queues the prefill of a prompt for the next report to the core.
 
-        The last part is the request's own or its session's. What was told or
-        heard lately is not told again.
+        The last part belongs to the request or its session only and is left out. Parts
+        that were recently reported, here or by another gateway, are not reported again.
         """
         shared = parts[:-1]
         if sum(part.tokens for part in shared) < REPORT_TOKENS_MIN:
             return
         if self._recently_used(instance, model, shared, now_ms):
             return
-        told = tuple((p.part_id, p.tokens) for p in shared)
-        self._pending.append(PromptPrefill(instance, model, told))
+        reported = tuple((p.part_id, p.tokens) for p in shared)
+        self._pending.append(PromptPrefill(instance, model, reported))
         del self._pending[:-PENDING_MAX]
 
     def _recently_used(
         self, instance: str, model: str, parts: tuple[PromptPart, ...], now_ms: float
     ) -> bool:
-        memory = self._caches.get(instance)
-        if memory is None:
+        cache = self._caches.get(instance)
+        if cache is None:
             return False
-        used = (memory.parts.get((model, part.part_id)) for part in parts)
+        used = (cache.parts.get((model, part.part_id)) for part in parts)
         return all(u is not None and now_ms - u[1] < RECENT_USE_MS for u in used)
 
     def take_reports(self) -> tuple[PromptPrefill, ...]:
-        """What others are to be told, once."""
-        notes, self._pending = self._pending, []
-        return tuple(notes)
+        """Returns the queued prefills and clears the queue."""
+        reports, self._pending = self._pending, []
+        return tuple(reports)
 
-    def restore_reports(self, notes: tuple[PromptPrefill, ...]) -> None:
-        """Tell again what a lost report held."""
-        self._pending[:0] = notes
+    def restore_reports(self, reports: tuple[PromptPrefill, ...]) -> None:
+        """Queues the prefills of a lost report again."""
+        self._pending[:0] = reports
         del self._pending[:-PENDING_MAX]
--- a/ashlatch/gateway/recipients.py
+++ b/ashlatch/gateway/recipients.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Recipients:
-    """`direct` receive an update for themselves, each of `relays` for its whole hall."""
+    """Gateways to send to: `direct` for themselves, `relays` for their whole halls."""
 
     direct: tuple[GatewayVm, ...] = ()
     relays: tuple[GatewayVm, ...] = ()
--- a/ashlatch/gateway/sync.py
+++ b/ashlatch/gateway/sync.py
@@ -2,10 +2,9 @@
 ashlatch.gateway.sync
 ~~~~~~~~~~~~~~~~~~~~~
 
-Keeps a gateway's knowledge up to date: it asks one core VM after another for
-news and learns from each answer where the core VMs are. While none of them is
-in touch with its leader, the gateway serves on with what it has, and reads
-the platform's list by itself.
+Keeps a gateway up to date: it polls a core VM for updates and learns the addresses of
+the core VMs from each answer. While no core VM is connected to its leader, the gateway
+keeps serving with the state it has and reads the platform's list itself.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -50,137 +49,140 @@
 
 log = logging.getLogger("ashlatch.gateway")
 
-# A core VM that does not answer in this time beyond the wait is left.
+# A core VM that has not answered this long after the requested wait is abandoned.
 TIMEOUT_MARGIN_S = 0.6
 RETRY_S = 0.1
-# Moved sessions and crashes that are found within this time go in one message.
+# Moved sessions and crashes found within this time are sent in one message.
 URGENT_COLLECT_S = 0.05
-# Until the core was heard, a gateway serves nothing, and VMs that start with it
-# may not answer yet: one that does not within this time is left.
+# Before its first sync a gateway serves nothing, and core VMs that start at the same
+# time may not answer yet: one that does not answer within this time is abandoned.
 FIRST_TIMEOUT_S = 0.3
-# The settings file may name other seeds without a signal; it is read again this
-# long after the last core VM was lost, and as often.
+# The seeds in the settings file may change without a signal. While no core VM
+# answers, the file is read again after this time, and each time it has passed again.
 REFRESH_MS = 3000.0
-# The pause before a core VM of the own hall is tried while another one is asked,
-# drawn so that gateways whose core VM is back do not all come at once.
+# The range of pauses between attempts to return to a core VM of the local hall. They
+# are random so that gateways do not all return at once when their core VM is back.
 LOCAL_CORE_RETRY_S = (1.0, 3.0)
-# Without word from the core for this long, the list is read directly; the
-# pause between reads is drawn, so that gateways do not read together.
+# Without an answer from the core for this long, the platform's list is read directly.
+# The pauses between reads are random so that gateways do not read at the same time.
 DIRECT_READ_AFTER_MS = 2500.0
 DIRECT_READ_PAUSE_S = (1.5, 2.5)
-# A gateway hears of the core twice a second, or finds within 1.1 s that it does not:
-# after this long without either, the process has stood still and knows old things.
+# A gateway gets an answer of the core twice a second, or notices within 1.1 s that it
+# does not. After this long without either, the process was suspended and its state
+# is stale.
 SUSPENDED_MS = 2000.0
 # Timers of a busy process fire late by less than this.
 TIMER_LATE_MS = 500.0
-# A gateway that starts while no core VM is in touch with a leader serves with
-# what an old one knows after this time.
+# A gateway that starts while no core VM is connected to a leader begins to serve
+# after this time, with the state of a core VM that may be outdated.
 START_WAIT_MS = 4000.0
 POLL_S = 0.02
 
 
 class CoreSync:
-    """The way to the core. `run`, `report_urgent`, `prefer_local_core` and
-    `read_platform_list` run for ever.
+    """The connection to the core.
 
-    `own` is this gateway as the others are to know it.
+    `run`, `report_urgent`, `prefer_local_core` and `read_platform_list` run for ever.
+    `local` is the entry of this gateway that the core lists for the others.
     """
 
     def __init__(
         self,
-        known: GatewayContext,
+        context: GatewayContext,
         seeds: Seeds,
         list_address: str,
         wait_ms: float,
-        own: GatewayVm,
+        local: GatewayVm,
     ) -> None:
-        self._context = known
+        self._context = context
         self._seeds = seeds
         self._reader = ListReader(list_address)
         self._wait_ms = wait_ms
-        self._local = own
+        self._local = local
         self._peers = PeerBook()
         self._selector = CoreSelector(
-            own.hall, lambda: seeds.addresses, known.generator
+            local.hall, lambda: seeds.addresses, context.generator
         )
-        self._updates = CoreUpdates(known)
+        self._updates = CoreUpdates(context)
         self._loop = asyncio.get_running_loop()
         self._started_ms = self._now_ms()
         self._last_current_ms = float("-inf")
         self._lost_since_ms: float | None = None
         self._refreshed_ms = float("-inf")
         self._urgent = asyncio.Event()
-        known.versions.moved = self._urgent.set
-        known.report_crashes = self._urgent.set
+        context.versions.moved = self._urgent.set
+        context.report_crashes = self._urgent.set
 
     @property
     def ready(self) -> bool:
-        """Whether requests may be served by what is known.
+        """Whether requests may be served with the current state.
 
-        A configuration and endpoints are, and they were current once.
+        That needs a configuration and endpoints, and either one answer of a core VM
+        that was connected to its leader or a time of waiting for it.
         """
         if self._context.table is None or not len(self._context.directory):
             return False
-        heard = self._last_current_ms > float("-inf")
-        return heard or self._now_ms() - self._started_ms > START_WAIT_MS
+        synced = self._last_current_ms > float("-inf")
+        return synced or self._now_ms() - self._started_ms > START_WAIT_MS
 
     async def wait_ready(self, wait_s: float) -> bool:
-        """Wait until requests may be served, as they may soon after a start."""
+        """Waits until requests may be served; returns False after `wait_s`."""
         return await self._wait(lambda: self.ready, wait_s)
 
     @property
     def stale(self) -> bool:
-        """Whether this process has just woken and has not heard of the core since.
+        """Whether this process was suspended and has not synced with the core since.
 
-        Its VM was suspended or frozen: a key may have been removed, a version
-        withdrawn, an endpoint replaced meanwhile. A core that is known to be out of
-        touch is another matter: the gateway serves on with what it has.
+        While its VM was suspended or frozen, a key may have been removed, a version
+        withdrawn or an endpoint replaced. A core that is known to be unreachable does
+        not count: then the gateway keeps serving with the state it has.
         """
         if self._last_current_ms == float("-inf") or self._lost_since_ms is not None:
             return False
         return self._now_ms() - self._last_current_ms > SUSPENDED_MS
 
     async def wait_updated(self, wait_s: float) -> bool:
-        """Wait for the first word of the core after the process has stood still."""
+        """Waits for the first answer of the core after the process was suspended."""
         return await self._wait(lambda: not self.stale, wait_s)
 
     async def _wait(self, reached: Callable[[], bool], wait_s: float) -> bool:
-        """Wait until something holds, for a time; whether it does."""
+        """Waits until a condition holds, at most `wait_s`; returns whether it does."""
         ends_s = self._loop.time() + wait_s
         while not reached() and self._loop.time() < ends_s:
             await asyncio.sleep(POLL_S)
         return reached()
 
     async def run(self) -> None:
-        """Ask for news again and again."""
-        woken = False
+        """Polls a core VM for updates."""
+        resumed = False
         while True:
             address = self._selector.address
             tallies = self._context.tallies.take()
-            reads = self._context.prefix_caches.take_reports()
+            prefills = self._context.prefix_caches.take_reports()
             rates = self._context.latency_model.take_rates()
             wait_ms, timeout_s = self._wait_and_timeout()
             crashes = self._context.quarantine.to_tell()
-            request = self._request(wait_ms, tallies, reads, rates, crashes)
+            request = self._request(wait_ms, tallies, prefills, rates, crashes)
             late_ms = self._now_ms() + timeout_s * 1000.0 + TIMER_LATE_MS
             try:
                 reply = await self._call(address, request, timeout_s)
             except TransportError as error:
                 self._context.tallies.add(tallies)
-                self._context.prefix_caches.restore_reports(reads)
+                self._context.prefix_caches.restore_reports(prefills)
                 self._context.latency_model.put_back(rates)
-                if self._now_ms() > late_ms and not woken:
-                    # The time ran out while this process stood still, which tells
-                    # nothing of the core. Taken for a loss of the core, what was
-                    # ordered meanwhile is not waited for: a request went to a hall
-                    # that was evacuated during 2.5 s of it.
-                    woken = True
+                if self._now_ms() > late_ms and not resumed:
+                    # The timeout passed while this process was suspended, which says
+                    # nothing about the core. Treated as a loss of the core, the
+                    # gateway would serve without waiting for commands issued in the
+                    # meantime: after 2.5 s of suspension, a request was sent to a
+                    # hall that had been evacuated.
+                    resumed = True
                     continue
-                woken = False
+                resumed = False
                 self._core_lost(address, error.reason)
                 await asyncio.sleep(RETRY_S)
                 continue
-            woken = False
+            resumed = False
             self._context.quarantine.told(crashes)
             self._apply(address, reply)
             if not reply.current:
@@ -188,11 +190,12 @@
                 await asyncio.sleep(RETRY_S)
 
     async def report_urgent(self) -> None:
-        """Tell the core at once of moved sessions and of crashes of endpoints.
+        """Reports moved sessions and endpoint crashes to the core at once.
 
-        The question of `run` may be held for half a second more, and a datagram to
-        another gateway may be lost: this way all know within 0.3 s (a core VM, the
-        leader at its next look, a commit, and all gateways with their news).
+        The request of `run` may wait half a second more at the core, and a datagram to
+        another gateway may be lost. This way all gateways know within 0.3 s: the report
+        reaches a core VM, then the leader at its next poll, then a commit, then all
+        gateways with their updates.
         """
         while True:
             await self._urgent.wait()
@@ -209,10 +212,10 @@
                 self._context.quarantine.told(crashes)
 
     async def prefer_local_core(self) -> None:
-        """Go back to a core VM of the own hall when one is in touch.
+        """Returns to a core VM of the local hall when one is connected to the leader.
 
-        A gateway begins with any seed, and goes anywhere when its core VM is lost.
-        What the trial brings is not taken: the next question brings it.
+        A gateway starts with any seed, and switches to any core VM when one is lost.
+        The answer to the test call is not applied: the next request brings it again.
         """
         while True:
             await asyncio.sleep(random.uniform(*LOCAL_CORE_RETRY_S))
@@ -231,10 +234,10 @@
     async def _call(
         self, address: str, request: SyncRequest, timeout_s: float
     ) -> SyncReply:
-        """Ask one core VM, and count what that carries; raises `TransportError`.
+        """Calls one core VM and counts the traffic; raises `TransportError`.
 
-        Everything that this process calls goes to the core, so all calls that it
-        has sent and received meanwhile count.
+        All calls of this process go to the core, so everything sent and received in the
+        meantime is counted.
         """
         sent_bytes, received_bytes = TRAFFIC.sent_bytes, TRAFFIC.received_bytes
         try:
@@ -254,7 +257,7 @@
         self,
         wait_ms: float,
         tallies: tuple[Tally, ...] = (),
-        reads: tuple[PromptPrefill, ...] = (),
+        prefills: tuple[PromptPrefill, ...] = (),
         rates: tuple[ReadingRate, ...] = (),
         crashes: tuple[CrashRecord, ...] = (),
     ) -> SyncRequest:
@@ -267,7 +270,7 @@
             wait_ms,
             tallies,
             self._context.versions.sessions_to_tell(self._now_ms()),
-            reads,
+            prefills,
             self._updates.reads_position,
             gateways_digest(self._context.gateways),
             rates=rates,
@@ -277,13 +280,13 @@
         )
 
     def _wait_and_timeout(self) -> tuple[float, float]:
-        """How long a question may be held, and when its answer is late."""
+        """Returns how long the core may hold a request, and the timeout of the call."""
         if self._last_current_ms == float("-inf"):
             return 0.0, FIRST_TIMEOUT_S
         return self._wait_ms, self._wait_ms / 1000.0 + TIMEOUT_MARGIN_S
 
     async def read_platform_list(self) -> None:
-        """Read the list while the core is away."""
+        """Reads the platform's list of endpoints while the core is unreachable."""
         while True:
             await asyncio.sleep(random.uniform(*DIRECT_READ_PAUSE_S))
             if (
@@ -311,7 +314,7 @@
         if reply.current:
             self._core_regained(address)
 
-    # Whether the core is in touch.
+    # Reachability of the core.
 
     def _core_lost(self, address: str, reason: str) -> None:
         self._refresh_seeds()
@@ -324,7 +327,7 @@
         emit(log, lost, logging.WARNING)
 
     def _refresh_seeds(self) -> None:
-        """Look for new seeds now and then while no core VM is in touch."""
+        """Reads the seeds again from time to time while no core VM answers."""
         if self._lost_since_ms is None:
             return
         now_ms = self._now_ms()
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -388,7 +388,7 @@
     Mutant(
         "lost-core-vm-of-the-own-hall-first",
         "ashlatch/gateway/core_selection.py",
-        "        others = [known for known in self.addresses() if known != address]\n",
+        "        others = [other for other in self.addresses() if other != address]\n",
         "        others = [c.address for c in self._cores if c.hall == self._hall]\n",
         AUDIENCE,
     ),
@@ -549,7 +549,7 @@
     Mutant(
         "waking-taken-for-a-lost-core",
         "ashlatch/gateway/sync.py",
-        "                if self._now_ms() > late_ms and not woken:\n",
+        "                if self._now_ms() > late_ms and not resumed:\n",
         "                if False:\n",
         EVACUATION,
     ),
