--- a/ashlatch/gateway/choice.py
+++ b/ashlatch/gateway/choice.py
@@ -164,7 +164,7 @@
 
 def first_model(route: Route, ask: CallerRequest) -> str:
     """The model that a request is sent to first; empty for the caller's own."""
-    if not route.models or ask.model or not ask.names_model:
+    if not route.models or ask.model or not ask.has_model_header:
         return ""
     return route.models[0]
 
--- a/ashlatch/gateway/message.py
+++ b/ashlatch/gateway/message.py
@@ -74,7 +74,7 @@
     timeout_ms: float | None
     key: str
     model: str
-    names_model: bool
+    has_model_header: bool
     prompt_tokens: int
     answer_tokens_max: int
     prompt_parts: tuple[PromptPart, ...]
