--- a/ashlatch/gateway/choice.py
+++ b/ashlatch/gateway/choice.py
@@ -167,7 +167,7 @@
 
 def first_model(route: Route, request: CallerRequest) -> str:
     """Returns the first model for a request, or empty to keep the caller's."""
-    if not route.models or request.model or not request.names_model:
+    if not route.models or request.model or not request.has_model_header:
         return ""
     return route.models[0]
 
