--- a/ashlatch/gateway/core_updates.py
+++ b/ashlatch/gateway/core_updates.py
@@ -67,7 +67,7 @@
         self._context.latency_model.learn(reply.rates)
 
     def _apply_current(self, reply: SyncReply) -> None:
-        """Applies the parts valid only from a core VM that is connected to its leader."""
+        """Applies the parts valid only from a core VM connected to its leader."""
         now_ms = _now_ms()
         self._context.cold_gate.heard_core(now_ms)
         if reply.gateways is not None:
--- a/ashlatch/gateway/daemon.py
+++ b/ashlatch/gateway/daemon.py
@@ -2,7 +2,7 @@
 ashlatch.gateway.daemon
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-The process of an entry VM: its listeners, and its start and stop.
+The gateway process of an entry VM: its listeners, its start and its shutdown.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -50,32 +50,33 @@
 
 log = logging.getLogger("ashlatch.gateway")
 
-# The end of a trace that a log line carries.
+# The number of lines at the end of a traceback that are logged.
 TRACE_LINES = 4
-# How often limits are taken over and idle connections looked at.
+# The interval at which HTTP limits are applied and expired idle connections closed.
 SWEEP_S = 0.25
-# How often what was carried between halls is logged; its sums grow slowly.
+# The interval at which the traffic counts are logged; they grow slowly.
 TRAFFIC_LOG_S = 10.0
-# A gateway that has just started hears from the core within about a second;
-# requests that come before wait for that, and are refused after it.
+# A gateway that has just started syncs with the core within about a second. Requests
+# that arrive before wait this long at most and are refused then.
 START_WAIT_S = 1.2
 START_RETRY_AFTER_S = 1.0
-# A gateway that has stood still asks the core when it wakes, which takes some ms; a
-# request that has come meanwhile is served by what is known after this.
+# A gateway that was suspended syncs with the core when it resumes, which takes some
+# ms. A request that arrives meanwhile is served with the present state after this time.
 UPDATE_WAIT_S = 0.6
-# After it was asked to stop, a gateway takes new connections until the entry
-# has asked twice whether it is ready.
+# After the stop signal, a gateway accepts new connections until the platform's entry
+# has polled its readiness twice.
 STOP_ACCEPTS_S = 2.5
 STOP_POLL_S = 0.05
-# The part of the time to stop after which the rest is cut off, so that the
+# The share of the time to stop after which remaining requests are aborted, so that the
 # process ends by itself.
 STOP_ABORT_RATIO = 0.9
 
 
 class GatewayDaemon:
-    """One gateway; `reread` gives the settings anew, after a change.
+    """One gateway process.
 
-    `early` is a socket that listens on the callers' address already.
+    `reload_settings` returns the current settings after a change. `early` is a socket
+    that already listens on the callers' address.
     """
 
     def __init__(
@@ -103,36 +104,36 @@
         self._seeds = Seeds(settings, reload_settings)
 
     def start(self) -> None:
-        """Listen, and begin to learn."""
+        """Opens the listeners and starts the background tasks."""
         self.rpc.submit(self._start()).result(timeout=10.0)
 
     def reload(self) -> None:
-        """Take over what may change while the process runs: the seeds."""
+        """Applies the settings that may change while the process runs: the seeds."""
         self._seeds.refresh()
 
     def stop(self) -> int:
-        """Finish what is in flight; returns how many requests were cut."""
+        """Finishes requests in flight; returns how many were aborted."""
         timeout_s = self.settings.stop_s
-        cut = self.rpc.submit(self._stop()).result(timeout=timeout_s)
+        aborted = self.rpc.submit(self._stop()).result(timeout=timeout_s)
         self.rpc.stop()
-        return cut
+        return aborted
 
     async def _start(self) -> None:
         self.listener = HttpListener(self._handle)
         self.listener.failed = self._handler_failed
         self.listener.unreadable = self._unreadable
         self._ready_listener = HttpListener(self._handle_ready)
-        own = GatewayVm(self.settings.rpc_address, self.settings.hall)
+        local = GatewayVm(self.settings.rpc_address, self.settings.hall)
         self._sync = CoreSync(
             self.context,
             self._seeds,
             self.settings.list_address,
             self.settings.sync_wait_ms,
-            own,
+            local,
         )
         peers = PeerProtocol(self.context)
-        await peers.start(own)
-        self.context.cold_gate = ColdGate(own)
+        await peers.start(local)
+        self.context.cold_gate = ColdGate(local)
         self.context.broadcast = peers.broadcast
         for listener, text, early in (
             (self.listener, self.settings.listen, self._early_socket),
@@ -144,65 +145,65 @@
         self.context.metrics.watch("configuration_version", self._version)
         metrics_port = self.settings.metrics_port
         await serve_metrics(self.context.metrics, self.settings.host, metrics_port)
-        watch = LivenessProber(self.context.directory)
-        works = (
+        prober = LivenessProber(self.context.directory)
+        tasks = (
             self._sync.run(),
             self._sync.report_urgent(),
             self._sync.prefer_local_core(),
             self._sync.read_platform_list(),
-            watch.run(),
+            prober.run(),
             self._sweep(),
             self._log_traffic(),
             watch_suspension(),
         )
-        for work in works:
-            self.rpc.keep(work, self._failed)
+        for task in tasks:
+            self.rpc.keep(task, self._failed)
 
     async def _stop(self) -> int:
         loop = asyncio.get_running_loop()
-        begun_s = loop.time()
-        ends_s = begun_s + STOP_ABORT_RATIO * self.settings.stop_s
+        started_s = loop.time()
+        ends_s = started_s + STOP_ABORT_RATIO * self.settings.stop_s
         self.listener.stopping = True
         emit(log, StopBegun(self.listener.handling, len(self.listener.connections)))
-        while loop.time() < begun_s + STOP_ACCEPTS_S:
+        while loop.time() < started_s + STOP_ACCEPTS_S:
             await asyncio.sleep(STOP_POLL_S)
         self.listener.refuse_new()
         while loop.time() < ends_s and self.listener.connections:
             self.listener.close_idle()
             await asyncio.sleep(STOP_POLL_S)
-        cut = self.listener.handling
+        aborted = self.listener.handling
         self.listener.abort()
         self._ready_listener.abort()
-        return cut
+        return aborted
 
     # Requests.
 
     @property
     def ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether callers should send requests to this gateway."""
         return self._sync.ready and not self.listener.stopping
 
     async def _handle_ready(self, request: HttpRequest, responder: Responder) -> None:
-        known = request.target.partition("?")[0] == READY_TARGET
-        status = 404 if not known else 200 if self.ready else 503
+        found = request.target.partition("?")[0] == READY_TARGET
+        status = 404 if not found else 200 if self.ready else 503
         responder.respond(status, [], b"")
 
     async def _handle(self, request: HttpRequest, responder: Responder) -> None:
         try:
-            ask = decode_ask(request)
+            caller_request = decode_ask(request)
         except MalformedRequest as error:
             self._refuse(responder, "", Refused(400, RefusalReason.MALFORMED))
             emit(log, RequestUnreadable(request.peer, str(error)))
             return
         if not self._sync.ready and not await self._sync.wait_ready(START_WAIT_S):
             refused = Refused(503, RefusalReason.NO_CONFIGURATION, START_RETRY_AFTER_S)
-            self._refuse(responder, ask.request_id, refused)
+            self._refuse(responder, caller_request.request_id, refused)
             return
         if self._sync.stale:
             await self._sync.wait_updated(UPDATE_WAIT_S)
-        admission = admit(self.context, ask)
+        admission = admit(self.context, caller_request)
         if isinstance(admission, Refused):
-            self._refuse(responder, ask.request_id, admission)
+            self._refuse(responder, caller_request.request_id, admission)
             return
         await Exchange(self.context, admission, responder).run()
 
@@ -220,12 +221,12 @@
         self.context.metrics.count(f"requests_{reason}")
 
     def _version(self) -> int:
-        """The version of the configuration in force here, 0 when there is none."""
+        """Returns the version of the configuration in force, or 0 without one."""
         table = self.context.table
         return table.catalog.version if table else 0
 
     def _handler_failed(self, error: BaseException) -> None:
-        """A defect: the request is lost, the others are served on."""
+        """Logs a defect: the request is lost, others are still served."""
         trace = "".join(traceback.format_exception(error)[-TRACE_LINES:])
         emit(log, HandlerFailed(type(error).__name__, trace), logging.ERROR)
 
@@ -235,12 +236,12 @@
     async def _log_traffic(self) -> None:
         while True:
             await asyncio.sleep(TRAFFIC_LOG_S)
-            for carried in self.context.traffic.counts():
+            for total in self.context.traffic.counts():
                 counted = TrafficCounted(
-                    carried.kind.value,
-                    carried.cross_hall,
-                    carried.messages,
-                    carried.data_bytes,
+                    total.kind.value,
+                    total.cross_hall,
+                    total.messages,
+                    total.data_bytes,
                 )
                 emit(log, counted)
 
--- a/ashlatch/gateway/events.py
+++ b/ashlatch/gateway/events.py
@@ -2,8 +2,8 @@
 ashlatch.gateway.events
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-Cuts the body of a stream into whole server-sent events, so that a stream that
-breaks in the middle of one can go on behind the last whole one.
+Splits the body of a stream into complete server-sent events, so that a stream that
+breaks in the middle of an event can be resumed after the last complete one.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -18,17 +18,17 @@
 
 @dataclass(frozen=True)
 class StreamEvent:
-    """One event as it came, and its id if it has one."""
+    """One event as received, and its id if it has one."""
 
     data: bytes
     event_id: str
 
 
 class EventSplitter:
-    """Collects bytes and gives out whole events::
+    """Buffers bytes and returns complete events::
 
     splitter = EventSplitter()
-    splitter.feed(b"id: 1\\ndata: a\\n\\nid: 2")    # the event of id 1
+    splitter.feed(b"id: 1\\ndata: a\\n\\nid: 2")    # the event with id 1
     """
 
     def __init__(self) -> None:
@@ -36,11 +36,11 @@
 
     @property
     def remainder(self) -> bytes:
-        """What came behind the last whole event."""
+        """The bytes after the last complete event."""
         return self._buffer
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Take bytes; the events that are whole now."""
+        """Adds bytes; returns the events that are now complete."""
         self._buffer += data
         events = []
         while (end := self._end()) >= 0:
@@ -50,10 +50,10 @@
 
     def _end(self) -> int:
         ends = []
-        for mark in _TERMINATORS:
-            at = self._buffer.find(mark)
+        for terminator in _TERMINATORS:
+            at = self._buffer.find(terminator)
             if at >= 0:
-                ends.append(at + len(mark))
+                ends.append(at + len(terminator))
         return min(ends, default=-1)
 
 
--- a/ashlatch/gateway/liveness.py
+++ b/ashlatch/gateway/liveness.py
@@ -1,11 +1,11 @@
 """
-ashlatch.gateway.watch
-~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.gateway.liveness
+~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Tells an endpoint whose VM has gone from one that is only slow. Both send
-nothing; but a VM that is there accepts a connection at once, or refuses it,
-whatever its program does. Requests at an endpoint that has gone are left
-without waiting for the silence of each.
+Distinguishes an endpoint whose VM is gone from one that is only slow. Neither sends
+anything, but a VM that is running accepts or refuses a connection at once, whatever its
+program does. Requests at an endpoint that is gone are abandoned without waiting for the
+timeout of each.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -24,22 +24,22 @@
 
 log = logging.getLogger("ashlatch.gateway")
 
-# How often silent endpoints are looked for.
+# The interval between checks for silent endpoints.
 CHECK_INTERVAL_S = 0.1
-# An engine that reads a prompt of usual size is silent for less than this.
+# An engine is silent for less than this while it prefills a prompt of usual size.
 SILENT_MS = 500.0
-# A connection within a region stands after some milliseconds. The second probe
-# is for a first packet that was lost.
+# A connection within a region is established in some milliseconds. The second probe
+# covers the loss of the first one's packet.
 PROBE_TIMEOUT_S = 0.2
 PROBES = 2
-# A silent endpoint that has answered a probe is probed again after this.
+# A silent endpoint that has answered a probe is probed again after this time.
 PROBE_INTERVAL_MS = 1000.0
 
 Connect = Callable[[str, float], Awaitable[Upstream]]
 
 
 class LivenessProber:
-    """Watches all endpoints of a directory; `run` never ends."""
+    """Probes the silent endpoints of a directory; `run` never ends."""
 
     def __init__(
         self, directory: Directory, connect: Connect = Upstream.connect
@@ -50,7 +50,7 @@
         self._probed_ms: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Probe what is silent, again and again."""
+        """Probes silent endpoints at regular intervals."""
         async with asyncio.TaskGroup() as probes:
             while True:
                 await asyncio.sleep(CHECK_INTERVAL_S)
@@ -62,12 +62,13 @@
                         probes.create_task(self._probe(state))
 
     def _due(self, state: EndpointState, now_ms: float) -> bool:
-        # Few endpoints are silent, and all are looked at ten times a second.
+        # Checked first: few endpoints are silent, and all are checked ten times a
+        # second.
         if state.silent_ms(now_ms) <= SILENT_MS:
             return False
         if state.evacuated:
-            # Operators have nothing more sent to an evacuated hall, probes included:
-            # what runs there ends by its own patience.
+            # Nothing more may be sent to an evacuated hall, probes included: requests
+            # that still run there end by their own timeouts.
             return False
         probed_ms = self._probed_ms.get(state.endpoint.instance, float("-inf"))
         return now_ms - probed_ms >= PROBE_INTERVAL_MS
@@ -96,11 +97,11 @@
         state.mark_gone(self._now_ms(), self._loop.time())
 
     async def _reachable(self, address: str) -> bool:
-        """Whether the VM behind an address does anything with a connection."""
+        """Checks whether the VM at an address accepts or refuses a connection."""
         try:
             connection = await self._connect(address, PROBE_TIMEOUT_S)
         except ConnectFailed as failed:
-            # A refusal comes from a VM that is there.
+            # A refusal comes from a VM that is running.
             return failed.reason != CONNECT_TIMED_OUT
         connection.abort()
         return True
--- a/ashlatch/gateway/logs.py
+++ b/ashlatch/gateway/logs.py
@@ -2,8 +2,8 @@
 ashlatch.gateway.logs
 ~~~~~~~~~~~~~~~~~~~~~
 
-What a gateway logs: one event for each decision about a request, and one for
-each change of what the gateway believes.
+The log events of a gateway: one for each decision about a request, and one for each
+change of its view of the fleet.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -54,20 +54,21 @@
 
 @dataclass(frozen=True)
 class RequestSent(LogEvent):
-    """A request goes to an endpoint.
-
-    `content` is the digest of what it asks for: a caller's repeats share it, under
-    other ids and at other gateways. `candidates` is how many endpoints could be
-    chosen, `evacuated` how many more there were in evacuated halls, `used` the
-    estimated share of the chosen one's places that are taken, `listed_ms` the age of
-    the list of endpoints. Of the prompt's `prompt_tokens` the
-    engine has to read `read_tokens`, for about `read_ms` after a wait of `wait_ms`.
-    `version_by` is what the version was chosen by, `session_ms` how long ago this
-    gateway had last heard of the session, -1 if it did not know it. `limited` is how
-    many more endpoints there were whose rate limit left no room, `limit_per_s` the
-    limit of the chosen one as it is known here, infinite for none, and `limit_ms` how
-    long ago it was heard of, -1 for never. `backoff` and `leaving` are how many more
-    there were that have asked for a backoff, or are about to end.
+    """A request is sent to an endpoint.
+
+    `content` is the fingerprint of the request; a caller's repeats share it, with other
+    ids and at other gateways. `candidates` is how many endpoints could be chosen,
+    `evacuated` how many more there were in evacuated halls, `used` the estimated share
+    of the chosen one's slots in use, `listed_ms` the age of the list of endpoints. Of
+    the prompt's `prompt_tokens` the engine has to prefill `read_tokens`, for about
+    `read_ms` after a wait of `wait_ms`.
+
+    `version_by` is the reason for the choice of the version, `session_ms` how long ago
+    this gateway last saw the session, -1 if it did not know it. `limited` is how many
+    more endpoints there were without capacity in their rate limit, `limit_per_s` the
+    limit of the chosen one as known here, infinite for none, `limit_ms` how long ago
+    it was received, -1 for never. `backoff` and `leaving` are how many more endpoints
+    there were that had asked for a backoff, or are about to stop.
     """
 
     event: ClassVar[str] = "request_sent"
@@ -103,7 +104,7 @@
 
 @dataclass(frozen=True)
 class AttemptEnded(LogEvent):
-    """A send brought no answer that is passed on."""
+    """An attempt ended without an answer that is forwarded."""
 
     event: ClassVar[str] = "attempt_ended"
     request: str
@@ -118,10 +119,10 @@
 class AnswerEvaluated(LogEvent):
     """An answer has begun at a model that the gateway chose.
 
-    `confidence` is the model's own opinion, `begun_ms` when the answer began
-    after the send, `expected_ms` when one of the largest model would. The
-    `verdict` says whether it is passed on, and why if it was not good enough.
-    `running` and `waiting` are the requests at the engine, as it says.
+    `confidence` is the model's confidence in its answer, `begun_ms` when the answer
+    began after the send, `expected_ms` when one of the largest model would. The
+    `verdict` says whether it is forwarded, and why not if it was not good enough.
+    `running` and `waiting` are the requests that the engine reports.
     """
 
     event: ClassVar[str] = "answer_weighed"
@@ -138,9 +139,9 @@
 
 @dataclass(frozen=True)
 class RequestEnded(LogEvent):
-    """A request has its final answer; `reason` is set when it is our own.
+    """A request has its final answer; `reason` is set if the gateway made it itself.
 
-    `first_ms` is when the answer began to be passed on, `gap_ms` the longest
+    `first_ms` is when the first part of the answer was forwarded, `gap_ms` the longest
     pause between two events of a stream.
     """
 
@@ -159,7 +160,7 @@
 
 @dataclass(frozen=True)
 class RequestUnreadable(LogEvent):
-    """A caller sent what is no request; the connection was closed."""
+    """A caller sent an invalid request; the connection was closed."""
 
     event: ClassVar[str] = "request_unreadable"
     peer: str
@@ -194,7 +195,7 @@
 class EndpointMisdirected(LogEvent):
     """Another endpoint answered at the address, here or at the gateway `told_by`.
 
-    Who sees it itself tells the others.
+    The gateway that receives such an answer broadcasts it to the others.
     """
 
     event: ClassVar[str] = "endpoint_misdirected"
@@ -205,7 +206,7 @@
 
 @dataclass(frozen=True)
 class EndpointSuspended(LogEvent):
-    """An endpoint cannot be reached: it gets one request now and then.
+    """An endpoint is unreachable: it receives a probe request from time to time.
 
     `failing` is the recent share of its attempts that failed.
     """
@@ -220,9 +221,9 @@
 
 @dataclass(frozen=True)
 class EndpointGone(LogEvent):
-    """An endpoint is silent and its VM takes no connection: it is left.
+    """A silent endpoint's VM accepts no connection: its requests are abandoned.
 
-    `waits` is how many waits for it were ended because of that.
+    `waits` is how many waits were ended because of that.
     """
 
     event: ClassVar[str] = "endpoint_gone"
@@ -234,9 +235,9 @@
 
 @dataclass(frozen=True)
 class EndpointLimited(LogEvent):
-    """An endpoint has named another rate limit, or none any more (infinite).
+    """An endpoint announced another rate limit, or none any more (infinite).
 
-    `source` is the request whose answer named it, or the gateway that has told of it.
+    `source` is the request whose answer announced it, or the gateway that broadcast it.
     """
 
     event: ClassVar[str] = "endpoint_limited"
@@ -249,10 +250,10 @@
 
 @dataclass(frozen=True)
 class EndpointBackoff(LogEvent):
-    """An endpoint wants no requests of this gateway for a while, or for longer.
+    """An endpoint asked this gateway for a backoff, or for a longer one.
 
-    `before_ms` is what was left of an earlier backoff, `request` the one that it has
-    turned away.
+    `before_ms` is the rest of an earlier backoff, `request` the request that the
+    endpoint turned away.
     """
 
     event: ClassVar[str] = "endpoint_backoff"
@@ -265,9 +266,9 @@
 
 @dataclass(frozen=True)
 class EndpointBackoffElsewhere(LogEvent):
-    """An endpoint has asked the gateway `teller` for a backoff.
+    """An endpoint asked the gateway `teller` for a backoff.
 
-    This one goes on sending there only where it finds no other endpoint.
+    This gateway sends there only if it finds no other endpoint.
     """
 
     event: ClassVar[str] = "endpoint_sheds_elsewhere"
@@ -279,9 +280,9 @@
 
 @dataclass(frozen=True)
 class EndpointLeavingAnnounced(LogEvent):
-    """An endpoint says that it is about to end; the list may tell that later.
+    """An endpoint announced that it is about to stop; the list may show that later.
 
-    `source` is the request whose answer said so, or the gateway that heard it.
+    `source` is the request whose answer said so, or the gateway that received it.
     """
 
     event: ClassVar[str] = "endpoint_leaves"
@@ -292,9 +293,9 @@
 
 @dataclass(frozen=True)
 class EndpointNotListening(LogEvent):
-    """Nobody listens at an endpoint's address; it is left alone for a while.
+    """Nothing listens at an endpoint's address; it receives no requests for a while.
 
-    `teller` is the gateway that found it out; empty for this one.
+    `teller` is the gateway that found this; empty for this one.
     """
 
     event: ClassVar[str] = "endpoint_not_listening"
@@ -305,10 +306,10 @@
 
 @dataclass(frozen=True)
 class CrashRecorded(LogEvent):
-    """An endpoint has ended while it ran a request.
+    """An endpoint ended while it ran a request.
 
-    `crashes` is how many have under the same content since its last good run,
-    `held_ms` how long it is refused for that.
+    `crashes` is how many did so with the same request fingerprint since a request with
+    it last completed, `held_ms` for how long the fingerprint is quarantined.
     """
 
     event: ClassVar[str] = "crash_noted"
@@ -321,7 +322,7 @@
 
 @dataclass(frozen=True)
 class QuarantinedRequestRefused(LogEvent):
-    """A request is refused, as endpoints have ended under its content."""
+    """A request is refused because endpoints crashed on its fingerprint."""
 
     event: ClassVar[str] = "request_held"
     request: str
@@ -332,7 +333,7 @@
 
 @dataclass(frozen=True)
 class FingerprintQuarantined(LogEvent):
-    """A content is refused from now on; `source` has told of its last crash."""
+    """A request fingerprint is quarantined; `source` reported its last crash."""
 
     event: ClassVar[str] = "content_held"
     content: str
@@ -343,7 +344,7 @@
 
 @dataclass(frozen=True)
 class CrashRecordCleared(LogEvent):
-    """A request under whose content an endpoint had ended has run to its end."""
+    """A request completed on whose fingerprint an endpoint had crashed."""
 
     event: ClassVar[str] = "content_survived"
     request: str
@@ -361,10 +362,10 @@
 
 @dataclass(frozen=True)
 class EvacuationsChanged(LogEvent):
-    """The halls that are evacuated are others now; `halls` are separated by commas.
+    """The set of evacuated halls changed; `halls` are separated by commas.
 
-    `endpoints` are so many in them that are listed, `cold` those that are taken for
-    cold, as their hall was given back.
+    `endpoints` is how many listed endpoints are in them, `cold` how many are treated as
+    cold because the evacuation of their hall ended.
     """
 
     event: ClassVar[str] = "evacuations_learnt"
@@ -377,7 +378,7 @@
 
 @dataclass(frozen=True)
 class RolloutChanged(LogEvent):
-    """A roll-out has moved on."""
+    """A roll-out reached another stage or share."""
 
     event: ClassVar[str] = "rollout_learnt"
     service: str
@@ -389,7 +390,7 @@
 
 @dataclass(frozen=True)
 class LocalCoreSelected(LogEvent):
-    """News is asked of a core VM of the own hall, no more of another one."""
+    """The gateway now syncs with a core VM of its own hall instead of another one."""
 
     event: ClassVar[str] = "core_chosen"
     member: str
@@ -398,7 +399,7 @@
 
 @dataclass(frozen=True)
 class LocalCoreUnreachable(LogEvent):
-    """A core VM of the own hall did not answer; another one is asked on."""
+    """A core VM of the local hall did not answer; the selected one stays."""
 
     event: ClassVar[str] = "core_unreached"
     member: str
@@ -407,7 +408,7 @@
 
 @dataclass(frozen=True)
 class GatewaysChanged(LogEvent):
-    """Which other gateways there are has changed; `gateways` counts them all."""
+    """The set of gateways changed; `gateways` is their number."""
 
     event: ClassVar[str] = "gateways_learnt"
     gateways: int
@@ -416,7 +417,7 @@
 
 @dataclass(frozen=True)
 class PeersUnavailable(LogEvent):
-    """No datagrams of other gateways can be taken; none are sent either."""
+    """The socket for datagrams could not be opened: none are received or sent."""
 
     event: ClassVar[str] = "peers_unavailable"
     address: str
@@ -425,9 +426,9 @@
 
 @dataclass(frozen=True)
 class UrgentReportFailed(LogEvent):
-    """The core could not be told at once of moved sessions or of crashes.
+    """Moved sessions or crashes could not be reported to the core at once.
 
-    The next question to it tells them.
+    The next sync request contains them.
     """
 
     event: ClassVar[str] = "gateway_urgent_untold"
@@ -437,7 +438,7 @@
 
 @dataclass(frozen=True)
 class CoreLost(LogEvent):
-    """No member of the core answers; the gateway goes on with what it has."""
+    """No core VM answers; the gateway keeps serving with the state it has."""
 
     event: ClassVar[str] = "fleet_lost"
     member: str
@@ -447,7 +448,7 @@
 
 @dataclass(frozen=True)
 class CoreRegained(LogEvent):
-    """A member of the core answers again."""
+    """A core VM answers again."""
 
     event: ClassVar[str] = "fleet_regained"
     member: str
@@ -456,7 +457,7 @@
 
 @dataclass(frozen=True)
 class StopBegun(LogEvent):
-    """The process was asked to stop and finishes what is in flight."""
+    """The process was asked to stop and finishes the requests in flight."""
 
     event: ClassVar[str] = "stop_begun"
     in_flight: int
@@ -465,7 +466,7 @@
 
 @dataclass(frozen=True)
 class HandlerFailed(LogEvent):
-    """A defect: a request was lost, the others are served on."""
+    """A defect: a request was lost, others are still served."""
 
     event: ClassVar[str] = "handler_failed"
     error: str
@@ -474,7 +475,7 @@
 
 @dataclass(frozen=True)
 class DocumentUnreadable(LogEvent):
-    """A core VM of another release took a document that is none here."""
+    """A core VM of another release accepted a document that is invalid here."""
 
     event: ClassVar[str] = "document_unreadable"
     version: int
@@ -483,7 +484,7 @@
 
 @dataclass(frozen=True)
 class ListReadFailed(LogEvent):
-    """The core is away and the platform's list cannot be read either."""
+    """The core is unreachable and the platform's list cannot be read either."""
 
     event: ClassVar[str] = "list_unread"
     reason: str
@@ -492,9 +493,9 @@
 
 @dataclass(frozen=True)
 class TrafficCounted(LogEvent):
-    """What was carried of one kind since the start of the process.
+    """Traffic of one kind since the start of the process.
 
-    `crosses` is whether it went to another hall, or came from one.
+    `crosses` tells whether it passed between halls.
     """
 
     event: ClassVar[str] = "traffic_counted"
--- a/ashlatch/gateway/message.py
+++ b/ashlatch/gateway/message.py
@@ -2,8 +2,8 @@
 ashlatch.gateway.message
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-What a gateway knows of a request and of an answer, apart from how the
-platform writes them.
+A request and an answer as a gateway handles them, independent of how the platform
+encodes them.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -26,7 +26,7 @@
 
 
 class RefusalReason(enum.Enum):
-    """Why a gateway answers by itself; the names stand in answers and logs."""
+    """Why a gateway refuses a request itself; the values appear in answers and logs."""
 
     MALFORMED = "malformed"
     UNKNOWN_KEY = "unknown_key"
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class PromptPart:
-    """A part of a prompt; requests that share parts name them alike."""
+    """A part of a prompt; requests that share a part use the same id for it."""
 
     part_id: str
     tokens: int
@@ -56,12 +56,11 @@
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """A caller's request.
+    """A request from a caller.
 
-    `passed_on` are the headers that go to the endpoint as they came.
-    `patience_ms` is how long the caller waits, counted from `received_s`.
-    `model` is empty when the gateway is to name one. `resume_after` is the
-    last event of a stream that the caller has already.
+    `forwarded_headers` are passed to the endpoint unchanged. `timeout_ms` is how long
+    the caller waits, counted from `received_s`. `model` is empty if the gateway chooses
+    one. `resume_after` is the id of the last stream event that the caller has received.
     """
 
     request_id: str
@@ -89,9 +88,9 @@
 
 @dataclass(frozen=True)
 class Dispatch:
-    """What the gateway adds when it sends a request to an endpoint.
+    """The data that the gateway adds when it sends a request to an endpoint.
 
-    `resume_after` is the last event that the caller has, if any.
+    `resume_after` is the id of the last event that the caller has received, if any.
     """
 
     organisation: str
@@ -104,7 +103,7 @@
 
 @dataclass(frozen=True)
 class LoadFigures:
-    """How busy an endpoint says it is."""
+    """The load that an endpoint reports."""
 
     running: int
     waiting: int
@@ -115,16 +114,16 @@
 class AnswerHead:
     """The head of an endpoint's answer.
 
-    `sealed` is set when the endpoint's own program made the answer;
-    `not_run` when it states that it has not run the request and will not;
-    `misdirected` when that is because it is not the endpoint that was meant.
-    `confidence` is the model's own opinion of its answer, 0 to 100.
-    `encoded` answers were altered on the way. `idle_s` is how long the
-    endpoint keeps an idle connection, if it says so. `limit_per_s` is how many
-    requests a second the endpoint takes from all gateways together: infinite if it
-    names no limit, none if what it names cannot be read. `backoff_ms` is for how long
-    it wants no requests of this gateway, 0 if it does not say so. `leaving` is whether
-    it says that it is about to end.
+    `sealed` is set if the endpoint's own program produced the answer, `not_run` if it
+    states that it has not run the request and will not, `misdirected` if the reason is
+    that it is not the endpoint the request was meant for. `confidence` is the model's
+    confidence in its answer, 0 to 100. `encoded` answers were modified in transit.
+    `idle_s` is how long the endpoint keeps an idle connection, if it says so.
+
+    `limit_per_s` is how many requests per second the endpoint accepts from all gateways
+    together: infinite if it announces no limit, None if the limit is not readable.
+    `backoff_ms` is for how long it wants no requests from this gateway, 0 if it does
+    not say so. `leaving` tells whether it announces that it is about to stop.
     """
 
     status: int
--- a/ashlatch/gateway/notices.py
+++ b/ashlatch/gateway/notices.py
@@ -2,8 +2,8 @@
 ashlatch.gateway.notices
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-What an endpoint says of itself in its answers: that it wants no requests of this
-gateway for a while, or that it is about to end.
+Notices that endpoints put into their answers: a request for a backoff by this gateway,
+or the announcement that the endpoint is about to stop.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -24,54 +24,54 @@
 
 
 def apply_notice(
-    known: GatewayContext,
+    context: GatewayContext,
     state: EndpointState,
     head: AnswerHead,
     sent_ms: float,
     now_ms: float,
 ) -> None:
-    """Take what an answer to a request, sent at a time, says of its endpoint."""
+    """Applies the notices in an answer to a request that was sent at `sent_ms`."""
     if head.backoff_ms > 0.0:
-        _apply_backoff(known, state, head, now_ms)
+        _apply_backoff(context, state, head, now_ms)
     else:
         state.backoff.served(sent_ms)
-    if head.leaving and mark_leaving(known, state, head.request_id):
-        known.broadcast(EndpointLeaving(state.endpoint.instance))
+    if head.leaving and mark_leaving(context, state, head.request_id):
+        context.broadcast(EndpointLeaving(state.endpoint.instance))
 
 
-def mark_leaving(known: GatewayContext, state: EndpointState, source: str) -> bool:
-    """An endpoint has said that it is about to end; whether that is new here.
+def mark_leaving(context: GatewayContext, state: EndpointState, source: str) -> bool:
+    """Records that an endpoint is about to stop; returns whether that is new here.
 
-    It does not take that back: what starts again under its id is another process, which
-    the list tells apart.
+    An announcement is never revoked: a process that restarts under the same id is a
+    new incarnation, which the list distinguishes.
     """
     if state.leaving:
         state.announced_leaving = True
         return False
     state.announced_leaving = True
-    known.metrics.count("leaving_announced")
+    context.metrics.count("leaving_announced")
     endpoint = state.endpoint
     emit(log, EndpointLeavingAnnounced(endpoint.instance, endpoint.service, source))
     return True
 
 
 def _apply_backoff(
-    known: GatewayContext, state: EndpointState, head: AnswerHead, now_ms: float
+    context: GatewayContext, state: EndpointState, head: AnswerHead, now_ms: float
 ) -> None:
     before_ms = state.backoff.wait_ms(now_ms)
-    known.metrics.count("backoffs_requested")
+    context.metrics.count("backoffs_requested")
     if state.backoff.request(head.backoff_ms, now_ms):
         endpoint = state.endpoint
-        asked = EndpointBackoff(
+        started = EndpointBackoff(
             endpoint.instance,
             endpoint.service,
             int(head.backoff_ms),
             int(before_ms),
             head.request_id,
         )
-        emit(log, asked)
+        emit(log, started)
     if state.backoff.is_news(now_ms):
         state.backoff.record_peer_request(head.backoff_ms, now_ms)
-        known.broadcast(
+        context.broadcast(
             BackoffRequested(state.endpoint.instance, round(head.backoff_ms, 1))
         )
--- a/ashlatch/gateway/pool.py
+++ b/ashlatch/gateway/pool.py
@@ -2,9 +2,9 @@
 ashlatch.gateway.pool
 ~~~~~~~~~~~~~~~~~~~~~
 
-Kept connections to endpoints, by instance. An endpoint closes idle
-connections by itself; a request that may run only once goes on a kept one
-only where it can be told that the endpoint still holds it open.
+Idle connections to endpoints, kept for reuse. Endpoints close idle connections
+themselves, so a request that must not run twice reuses a connection only while the
+endpoint certainly has it open.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -15,16 +15,16 @@
 
 __all__ = ["ConnectionPool"]
 
-# Endpoints that do not say how long they keep an idle connection may keep it
-# for less than the second that is the smallest time they can tell.
+# Endpoints that do not announce an idle timeout may use one below a second, the
+# shortest that can be announced.
 DEFAULT_IDLE_S = 0.25
-# A request is on its way for some milliseconds while the endpoint may close.
+# Reserve for the milliseconds that a request travels while the endpoint may close.
 CLOSING_MARGIN_S = 0.25
-# What may be repeated may also take a connection that is idle for longer.
+# Repeatable requests may use a connection that has been idle for up to this long.
 REPEATABLE_IDLE_S = 4.0
 
 
-class _Idle:
+class _IdleConnection:
     __slots__ = ("connection", "idle_max_s")
 
     def __init__(self, connection: Upstream, idle_max_s: float) -> None:
@@ -33,27 +33,27 @@
 
 
 class ConnectionPool:
-    """Idle connections; the newest is used first, so that old ones age out."""
+    """Holds idle connections by instance; the newest is used first, old ones expire."""
 
     def __init__(self) -> None:
-        self._idle: dict[str, list[_Idle]] = {}
+        self._idle: dict[str, list[_IdleConnection]] = {}
 
     def take(
         self, endpoint: Endpoint, repeatable: bool, now_s: float
     ) -> Upstream | None:
-        """A kept connection that fits the request, or none."""
-        kept = self._idle.get(endpoint.instance)
-        while kept:
-            idle = kept[-1]
+        """Removes and returns an idle connection that suits the request, or None."""
+        connections = self._idle.get(endpoint.instance)
+        while connections:
+            idle = connections[-1]
             age_s = now_s - idle.connection.idle_since_s
             if not idle.connection.usable:
-                kept.pop()
+                connections.pop()
             elif age_s > max(idle.idle_max_s, REPEATABLE_IDLE_S):
-                kept.pop().connection.abort()
+                connections.pop().connection.abort()
             elif age_s > idle.idle_max_s and not repeatable:
                 return None
             else:
-                kept.pop()
+                connections.pop()
                 idle.connection.take()
                 return idle.connection
         return None
@@ -65,40 +65,40 @@
         advertised_idle_s: float | None,
         idle_max: int,
     ) -> None:
-        """Put back a connection whose answer was whole, if few enough are kept."""
+        """Keeps a connection after a complete answer, up to `idle_max` idle ones."""
         if len(self._idle.get(endpoint.instance, ())) >= idle_max:
             connection.abort()
             return
-        told_s = (
+        usable_s = (
             advertised_idle_s - CLOSING_MARGIN_S
             if advertised_idle_s
             else DEFAULT_IDLE_S
         )
-        kept = self._idle.setdefault(endpoint.instance, [])
-        kept.append(_Idle(connection, told_s))
+        connections = self._idle.setdefault(endpoint.instance, [])
+        connections.append(_IdleConnection(connection, usable_s))
 
     def retain(self, instances: frozenset[str]) -> None:
-        """Close what is kept for endpoints that are not listed any more."""
+        """Closes connections to endpoints that are not listed any more."""
         for instance in [i for i in self._idle if i not in instances]:
             self.drop(instance)
 
     def drop(self, instance: str) -> None:
-        """Close what is kept for an endpoint whose process has ended."""
+        """Closes the connections to an endpoint whose process has ended."""
         for idle in self._idle.pop(instance, ()):
             idle.connection.abort()
 
     def sweep(self, now_s: float) -> None:
-        """Close connections that have been idle for too long."""
-        for kept in self._idle.values():
-            for idle in [i for i in kept if _expired(i, now_s)]:
-                kept.remove(idle)
+        """Closes connections that have been idle for too long."""
+        for connections in self._idle.values():
+            for idle in [i for i in connections if _expired(i, now_s)]:
+                connections.remove(idle)
                 idle.connection.abort()
 
     def __len__(self) -> int:
-        return sum(len(kept) for kept in self._idle.values())
+        return sum(len(connections) for connections in self._idle.values())
 
 
-def _expired(idle: _Idle, now_s: float) -> bool:
+def _expired(idle: _IdleConnection, now_s: float) -> bool:
     age_s = now_s - idle.connection.idle_since_s
     limit_s = max(idle.idle_max_s, REPEATABLE_IDLE_S)
     return not idle.connection.usable or age_s > limit_s
--- a/ashlatch/gateway/prefix_cache.py
+++ b/ashlatch/gateway/prefix_cache.py
@@ -90,7 +90,7 @@
         cache_tokens: int,
         now_ms: float,
     ) -> None:
-        """Records that an engine has prefilled a prompt; all of it is cached for now."""
+        """Records that an engine prefilled a prompt; all of it is cached for now."""
         cache = self._caches.setdefault(instance, _PrefixCache())
         for part in parts:
             cache.touch((model, part.part_id), part.tokens, now_ms)
--- a/ashlatch/gateway/reports.py
+++ b/ashlatch/gateway/reports.py
@@ -2,8 +2,8 @@
 ashlatch.gateway.reports
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-The load that an endpoint tells with its answers, passed on to gateways that do
-not hear it by themselves.
+Broadcasts the load that an endpoint reports with its answers to the gateways that do
+not receive it themselves.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -19,15 +19,17 @@
 
 
 def broadcast_load(
-    known: GatewayContext, state: EndpointState, load: LoadFigures, now_ms: float
+    context: GatewayContext, state: EndpointState, load: LoadFigures, now_ms: float
 ) -> None:
-    """Tell other gateways how busy an endpoint is, if it is or was busy.
+    """Broadcasts the load of an endpoint if it is or was busy.
 
-    Alone a gateway knows no endpoint's load but that of its own last answers, and
-    sends on to full ones: many gateways with requests about one subject fill the
-    engine that has kept it.
+    Without this, a gateway knows only the loads from its own last answers and keeps
+    sending to full endpoints: many gateways with requests about one subject overload
+    the engine that has its prefix cached.
     """
     level = load_level(load.running + load.waiting, load.slots)
     if state.advertised_load.is_news(level, now_ms):
         instance = state.endpoint.instance
-        known.broadcast(LoadReported(instance, load.running, load.waiting, load.slots))
+        context.broadcast(
+            LoadReported(instance, load.running, load.waiting, load.slots)
+        )
--- a/ashlatch/gateway/tally.py
+++ b/ashlatch/gateway/tally.py
@@ -2,8 +2,8 @@
 ashlatch.gateway.tally
 ~~~~~~~~~~~~~~~~~~~~~~
 
-Counts of answers by service, version and route, for the judgement of new
-versions. The fleet adds up what all gateways report.
+Counts answers by service, version and route, for the evaluation of new versions. The
+core adds up the counts that all gateways report.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -17,12 +17,12 @@
 
 __all__ = ["BUCKET_RATIO", "Tallies", "Tally", "TallyKey", "merge", "bucket_of"]
 
-# The factor between one step of the times and the next.
+# The ratio between the bounds of adjacent buckets of the time histogram.
 BUCKET_RATIO = 1.5
 
 
 class TallyKey(msgspec.Struct, frozen=True, array_like=True):
-    """Whose answers are counted together."""
+    """Identifies the answers that are counted together."""
 
     service: str
     version: str
@@ -32,10 +32,10 @@
 class Tally(msgspec.Struct, frozen=True, array_like=True):
     """Counts since the last report.
 
-    `failed` answers were errors of the endpoint's own: an answer that breaks
-    off tells of a VM, not of its version. `times` counts answers by the time
-    to their first sign, in steps of `STEP`: answers that were given up after
-    such a time count like those that came then.
+    `failed` answers were errors of the endpoint itself: an answer that breaks off says
+    something about a VM, not about its version. `times` is a histogram of the times to
+    the first byte of an answer, with bucket bounds that grow by `BUCKET_RATIO`. An
+    answer that was abandoned after such a time counts like one that began then.
     """
 
     key: TallyKey
@@ -44,7 +44,7 @@
     times: dict[int, int] = {}
 
     def plus(self, other: "Tally") -> "Tally":
-        """Both together."""
+        """Returns the sum of both."""
         times = Counter(self.times)
         times.update(other.times)
         return Tally(
@@ -56,43 +56,44 @@
 
 
 def bucket_of(first_ms: float) -> int:
-    """The step that a time belongs to."""
+    """Returns the histogram bucket of a time."""
     return max(0, int(math.log(max(first_ms, 1.0)) / math.log(BUCKET_RATIO)))
 
 
 def merge(into: dict[TallyKey, Tally], tallies: tuple[Tally, ...]) -> None:
-    """Add tallies to those of the same keys."""
+    """Adds tallies to those with the same keys."""
     for tally in tallies:
-        known = into.get(tally.key)
-        into[tally.key] = known.plus(tally) if known else tally
+        present = into.get(tally.key)
+        into[tally.key] = present.plus(tally) if present else tally
 
 
 @dataclass
 class Tallies:
-    """What a process has counted and not reported yet."""
+    """The counts of a process that have not been reported yet."""
 
     _counts: dict[TallyKey, Tally] = field(default_factory=dict)
 
     def started(self, key: TallyKey, first_ms: float) -> None:
-        """An answer has begun, or was given up, after a time.
+        """Counts an answer that began, or was abandoned, after a time.
 
-        It counts at once: a stream that ends much later tells of now.
+        It counts at once: a stream may end much later, but its start describes the
+        present.
         """
         self.add((Tally(key, times={bucket_of(first_ms): 1}),))
 
     def answered(self, key: TallyKey) -> None:
-        """An answer came whole."""
+        """Counts an answer that was complete."""
         self.add((Tally(key, answered=1),))
 
     def failed(self, key: TallyKey) -> None:
-        """An answer failed."""
+        """Counts an answer that failed."""
         self.add((Tally(key, failed=1),))
 
     def add(self, tallies: tuple[Tally, ...]) -> None:
-        """Take counts from elsewhere, or back from a report that was lost."""
+        """Adds counts from elsewhere, or those of a report that was lost."""
         merge(self._counts, tallies)
 
     def take(self) -> tuple[Tally, ...]:
-        """All counts, which begin at zero again."""
+        """Returns all counts and resets them."""
         counts, self._counts = self._counts, {}
         return tuple(counts.values())
--- a/ashlatch/gateway/traffic.py
+++ b/ashlatch/gateway/traffic.py
@@ -2,8 +2,8 @@
 ashlatch.gateway.traffic
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-What a gateway sends and receives, by kind and by whether it crosses between
-halls: only the latter costs money and may be scarce.
+Counts what a gateway sends and receives, by kind and by whether it crosses between
+halls: only traffic between halls costs money and may be scarce.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -19,11 +19,11 @@
 
 
 class TrafficKind(enum.Enum):
-    """What is carried.
+    """The kind of a message.
 
-    `REQUEST` and `ANSWER` pass between a gateway and an endpoint, `QUESTION`
-    and `NEWS` between a gateway and a core VM. The others are datagrams, which
-    are counted where they are sent.
+    `REQUEST` and `ANSWER` pass between a gateway and an endpoint, `SYNC_REQUEST` and
+    `SYNC_REPLY` between a gateway and a core VM. The others are datagrams, which are
+    counted where they are sent.
     """
 
     REQUEST = "request"
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class TrafficCount:
-    """Messages of one kind, with their bytes but for headers of the network."""
+    """Messages of one kind, and their bytes without the headers of the network."""
 
     kind: TrafficKind
     cross_hall: bool
@@ -52,11 +52,11 @@
 
 
 class TrafficCounter:
-    """Counts what a gateway carries, and shows it among the metrics::
+    """Counts the traffic of a gateway and exports it as metrics::
 
-    traffic = HallTraffic("hall-1", metrics)
+    traffic = TrafficCounter("hall-1", metrics)
     traffic.add(TrafficKind.REQUEST, "hall-2", 12_300)
-    traffic.carried()  # (Carried(TrafficKind.REQUEST, True, 1, 12300),)
+    traffic.counts()  # (TrafficCount(TrafficKind.REQUEST, True, 1, 12300),)
     """
 
     def __init__(self, hall: str, metrics: Metrics) -> None:
@@ -67,18 +67,18 @@
         )
 
     def add(self, kind: TrafficKind, hall: str, data_bytes: int) -> None:
-        """A message goes to or comes from a VM of a hall."""
-        crosses = hall != self._hall
-        counts = self._counts[kind, crosses]
+        """Counts a message to or from a VM of a hall."""
+        cross_hall = hall != self._hall
+        counts = self._counts[kind, cross_hall]
         counts[0] += 1
         counts[1] += data_bytes
-        where = "other_hall" if crosses else "own_hall"
+        where = "other_hall" if cross_hall else "own_hall"
         self._metrics.count(f"{kind.value}_{where}")
         self._metrics.count(f"{kind.value}_{where}_bytes", data_bytes)
 
     def counts(self) -> tuple[TrafficCount, ...]:
-        """All that was carried since the start."""
+        """Returns the counts since the start of the process."""
         return tuple(
-            TrafficCount(kind, crosses, *counts)
-            for (kind, crosses), counts in self._counts.items()
+            TrafficCount(kind, cross_hall, *counts)
+            for (kind, cross_hall), counts in self._counts.items()
         )
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -402,7 +402,7 @@
     Mutant(
         "loads-kept-to-oneself",
         "ashlatch/gateway/reports.py",
-        "        known.broadcast(",
+        "        context.broadcast(",
         "        str(",
         ENGINES,
     ),
@@ -810,7 +810,7 @@
     Mutant(
         "announcements-untold",
         "ashlatch/gateway/notices.py",
-        "known.broadcast(EndpointLeaving(state.endpoint.instance))",
+        "context.broadcast(EndpointLeaving(state.endpoint.instance))",
         "pass",
         BACKOFF,
     ),
@@ -824,7 +824,7 @@
     Mutant(
         "sheddings-untold",
         "ashlatch/gateway/notices.py",
-        "known.broadcast(\n"
+        "context.broadcast(\n"
         "            BackoffRequested("
         "state.endpoint.instance, round(head.backoff_ms, 1))\n        )",
         "pass",
