--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -405,7 +405,7 @@
     Mutant(
         "loads-kept-to-oneself",
         "ashlatch/gateway/reports.py",
-        "        known.broadcast(",
+        "        context.broadcast(",
         "        str(",
         ENGINES,
     ),
@@ -811,7 +811,7 @@
     Mutant(
         "announcements-untold",
         "ashlatch/gateway/notices.py",
-        "known.broadcast(EndpointLeaving(state.endpoint.instance))",
+        "context.broadcast(EndpointLeaving(state.endpoint.instance))",
         "pass",
         BACKOFF,
     ),
@@ -825,7 +825,7 @@
     Mutant(
         "sheddings-untold",
         "ashlatch/gateway/notices.py",
-        "known.broadcast(\n"
+        "context.broadcast(\n"
         "            BackoffRequested("
         "state.endpoint.instance, round(head.backoff_ms, 1))\n        )",
         "pass",
