--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -13,7 +13,7 @@
 from bench.table import row, title
 from tests import standin
 from tests.fleet import FRONT_PORT, READY_PORT, Fleet, wait_for
-from tests.gateway import GatewayHarness, ask
+from tests.gateway import GatewayHarness, build_request
 from tests.standin import StandIn
 
 REQUESTS = 1500
@@ -33,7 +33,7 @@
 
 async def calls(address: tuple[str, int], path: str, count: int) -> None:
     """Requests on kept connections, some at once."""
-    raw = ask(path, HEADERS if path.startswith("/stream") else "")
+    raw = build_request(path, HEADERS if path.startswith("/stream") else "")
 
     async def caller(share: int) -> None:
         reader, writer = await asyncio.open_connection(*address)
--- a/tests/engines.py
+++ b/tests/engines.py
@@ -41,14 +41,14 @@
 
 
 @dataclass(frozen=True)
-class Load:
+class LoadProfile:
     """What is asked of a fleet: `hot_share` of the requests are about one subject,
     the others about one of `subjects`; each is answered for `held_ms`.
     """
 
     requests_per_s: float
     hot_share: float
-    held_ms: float
+    answer_ms: float
     target_ms: float
     subject_tokens: int = 3000
     own_tokens: int = 500
@@ -63,8 +63,8 @@
     slots: int
     running: int = 0
     waiting: deque[Callable[[], None]] = field(default_factory=deque)
-    read_until_ms: float = 0.0
-    kept: set[str] = field(default_factory=set)
+    prefill_until_ms: float = 0.0
+    cached: set[str] = field(default_factory=set)
     sends: int = 0
     crashed: bool = False
 
@@ -78,21 +78,21 @@
 
 
 @dataclass(frozen=True)
-class Outcome:
+class Result:
     """When each answer began, after its request came; sends of each engine; how
     many requests were refused, as they met too many crashed engines.
     """
 
-    begun_ms: tuple[float, ...]
+    first_ms: tuple[float, ...]
     sends: tuple[int, ...]
     refused: int
 
-    def late(self, target_ms: float) -> float:
+    def late_ratio(self, target_ms: float) -> float:
         """The share of answers that began after the target."""
-        return sum(ms > target_ms for ms in self.begun_ms) / len(self.begun_ms)
+        return sum(ms > target_ms for ms in self.first_ms) / len(self.first_ms)
 
 
-class World:
+class Simulation:
     """Gateways and engines of some halls; `hears` drops news that it refuses."""
 
     TOKEN_MS = 0.03
@@ -104,15 +104,15 @@
         engines_each: int,
         slots: int,
         seed: int,
-        hears: Callable[[PeerUpdate], bool] = lambda news: True,
+        accepts: Callable[[PeerUpdate], bool] = lambda news: True,
     ) -> None:
         self._random = random.Random(seed)
-        self._hears = hears
+        self._accepts = accepts
         self.refused = 0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self.now_ms = 0.0
-        self.begun_ms: list[float] = []
+        self.first_ms: list[float] = []
         self.datagrams = 0
         self._peers: dict[str, PeerProtocol] = {}
         names = [f"hall-{n}" for n in range(halls)]
@@ -168,23 +168,23 @@
     def sendto(self, data: bytes, to: tuple[str, int]) -> None:
         """Bring a datagram to a gateway, at once."""
         self.datagrams += 1
-        if self._hears(decode(data, PeerUpdate)):
+        if self._accepts(decode(data, PeerUpdate)):
             self._peers[f"{to[0]}:{to[1]}"].datagram_received(data, to)
 
     # Time.
 
-    def _at(self, at_ms: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (at_ms, next(self._order), what))
+    def _schedule(self, at_ms: float, what: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (at_ms, next(self._sequence), what))
 
-    def crash(self, share: float, at_ms: float) -> None:
+    def schedule_crashes(self, share: float, at_ms: float) -> None:
         """Let a share of the engines crash; no list says so."""
         names = self._random.sample(
             sorted(self.engines), int(share * len(self.engines))
         )
         for name in names:
-            self._at(at_ms, self.engines[name].crash)
+            self._schedule(at_ms, self.engines[name].crash)
 
-    def play(self, load: Load, unreachable_max: int = UNREACHABLE_MAX) -> Outcome:
+    def run(self, load: LoadProfile, unreachable_max: int = UNREACHABLE_MAX) -> Result:
         """Play a load to its end; a request gives up after so many crashed engines."""
         self._unreachable_max = unreachable_max
 
@@ -199,20 +199,20 @@
 
         asyncio.run(run())
         sends = tuple(engine.sends for engine in self.engines.values())
-        return Outcome(tuple(self.begun_ms), sends, self.refused)
+        return Result(tuple(self.first_ms), sends, self.refused)
 
-    def _run(self, load: Load) -> None:
+    def _run(self, load: LoadProfile) -> None:
         at_ms = 0.0
         while at_ms < load.length_s * 1000.0:
             at_ms += self._random.expovariate(load.requests_per_s) * 1000.0
-            self._at(at_ms, lambda: self._arrive(load))
+            self._schedule(at_ms, lambda: self._start_request(load))
         while self._events:
             self.now_ms, _, what = heapq.heappop(self._events)
             what()
 
     # One request.
 
-    def _arrive(self, load: Load) -> None:
+    def _start_request(self, load: LoadProfile) -> None:
         known = self._random.choice(self.gateways)
         hot = self._random.random() < load.hot_share
         subject = "hot" if hot else f"s{self._random.randrange(load.subjects)}"
@@ -239,13 +239,13 @@
             "",
             "",
         )
-        self._try(known, ask, load, frozenset())
+        self._attempt(known, ask, load, frozenset())
 
-    def _try(
+    def _attempt(
         self,
         known: GatewayContext,
         ask: CallerRequest,
-        load: Load,
+        load: LoadProfile,
         tried: frozenset[str],
     ) -> None:
         """Choose an engine and send there; another one if nobody listens."""
@@ -264,7 +264,7 @@
         state, read_ms = chosen.state, chosen.forecast.read_ms
         state.breaker.sent(self.now_ms)
         if self.engines[state.endpoint.instance].crashed:
-            self._meets_nobody(known, ask, load, state, tried)
+            self._connection_refused(known, ask, load, state, tried)
             return
         state.sent(self.now_ms)
         state.workload.add(read_ms, self.now_ms)
@@ -274,11 +274,11 @@
         )
         self._send(known, state, parts, load)
 
-    def _meets_nobody(
+    def _connection_refused(
         self,
         known: GatewayContext,
         ask: CallerRequest,
-        load: Load,
+        load: LoadProfile,
         state: EndpointState,
         tried: frozenset[str],
     ) -> None:
@@ -289,14 +289,16 @@
         if len(tried) >= self._unreachable_max:
             self.refused += 1
             return
-        self._at(self.now_ms + CONNECT_MS, lambda: self._try(known, ask, load, tried))
+        self._schedule(
+            self.now_ms + CONNECT_MS, lambda: self._attempt(known, ask, load, tried)
+        )
 
     def _send(
         self,
         known: GatewayContext,
         state: EndpointState,
         parts: tuple[PromptPart, ...],
-        load: Load,
+        load: LoadProfile,
     ) -> None:
         engine = self.engines[state.endpoint.instance]
         engine.sends += 1
@@ -305,18 +307,20 @@
         def begin() -> None:
             engine.running += 1
             subject, own = parts
-            tokens = own.tokens + subject.tokens * (subject.part_id not in engine.kept)
-            engine.kept.add(subject.part_id)
-            engine.read_until_ms = max(engine.read_until_ms, self.now_ms)
-            engine.read_until_ms += tokens * self.TOKEN_MS
-            self._at(engine.read_until_ms, first)
+            tokens = own.tokens + subject.tokens * (
+                subject.part_id not in engine.cached
+            )
+            engine.cached.add(subject.part_id)
+            engine.prefill_until_ms = max(engine.prefill_until_ms, self.now_ms)
+            engine.prefill_until_ms += tokens * self.TOKEN_MS
+            self._schedule(engine.prefill_until_ms, first)
 
         def first() -> None:
-            self.begun_ms.append(self.now_ms - came_ms)
+            self.first_ms.append(self.now_ms - came_ms)
             figures = engine.figures()
             state.apply_load(figures, self.now_ms)
             broadcast_load(known, state, figures, self.now_ms)
-            self._at(self.now_ms + load.held_ms, end)
+            self._schedule(self.now_ms + load.answer_ms, end)
 
         def end() -> None:
             engine.running -= 1
--- a/tests/gateway.py
+++ b/tests/gateway.py
@@ -27,7 +27,9 @@
 KEY = "Authorization: Bearer key-1\r\n"
 
 
-def ask(path: str, extra: str = "", method: str = "GET", body: bytes = b"") -> bytes:
+def build_request(
+    path: str, extra: str = "", method: str = "GET", body: bytes = b""
+) -> bytes:
     lines = (
         f"{method} {path} HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: r1\r\n"
         f"{TIMEOUT_HEADER}{KEY}{extra}Content-Length: {len(body)}\r\n\r\n"
@@ -35,12 +37,14 @@
     return lines.encode() + body
 
 
-ASK_STREAM = (
+STREAM_HEADERS = (
     "X-Model: *\r\nX-Token-Count: 100,50\r\nX-Prompt-Prefix: aa:50,bb:50\r\n"
     "Session: s1\r\n"
 )
 # Requests about different subjects, so that each endpoint is asked first for some.
-ASK_STREAMS = tuple(ASK_STREAM.replace("bb:", f"b{n}:") for n in range(8))
+STREAM_HEADER_VARIANTS = tuple(
+    STREAM_HEADERS.replace("bb:", f"b{n}:") for n in range(8)
+)
 
 
 async def hang(request: Received, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -22,7 +22,7 @@
 from ashlatch.policy.endpoint import rank
 from ashlatch.policy.permission import Barrier
 from tests.fleet import READY_PORT, Fleet, wait_for
-from tests.gateway import ASK_STREAM, GatewayHarness, ask
+from tests.gateway import STREAM_HEADERS, GatewayHarness, build_request
 from tests.shedding import WITHIN_BACKOFF_MAX, SheddingEndpoint
 from tests.standin import Received, StandIn, answer, chunk, event, head, stream
 
@@ -36,7 +36,7 @@
 
         async def work() -> None:
             for number in range(int(length_s * 20)):
-                status, _ = await self.call(ask(f"/get/{number}"))
+                status, _ = await self.call(build_request(f"/get/{number}"))
                 statuses.append(status)
                 await asyncio.sleep(0.05)
 
@@ -93,7 +93,8 @@
         failing = StandIn([answer(status=500)])
         shedding = SheddingEndpoint("3")
         self.play(
-            [failing, shedding.worker], [ask(f"/get/{number}") for number in range(30)]
+            [failing, shedding.worker],
+            [build_request(f"/get/{number}") for number in range(30)],
         )
         self.assertEqual(1, len(shedding.came))
 
@@ -110,7 +111,9 @@
             await stream(2, "X-Confidence: 10")(request, writer)
 
         small.scripts = [shed_soon]
-        answers = self.play([small], [ask("/stream/1", ASK_STREAM, "POST")], prepare)
+        answers = self.play(
+            [small], [build_request("/stream/1", STREAM_HEADERS, "POST")], prepare
+        )
         self.assertEqual([200], [status for status, _ in answers])
         self.assertEqual(1, len(small.seen))
 
@@ -130,7 +133,9 @@
             self.state("i-2").breaker.gone(self.now_ms())
 
         answers = self.play(
-            [first, second, third], [ask("/stream/1", ASK_STREAM, "POST")], prepare
+            [first, second, third],
+            [build_request("/stream/1", STREAM_HEADERS, "POST")],
+            prepare,
         )
         self.assertEqual([200], [status for status, _ in answers])
         self.assertEqual((0, 1), (len(second.seen), len(third.seen)))
@@ -149,11 +154,11 @@
 
         async def work() -> None:
             self.state("i-1").breaker.gone(self.now_ms())
-            await self.call(ask("/get/1"))
+            await self.call(build_request("/get/1"))
             # As if the second one had been chosen a moment before the first answer.
             self.state("i-0").backoff, kept = Backoff(), self.state("i-0").backoff
             self.state("i-1").breaker.gone(self.now_ms())
-            second = asyncio.create_task(self.call(ask("/get/2")))
+            second = asyncio.create_task(self.call(build_request("/get/2")))
             await asyncio.sleep(0.1)
             self.state("i-0").backoff = kept
             status, _ = await second
@@ -180,7 +185,9 @@
             tested = rank(("i-0", "i-1"), "v2")[0]
             self.state(tested).backoff.request(5000.0, self.now_ms())
 
-        answers = self.play(workers, [ask(f"/get/{n}") for n in range(5)], prepare)
+        answers = self.play(
+            workers, [build_request(f"/get/{n}") for n in range(5)], prepare
+        )
         self.assertEqual([200] * 5, [status for status, _ in answers])
         # No other one is tested in its place: all gateways test the same.
         self.assertEqual((0, 0), (len(new.came), len(spare.came)))
@@ -190,7 +197,7 @@
         endpoints = [SheddingEndpoint("3"), SheddingEndpoint("1.5")]
         workers = [e.worker for e in endpoints]
         begun_s = time.monotonic()
-        answers = self.play(workers, [ask(f"/get/{n}") for n in range(10)])
+        answers = self.play(workers, [build_request(f"/get/{n}") for n in range(10)])
         took_s = time.monotonic() - begun_s
         self.assertEqual({503}, {status for status, _ in answers})
         self.assertEqual(2, sum(len(e.came) for e in endpoints))
@@ -217,7 +224,7 @@
             self.state("i-0").backoff.request(3000.0, self.now_ms())
 
         ((status, text),) = self.play(
-            workers, [ask("/get/1", "Session: s1\r\n")], prepare
+            workers, [build_request("/get/1", "Session: s1\r\n")], prepare
         )
         self.assertEqual(503, status)
         wait_s = float(text.partition(b"Retry-After: ")[2].partition(b"\r")[0])
@@ -229,11 +236,11 @@
         other = SheddingEndpoint(sheds=False)
 
         async def work() -> None:
-            await self.call(ask("/get/1"))
-            await self.call(ask("/get/2"))
+            await self.call(build_request("/get/1"))
+            await self.call(build_request("/get/2"))
             await asyncio.sleep(0.4)
             came = len(shedding.came)
-            calls = (self.call(ask(f"/get/{n}")) for n in range(20))
+            calls = (self.call(build_request(f"/get/{n}")) for n in range(20))
             statuses = {status for status, _ in await asyncio.gather(*calls)}
             self.assertEqual({200}, statuses)
             self.assertTrue(len(shedding.came) - came <= 1)
@@ -242,7 +249,7 @@
 
     def test_the_load_in_a_refusal_is_not_believed(self) -> None:
         shedding = SheddingEndpoint("1")
-        answers = self.play([shedding.worker], [ask("/get/1")])
+        answers = self.play([shedding.worker], [build_request("/get/1")])
         self.assertEqual([503], [status for status, _ in answers])
         self.assertIs(None, self.state("i-0").load.report)
 
@@ -252,7 +259,7 @@
 
         async def work() -> None:
             self.state("i-1").breaker.gone(self.now_ms())
-            await self.call(ask("/get/1"))
+            await self.call(build_request("/get/1"))
             self.state("i-1").breaker.succeeded()
             listed = tuple(state.endpoint for state in self.context.directory.all())
             for number, endpoints in enumerate((listed[1:], listed)):
@@ -260,7 +267,9 @@
                     EndpointList(1, 2 + number, endpoints), self.now_ms()
                 )
             for number in range(10):
-                self.assertEqual(200, (await self.call(ask(f"/get/{number}")))[0])
+                self.assertEqual(
+                    200, (await self.call(build_request(f"/get/{number}")))[0]
+                )
 
         self.run_gateway([shedding.worker, other.worker], work)
         self.assertEqual(1, len(shedding.came))
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -19,7 +19,7 @@
 from ashlatch.raft.group import Standing
 from ashlatch.rpc import RpcLoop
 from ashlatch.suspension import SuspensionMeter
-from tests.gateway import GatewayHarness, ask
+from tests.gateway import GatewayHarness, build_request
 from tests.standin import Received, StandIn, answer
 
 SUSPENDED_S = 3.0
@@ -107,7 +107,7 @@
             workers = [StandIn([suspended, answer()]) for _ in range(2)]
 
             async def work() -> None:
-                self.assertEqual(504, (await self.call(ask("/get/1")))[0])
+                self.assertEqual(504, (await self.call(build_request("/get/1")))[0])
                 self.assertEqual(1, sum(len(worker.seen) for worker in workers))
 
             self.run_gateway(workers, work)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -31,7 +31,7 @@
 from ashlatch.platform.instances import decode_page
 from ashlatch.policy.cold import ColdEndpoint, pause_ms
 from tests import standin
-from tests.gateway import GatewayHarness, ask
+from tests.gateway import GatewayHarness, build_request
 
 HALLS = ("a", "b", "c")
 # Operators' figures: what a cold endpoint bears, and what it may get in a second.
@@ -337,7 +337,7 @@
             assert state is not None
             state.mark_cold_until(asyncio.get_running_loop().time() * 1000.0 + 60_000.0)
             for _ in range(10):
-                self.assertEqual(200, (await self.call(ask("/get/1")))[0])
+                self.assertEqual(200, (await self.call(build_request("/get/1")))[0])
 
         self.run_gateway([cold, warm], work)
         self.assertEqual([], cold.seen)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -14,12 +14,12 @@
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.platform.document import decode_catalog
 from tests import standin
-from tests.gateway import GatewayHarness, ask
+from tests.gateway import GatewayHarness, build_request
 from tests.standin import Received, StandIn
 
 CONNECTIONS_MAX = 50
 GATEWAYS = 10
-PART = CONNECTIONS_MAX // GATEWAYS
+SHARE = CONNECTIONS_MAX // GATEWAYS
 REQUESTS = 20
 
 
@@ -29,7 +29,7 @@
     writer.write(standin.whole(request, b"body"))
 
 
-class IdleTest(GatewayHarness):
+class IdleConnectionsTest(GatewayHarness):
     """One of ten gateways, and an endpoint that takes half a second for an answer."""
 
     def prepare(self, gateways: int) -> None:
@@ -42,14 +42,14 @@
             GatewayVm(f"10.0.0.{n}:70", "hall-1") for n in range(gateways)
         )
 
-    def idle_after_a_burst(self, gateways: int) -> int:
+    def idle_after_burst(self, gateways: int) -> int:
         """How many connections are left when all requests have been answered."""
         worker = StandIn([slow])
         left = []
 
         async def work() -> None:
             self.prepare(gateways)
-            calls = (self.call(ask(f"/get/{n}")) for n in range(REQUESTS))
+            calls = (self.call(build_request(f"/get/{n}")) for n in range(REQUESTS))
             statuses = [status for status, _ in await asyncio.gather(*calls)]
             self.assertEqual([200] * REQUESTS, statuses)
             await asyncio.sleep(0.1)
@@ -59,11 +59,11 @@
         return left[0]
 
     def test_no_more_than_its_part_is_kept_idle(self) -> None:
-        left = self.idle_after_a_burst(GATEWAYS)
-        self.assertTrue(0 < left <= PART, str(left))
+        left = self.idle_after_burst(GATEWAYS)
+        self.assertTrue(0 < left <= SHARE, str(left))
 
     def test_one_is_kept_where_there_are_more_gateways_than_connections(self) -> None:
-        self.assertEqual(1, self.idle_after_a_burst(2 * CONNECTIONS_MAX))
+        self.assertEqual(1, self.idle_after_burst(2 * CONNECTIONS_MAX))
 
     def test_a_gateway_by_itself_keeps_them_all(self) -> None:
-        self.assertEqual(REQUESTS, self.idle_after_a_burst(1))
+        self.assertEqual(REQUESTS, self.idle_after_burst(1))
--- a/tests/test_core_selection.py
+++ b/tests/test_core_selection.py
@@ -16,20 +16,20 @@
 SEEDS = tuple(core.address for core in CORES[:3])
 
 
-def contact(hall: str, seed: int = 1) -> CoreSelector:
+def build_selector(hall: str, seed: int = 1) -> CoreSelector:
     return CoreSelector(hall, lambda: SEEDS, random.Random(seed))
 
 
 class CoreContactTest(testtools.TestCase):
     def test_begins_with_a_seed(self) -> None:
-        asked = {contact("north", seed).address for seed in range(40)}
+        asked = {build_selector("north", seed).address for seed in range(40)}
         self.assertEqual(set(SEEDS), asked)
-        self.assertEqual("", contact("north").local_candidate())
+        self.assertEqual("", build_selector("north").local_candidate())
 
     def test_every_gateway_ends_in_its_own_hall(self) -> None:
         for n in range(195):
             hall = HALLS[n % len(HALLS)]
-            found = contact(hall, n)
+            found = build_selector(hall, n)
             self.assertIn(found.address, SEEDS)
             found.update(CORES)
             near = found.local_candidate() or found.address
@@ -42,7 +42,7 @@
         second = CoreVm("10.0.0.2:7000", HALLS[0])
         reached = set()
         for seed in range(60):
-            found = contact(HALLS[0], seed)
+            found = build_selector(HALLS[0], seed)
             found.update((*CORES, second))
             found.select(CORES[0].address)
             found.leave(CORES[0].address)
@@ -51,7 +51,7 @@
         self.assertEqual(others, reached)
 
     def test_one_that_is_replaced_is_left(self) -> None:
-        found = contact(HALLS[0])
+        found = build_selector(HALLS[0])
         found.update(CORES)
         found.select(CORES[0].address)
         new = CoreVm("10.0.0.9:7000", HALLS[0])
@@ -59,7 +59,7 @@
         self.assertEqual(new.address, found.local_candidate())
 
     def test_a_hall_without_core_vms_asks_on(self) -> None:
-        found = contact("island")
+        found = build_selector("island")
         found.update(CORES)
         self.assertEqual("", found.local_candidate())
         self.assertIn(found.address, SEEDS)
--- a/tests/test_crash_load.py
+++ b/tests/test_crash_load.py
@@ -23,7 +23,7 @@
 from ashlatch.gateway.traffic import TrafficKind
 from ashlatch.gateway.updates import CrashRecordUpdate
 from tests.crash_play import CrashLoad, CrashOutcome, CrashWorld
-from tests.engines import World
+from tests.engines import Simulation
 
 SEEDS = range(1, 6)
 SMALL = (7, 5)
@@ -78,7 +78,7 @@
 
     def test_all_gateways_hold_it(self) -> None:
         async def run() -> None:
-            world = World(self.HALLS, self.EACH, 1, 16, 1)
+            world = Simulation(self.HALLS, self.EACH, 1, 16, 1)
             first = world.gateways[0]
             for number in range(ENDS_MAX):
                 at_ms = AT_MS + 2000 * number
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -36,7 +36,7 @@
 from tests import standin
 from tests.crashing import CRASHING_BODY, CrashingEngine, CrashLog
 from tests.fleet import FRONT_PORT, READY_PORT, Fleet, wait_for
-from tests.gateway import ASK_STREAM, GatewayHarness, ask
+from tests.gateway import STREAM_HEADERS, GatewayHarness, build_request
 from tests.standin import LAST_CHUNK, Received, StandIn
 
 # The bound that the users set: three ends, and this often after them, counted from
@@ -69,7 +69,7 @@
                 for e in engines
             )
             self.context.directory.replace(EndpointList(1, 2, endpoints), 0.0)
-            crashing = ask(path, ASK_STREAM, "POST", CRASHING_BODY)
+            crashing = build_request(path, STREAM_HEADERS, "POST", CRASHING_BODY)
             for number in range(tries):
                 own_id = f"X-Attempt-Id: r{number}".encode()
                 data = crashing.replace(b"X-Attempt-Id: r1", own_id)
@@ -117,8 +117,8 @@
             for number in range(ENDS_MAX):
                 at_ms = unix_ms() - 5000 * number
                 self.context.quarantine.crashed(content, f"i-{number}", 0, at_ms)
-            self.assertEqual(503, (await self.call(ask("/get/1")))[0])
-            self.assertEqual(200, (await self.call(ask("/get/2")))[0])
+            self.assertEqual(503, (await self.call(build_request("/get/1")))[0])
+            self.assertEqual(200, (await self.call(build_request("/get/2")))[0])
 
         self.run_gateway([StandIn([standin.answer()])], work)
 
@@ -134,7 +134,7 @@
 
         async def work() -> None:
             for _ in range(4):
-                self.assertEqual(502, (await self.call(ask("/get/1")))[0])
+                self.assertEqual(502, (await self.call(build_request("/get/1")))[0])
             self.assertEqual(12, sum(len(worker.seen) for worker in workers))
 
         self.run_gateway(workers, work)
@@ -154,11 +154,11 @@
             bad = Endpoint("i-9", "app", crashing.address, "hall-1", "v1", 8, False)
             only_bad = EndpointList(1, 2, (bad,))
             self.context.directory.replace(only_bad, 0.0)
-            self.assertEqual(502, (await self.call(ask("/get/1")))[0])
+            self.assertEqual(502, (await self.call(build_request("/get/1")))[0])
             self.assertEqual(1, len(self.context.quarantine.to_tell()))
             well = Endpoint("i-0", "app", good.address, "hall-1", "v1", 8, False)
             self.context.directory.replace(EndpointList(1, 3, (well,)), 0.0)
-            self.assertEqual(200, (await self.call(ask("/get/1")))[0])
+            self.assertEqual(200, (await self.call(build_request("/get/1")))[0])
             (record,) = self.context.quarantine.to_tell()
             self.assertEqual((), record.unsurvived)
 
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -43,7 +43,7 @@
 from ashlatch.store.command import Resource
 from tests import standin
 from tests.fleet import OPERATOR_PORT, READY_PORT, Fleet, wait_for
-from tests.gateway import ASK_STREAM, GatewayHarness, ask
+from tests.gateway import STREAM_HEADERS, GatewayHarness, build_request
 
 BEGIN = "/-/Evacuations.Begin/"
 FINISH = "/-/Evacuations.Finish/"
@@ -82,25 +82,25 @@
         self.assertEqual(Evacuations(), self.machine.state.evacuations)
 
 
-class FleetStub:
+class FakeFleet:
     """Commits to a machine of its own, unless it has no leader."""
 
     def __init__(self) -> None:
         self.machine = FleetMachine()
-        self.leads = True
+        self.has_leader = True
 
     async def commit(self, command: Command) -> Outcome:
-        if not self.leads:
+        if not self.has_leader:
             raise NoQuorum("no leader is known")
         return self.machine.apply(encode(command))
 
     async def read(self) -> ReadReply:
-        if not self.leads:
+        if not self.has_leader:
             raise NoQuorum("no leader is known")
         return ReadReply(True, evacuations=self.machine.state.evacuations)
 
 
-class Answers:
+class FakeResponder:
     """A responder that keeps the answer."""
 
     def __init__(self) -> None:
@@ -114,12 +114,12 @@
 class OperatorTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.fleet = FleetStub()
+        self.fleet = FakeFleet()
         self.api = OperatorApi(self.fleet, frozenset({"hall-1", "hall 2"}))
 
     def call(self, method: str, target: str) -> tuple[int, bytes]:
-        async def answered() -> Answers:
-            answers = Answers()
+        async def answered() -> FakeResponder:
+            answers = FakeResponder()
             now_s = asyncio.get_running_loop().time()
             request = HttpRequest(method, target, [], b"", now_s, "")
             await self.api.handle(request, answers)  # type: ignore[arg-type]
@@ -152,7 +152,7 @@
         self.assertEqual((), self.halls())
 
     def test_without_a_leader_nothing_is_acknowledged(self) -> None:
-        self.fleet.leads = False
+        self.fleet.has_leader = False
         self.assertEqual(503, self.call("POST", f"{BEGIN}hall-1")[0])
         self.assertEqual(503, self.call("GET", "/-/Evacuations.Read")[0])
 
@@ -178,7 +178,7 @@
         self.assertEqual({"e-a", "e-b"}, self.table("b", "a"))
 
 
-class SpreadTest(testtools.TestCase):
+class SoftStateTest(testtools.TestCase):
     def test_news_for_who_knows_less(self) -> None:
         spread = Spread(CoreVm("a:1", "h"))
         state = FleetState(evacuations=Evacuations(2, ("h",)))
@@ -200,27 +200,27 @@
         listed = (endpoint("i1", "a"), endpoint("i2", "b"), endpoint("i3", "b"))
         self.directory.replace(EndpointList(1, 1, listed), 0.0)
 
-    def open(self) -> list[str]:
+    def open_endpoints(self) -> list[str]:
         states = self.directory.of_service("app")
         return [s.endpoint.instance for s in states if s.permission(0.0).granted]
 
     def test_an_evacuated_hall_takes_no_work(self) -> None:
         self.assertTrue(self.directory.apply_evacuations(Evacuations(1, ("b",))))
-        self.assertEqual(["i1"], self.open())
+        self.assertEqual(["i1"], self.open_endpoints())
         self.assertTrue(self.directory.apply_evacuations(Evacuations(2)))
-        self.assertEqual(["i1", "i2", "i3"], self.open())
+        self.assertEqual(["i1", "i2", "i3"], self.open_endpoints())
 
     def test_older_orders_change_nothing(self) -> None:
         self.directory.apply_evacuations(Evacuations(4))
         self.assertFalse(self.directory.apply_evacuations(Evacuations(3, ("b",))))
-        self.assertEqual(["i1", "i2", "i3"], self.open())
+        self.assertEqual(["i1", "i2", "i3"], self.open_endpoints())
 
     def test_endpoints_that_are_listed_later(self) -> None:
         """A release in an evacuated hall brings endpoints that nobody knew."""
         self.directory.apply_evacuations(Evacuations(1, ("b",)))
         listed = (endpoint("i1", "a"), endpoint("i4", "b"))
         self.directory.replace(EndpointList(1, 2, listed), 0.0)
-        self.assertEqual(["i1"], self.open())
+        self.assertEqual(["i1"], self.open_endpoints())
 
     def test_before_any_list(self) -> None:
         """A gateway that starts may hear of the order before the endpoints."""
@@ -271,7 +271,7 @@
 
         async def work() -> None:
             self.context.directory.apply_evacuations(Evacuations(1, ("hall-1",)))
-            status, got = await self.call(ask("/once/1", method="POST"))
+            status, got = await self.call(build_request("/once/1", method="POST"))
             self.assertEqual(503, status)
             self.assertIn(b"Retry-After: 2", got)
             self.assertIn(b"evacuated", got)
@@ -287,7 +287,7 @@
 
         async def work() -> None:
             self.listed([(first, "hall-1"), (second, "hall-1"), (third, "hall-2")])
-            status, got = await self.call(ask("/stream/1", ASK_STREAM))
+            status, got = await self.call(build_request("/stream/1", STREAM_HEADERS))
             self.assertEqual(200, status)
             self.assertIn(b"piece 3", got)
 
@@ -330,7 +330,7 @@
         at = "/-/readyz"
         return self.fleet.call(self.gateway, "GET", at, port=READY_PORT)[0] == 200
 
-    def order(self, target: str) -> None:
+    def send_command(self, target: str) -> None:
         """Send an order to one core VM after another, until it is taken."""
         hosts = self.fleet.hosts
 
@@ -346,19 +346,19 @@
     def test_in_force_and_over(self) -> None:
         fleet = self.fleet
         self.assertEqual(200, fleet.ask(self.gateway))
-        self.order(f"{BEGIN}hall-1")
+        self.send_command(f"{BEGIN}hall-1")
         begun_s = time.monotonic()
         wait_for(lambda: fleet.ask(self.gateway) == 503, "evacuated", 5.0)
         self.assertTrue(time.monotonic() - begun_s < 1.0)
         log = fleet.processes[self.gateway]
         wait_for(lambda: "reason=evacuated" in log.log, "told in the log", 2.0)
-        self.order(f"{FINISH}hall-1")
+        self.send_command(f"{FINISH}hall-1")
         wait_for(lambda: fleet.ask(self.gateway) == 200, "over", 5.0)
 
     def test_survives_the_loss_of_all(self) -> None:
         """All processes are killed as soon as it is acknowledged."""
         fleet = self.fleet
-        self.order(f"{BEGIN}hall-1")
+        self.send_command(f"{BEGIN}hall-1")
         for host in (*fleet.hosts, self.gateway):
             fleet.processes[host].kill()
         for host in fleet.hosts:
@@ -373,7 +373,7 @@
         fleet = self.fleet
         process = fleet.processes[self.gateway]
         process.signal(signal.SIGSTOP)
-        self.order(f"{BEGIN}hall-1")
+        self.send_command(f"{BEGIN}hall-1")
         time.sleep(2.5)
         process.signal(signal.SIGCONT)
         self.assertEqual(503, fleet.ask(self.gateway))
@@ -394,11 +394,11 @@
     def test_through_the_kill_of_a_leader(self) -> None:
         fleet = self.fleet
         leader = fleet.leader()
-        self.order(f"{BEGIN}hall-1")
+        self.send_command(f"{BEGIN}hall-1")
         fleet.processes[leader].kill()
         others = [host for host in fleet.hosts if host != leader]
         told = b'{"halls":["hall-1"]}'
         wait_for(lambda: all(self.halls(h) == told for h in others), "all read it")
         fleet.hosts = others
-        self.order(f"{FINISH}hall-1")
+        self.send_command(f"{FINISH}hall-1")
         wait_for(lambda: self.halls(others[0]) == b'{"halls":[]}', "finished")
--- a/tests/test_full_engines.py
+++ b/tests/test_full_engines.py
@@ -18,14 +18,18 @@
 
 from ashlatch.gateway.exchange import UNREACHABLE_MAX
 from ashlatch.gateway.updates import EndpointRefuses, LoadReported, PeerUpdate
-from tests.engines import Load, Outcome, World
+from tests.engines import LoadProfile, Result, Simulation
 
 TARGET_MS = 1000.0
-HOT = Load(requests_per_s=50.0, hot_share=0.5, held_ms=3000.0, target_ms=TARGET_MS)
-EVEN = Load(requests_per_s=50.0, hot_share=0.0, held_ms=3000.0, target_ms=TARGET_MS)
+HOT_SUBJECT_LOAD = LoadProfile(
+    requests_per_s=50.0, hot_share=0.5, answer_ms=3000.0, target_ms=TARGET_MS
+)
+EVEN_LOAD = LoadProfile(
+    requests_per_s=50.0, hot_share=0.0, answer_ms=3000.0, target_ms=TARGET_MS
+)
 
 
-def everything(news: PeerUpdate) -> bool:
+def all_updates(news: PeerUpdate) -> bool:
     return True
 
 
@@ -37,13 +41,13 @@
     return not isinstance(news, EndpointRefuses)
 
 
-def nothing(news: PeerUpdate) -> bool:
+def no_updates(news: PeerUpdate) -> bool:
     return False
 
 
-def play(load: Load, hears: object, seed: int) -> Outcome:
+def simulate(load: LoadProfile, hears: object, seed: int) -> Result:
     assert callable(hears)
-    return World(2, 40, 8, 16, seed, hears).play(load)
+    return Simulation(2, 40, 8, 16, seed, hears).run(load)
 
 
 class HotSubjectTest(testtools.TestCase):
@@ -51,15 +55,24 @@
 
     def test_full_engines_are_left(self) -> None:
         for seed in self.SEEDS:
-            alone, told = play(HOT, no_loads, seed), play(HOT, everything, seed)
-            self.assertTrue(told.late(TARGET_MS) < 0.01, told.late(TARGET_MS))
-            self.assertTrue(alone.late(TARGET_MS) > 4 * told.late(TARGET_MS))
+            alone, told = (
+                simulate(HOT_SUBJECT_LOAD, no_loads, seed),
+                simulate(HOT_SUBJECT_LOAD, all_updates, seed),
+            )
+            self.assertTrue(
+                told.late_ratio(TARGET_MS) < 0.01, told.late_ratio(TARGET_MS)
+            )
+            self.assertTrue(
+                alone.late_ratio(TARGET_MS) > 4 * told.late_ratio(TARGET_MS)
+            )
             self.assertTrue(max(told.sends) < max(alone.sends))
 
     def test_an_even_load_is_served_as_before(self) -> None:
         for seed in self.SEEDS:
-            for hears in (no_loads, everything):
-                self.assertTrue(play(EVEN, hears, seed).late(TARGET_MS) < 0.01)
+            for hears in (no_loads, all_updates):
+                self.assertTrue(
+                    simulate(EVEN_LOAD, hears, seed).late_ratio(TARGET_MS) < 0.01
+                )
 
     def test_a_long_kept_prompt_draws_nobody_to_a_full_engine(self) -> None:
         """What is saved by reading less is lost again by waiting for a place.
@@ -67,17 +80,22 @@
         Answers that begin after 1 s: 2.2 in 100 when a place at a full engine costs
         nothing, none when it does (this seed; 99 in 100 within 1,341 and 741 ms).
         """
-        load = replace(HOT, subject_tokens=13_000)
-        self.assertEqual(0.0, play(load, everything, 2).late(TARGET_MS))
+        load = replace(HOT_SUBJECT_LOAD, subject_tokens=13_000)
+        self.assertEqual(0.0, simulate(load, all_updates, 2).late_ratio(TARGET_MS))
 
     def test_gateways_that_hear_nothing_serve_on(self) -> None:
         """All datagrams lost: dearer, but most answers are still in time."""
         for seed in self.SEEDS:
-            self.assertTrue(play(HOT, nothing, seed).late(TARGET_MS) < 0.25)
-            self.assertTrue(play(EVEN, nothing, seed).late(TARGET_MS) < 0.05)
+            self.assertTrue(
+                simulate(HOT_SUBJECT_LOAD, no_updates, seed).late_ratio(TARGET_MS)
+                < 0.25
+            )
+            self.assertTrue(
+                simulate(EVEN_LOAD, no_updates, seed).late_ratio(TARGET_MS) < 0.05
+            )
 
 
-class NewsTest(testtools.TestCase):
+class UpdateCountTest(testtools.TestCase):
     def test_loads_take_few_messages(self) -> None:
         """Only busy engines are told of, and not with each answer."""
         heard = {"load": 0, "all": 0}
@@ -87,7 +105,7 @@
             heard["all"] += 1
             return True
 
-        play(EVEN, count, 1)
+        simulate(EVEN_LOAD, count, 1)
         self.assertTrue(heard["load"] < heard["all"], heard)
 
 
@@ -104,28 +122,30 @@
     0 and 1 when all are told, none when twelve are tried.
     """
 
-    CALM = Load(30.0, 0.2, 3000.0, TARGET_MS, length_s=20.0)
+    CALM = LoadProfile(30.0, 0.2, 3000.0, TARGET_MS, length_s=20.0)
     SHARE = 0.43
 
     def refused(
         self, seed: int, hears: Callable[[PeerUpdate], bool], unreachable_max: int
     ) -> int:
-        world = World(2, 40, 8, 16, seed, hears)
-        world.crash(self.SHARE, 8000.0)
-        return world.play(self.CALM, unreachable_max).refused
+        world = Simulation(2, 40, 8, 16, seed, hears)
+        world.schedule_crashes(self.SHARE, 8000.0)
+        return world.run(self.CALM, unreachable_max).refused
 
     def test_nothing_is_refused(self) -> None:
         for seed in (1, 2):
-            for hears in (everything, no_refusals):
+            for hears in (all_updates, no_refusals):
                 self.assertEqual(0, self.refused(seed, hears, UNREACHABLE_MAX))
 
     def test_refusals_are_told(self) -> None:
         """Each crashed engine is met by few requests, not by one of each gateway."""
         for seed in (1, 2):
-            told, untold = (self.refused(seed, h, 4) for h in (everything, no_refusals))
+            told, untold = (
+                self.refused(seed, h, 4) for h in (all_updates, no_refusals)
+            )
             self.assertTrue(10 * told < untold, (told, untold))
 
     def test_answers_stay_in_time(self) -> None:
-        world = World(2, 40, 8, 16, 1, everything)
-        world.crash(self.SHARE, 8000.0)
-        self.assertTrue(world.play(self.CALM).late(TARGET_MS) < 0.05)
+        world = Simulation(2, 40, 8, 16, 1, all_updates)
+        world.schedule_crashes(self.SHARE, 8000.0)
+        self.assertTrue(world.run(self.CALM).late_ratio(TARGET_MS) < 0.05)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -8,11 +8,11 @@
 from ashlatch.gateway.updates import EndpointReplaced, SessionMoved
 from tests import standin
 from tests.gateway import (
-    ASK_STREAM,
-    ASK_STREAMS,
     KEY,
+    STREAM_HEADER_VARIANTS,
+    STREAM_HEADERS,
     GatewayHarness,
-    ask,
+    build_request,
     hang,
 )
 from tests.standin import LAST_CHUNK, Received, StandIn, chunk, event, head
@@ -59,7 +59,9 @@
         )
 
         async def work() -> None:
-            status, got = await self.call(ask("/get/1?q=2", theirs, "POST", b"abc"))
+            status, got = await self.call(
+                build_request("/get/1?q=2", theirs, "POST", b"abc")
+            )
             self.assertEqual(200, status)
             self.assertIn(b"X-Server-Seal: seal", got)
             self.assertTrue(got.endswith(b"\r\n\r\nbody"))
@@ -82,13 +84,13 @@
 
     def test_refusals(self) -> None:
         async def work() -> None:
-            unknown = ask("/get/1").replace(b"key-1", b"key-2")
+            unknown = build_request("/get/1").replace(b"key-1", b"key-2")
             self.assertEqual(401, (await self.call(unknown))[0])
-            self.assertEqual(404, (await self.call(ask("/none/1")))[0])
-            keyless = ask("/open/1").replace(KEY.encode(), b"")
+            self.assertEqual(404, (await self.call(build_request("/none/1")))[0])
+            keyless = build_request("/open/1").replace(KEY.encode(), b"")
             self.assertEqual(200, (await self.call(keyless))[0])
             self.context.table = None
-            status, got = await self.call(ask("/get/1"))
+            status, got = await self.call(build_request("/get/1"))
             self.assertEqual(503, status)
             self.assertIn(b"Retry-After", got)
 
@@ -100,7 +102,7 @@
 
         async def work() -> None:
             for _ in range(12):
-                self.assertEqual(200, (await self.call(ask("/get/1")))[0])
+                self.assertEqual(200, (await self.call(build_request("/get/1")))[0])
 
         self.run_gateway([broken, sound], work)
         self.assertNotEqual([], broken.seen)
@@ -110,7 +112,9 @@
         broken = StandIn([reset])
 
         async def work() -> None:
-            status, got = await self.call(ask("/once/1", method="POST", body=b"x"))
+            status, got = await self.call(
+                build_request("/once/1", method="POST", body=b"x")
+            )
             self.assertEqual(502, status)
             self.assertNotIn(b"Retry-After", got)
 
@@ -122,7 +126,9 @@
         workers = [StandIn([full]) for _ in range(5)]
 
         async def work() -> None:
-            status, got = await self.call(ask("/once/1", method="POST", body=b"x"))
+            status, got = await self.call(
+                build_request("/once/1", method="POST", body=b"x")
+            )
             self.assertEqual(503, status)
             self.assertIn(b"Retry-After", got)
 
@@ -134,7 +140,7 @@
 
         async def work() -> None:
             for _ in range(4):
-                await self.call(ask("/get/1"))
+                await self.call(build_request("/get/1"))
 
         self.run_gateway(workers, work, extra=0.0)
         sent = sum(len(w.seen) for w in workers)
@@ -145,7 +151,9 @@
         other = StandIn([foreign, standin.answer()])
 
         async def work() -> None:
-            status, got = await self.call(ask("/once/1", method="POST", body=b"x"))
+            status, got = await self.call(
+                build_request("/once/1", method="POST", body=b"x")
+            )
             self.assertEqual(502, status)
             self.assertNotIn(b"not yours", got)
 
@@ -155,8 +163,8 @@
         worker = StandIn([surplus, standin.answer(b"second")])
 
         async def work() -> None:
-            self.assertEqual(200, (await self.call(ask("/get/1")))[0])
-            _, got = await self.call(ask("/get/2"))
+            self.assertEqual(200, (await self.call(build_request("/get/1")))[0])
+            _, got = await self.call(build_request("/get/2"))
             self.assertTrue(got.endswith(b"second"))
 
         self.run_gateway([worker], work)
@@ -167,7 +175,7 @@
 
         async def work() -> None:
             for _ in range(5):
-                await self.call(ask("/get/1"))
+                await self.call(build_request("/get/1"))
 
         self.run_gateway([worker], work)
         self.assertEqual(1, worker.connections)
@@ -176,7 +184,9 @@
         worker = StandIn([unframed_reset])
 
         async def work() -> None:
-            status, got = await self.call(ask("/once/1", method="POST", body=b"x"))
+            status, got = await self.call(
+                build_request("/once/1", method="POST", body=b"x")
+            )
             self.assertEqual(502, status)
             self.assertNotIn(b"half", got)
 
@@ -187,8 +197,8 @@
         sound = StandIn([standin.stream(5)])
 
         async def work() -> None:
-            for asked in ASK_STREAMS:
-                status, got = await self.call(ask("/stream/1", asked, "POST"))
+            for asked in STREAM_HEADER_VARIANTS:
+                status, got = await self.call(build_request("/stream/1", asked, "POST"))
                 self.assertEqual(200, status)
                 ids = [n for n in range(1, 9) if f"id: {n}\n".encode() in got]
                 self.assertEqual([1, 2, 3, 4, 5], ids)
@@ -209,8 +219,8 @@
         sound = StandIn([anew])
 
         async def work() -> None:
-            for asked in ASK_STREAMS:
-                _, got = await self.call(ask("/stream/1", asked, "POST"))
+            for asked in STREAM_HEADER_VARIANTS:
+                _, got = await self.call(build_request("/stream/1", asked, "POST"))
                 self.assertEqual(5, got.count(b"data: piece"))
 
         self.run_gateway([cut, sound], work)
@@ -220,7 +230,7 @@
         cut = StandIn([cut_within_event])
 
         async def work() -> None:
-            _, got = await self.call(ask("/stream/1", ASK_STREAM, "POST"))
+            _, got = await self.call(build_request("/stream/1", STREAM_HEADERS, "POST"))
             self.assertFalse(got.endswith(LAST_CHUNK))
 
         self.run_gateway([cut], work)
@@ -231,7 +241,9 @@
         worker = StandIn([unsure, sure])
 
         async def work() -> None:
-            status, got = await self.call(ask("/stream/1", ASK_STREAM, "POST"))
+            status, got = await self.call(
+                build_request("/stream/1", STREAM_HEADERS, "POST")
+            )
             self.assertEqual(200, status)
             self.assertIn(b"X-Confidence: 90", got)
             self.assertEqual(3, got.count(b"data: piece"))
@@ -251,7 +263,7 @@
         other = StandIn([slow])
 
         async def work() -> None:
-            self.assertEqual(200, (await self.call(ask("/get/1")))[0])
+            self.assertEqual(200, (await self.call(build_request("/get/1")))[0])
 
         self.run_gateway([worker, other], work, extra=0.0)
         self.assertEqual(1, len(worker.seen) + len(other.seen))
@@ -262,7 +274,7 @@
 
         async def work() -> None:
             for _ in range(6):
-                self.assertEqual(200, (await self.call(ask("/get/1")))[0])
+                self.assertEqual(200, (await self.call(build_request("/get/1")))[0])
 
         self.run_gateway([silent, sound], work)
         self.assertNotEqual([], silent.seen)
@@ -272,7 +284,7 @@
 
         async def work() -> None:
             _, writer = await asyncio.open_connection("127.0.0.1", self.port)
-            writer.write(ask("/once/1", method="POST", body=b"x"))
+            writer.write(build_request("/once/1", method="POST", body=b"x"))
             await asyncio.sleep(0.15)
             self.assertEqual(1, worker.open)
             writer.close()
@@ -288,7 +300,9 @@
         async def work() -> None:
             loop = asyncio.get_running_loop()
             begun_s = loop.time()
-            status, _ = await self.call(ask("/once/1", method="POST", body=b"x"))
+            status, _ = await self.call(
+                build_request("/once/1", method="POST", body=b"x")
+            )
             self.assertIn(status, (502, 504))
             self.assertTrue(1.3 < loop.time() - begun_s < 1.9)
 
@@ -309,7 +323,7 @@
             await (low if small else full)(request, writer)
 
         async def work() -> None:
-            status, _ = await self.call(ask("/stream/1", ASK_STREAM))
+            status, _ = await self.call(build_request("/stream/1", STREAM_HEADERS))
             self.assertEqual(502, status)
 
         self.run_gateway([StandIn([by_model])], work)
@@ -340,7 +354,7 @@
             told: list[object] = []
             self.context.broadcast = told.append
             for _ in range(6):
-                status, _ = await self.call(ask("/stream/1", ASK_STREAM))
+                status, _ = await self.call(build_request("/stream/1", STREAM_HEADERS))
                 self.assertEqual(200, status)
             turned_away = [
                 r
@@ -368,7 +382,7 @@
             stage = RolloutStage.LOAD_TEST
             self.context.versions.learn([Rollout("app", "v2", stage, 0.1, 1, 1000.0)])
             for _ in range(2):
-                await self.call(ask("/stream/1", ASK_STREAM))
+                await self.call(build_request("/stream/1", STREAM_HEADERS))
             moves = [n for n in told if isinstance(n, SessionMoved)]
             self.assertEqual([SessionMoved("app", "s1", "v2")], moves)
 
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -11,33 +11,33 @@
 from tests.fleet import METRICS_PORT, Fleet, wait_for
 
 # A gateway looks every 1 to 3 s whether it can go back to its hall.
-BACK_S = 10.0
+RETURN_S = 10.0
 WATCHED_S = 1.5
 
 
-class NearCoreVmTest(testtools.TestCase):
+class LocalCoreVmTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.fleet = Fleet()
         self.addCleanup(self.fleet.close)
-        self.near, *far = self.fleet.hosts
+        self.local_core, *far = self.fleet.hosts
         self.gateway = f"{self.fleet.net}.20"
-        self.fleet.halls = {self.near: "north", self.gateway: "north"}
+        self.fleet.halls = {self.local_core: "north", self.gateway: "north"}
         self.fleet.halls |= dict.fromkeys(far, "south")
         self.fleet.found()
         self.fleet.acknowledged(3)
         self.fleet.start_gateway(self.gateway)
 
-    def asked(self, place: str) -> int:
+    def sync_requests(self, place: str) -> int:
         return self.fleet.counted(self.gateway, f"question_{place}_hall")
 
-    def asks_only_near(self) -> bool:
+    def syncs_only_locally(self) -> bool:
         """Whether no question has crossed for a while, and some have stayed."""
-        other, own = self.asked("other"), self.asked("own")
+        other, own = self.sync_requests("other"), self.sync_requests("own")
         time.sleep(WATCHED_S)
-        return self.asked("other") == other and self.asked("own") > own
+        return self.sync_requests("other") == other and self.sync_requests("own") > own
 
-    def in_force(self) -> int:
+    def configuration_version(self) -> int:
         text = self.fleet.call(self.gateway, "GET", "/metrics", port=METRICS_PORT)[
             1
         ].decode()
@@ -47,15 +47,25 @@
 
     def test_asks_in_its_hall_and_goes_on_without_it(self) -> None:
         fleet = self.fleet
-        wait_for(lambda: self.in_force() == 3, "the first configuration", BACK_S)
-        wait_for(self.asks_only_near, "questions stay in the hall", BACK_S)
-        fleet.processes[self.near].kill()
+        wait_for(
+            lambda: self.configuration_version() == 3,
+            "the first configuration",
+            RETURN_S,
+        )
+        wait_for(self.syncs_only_locally, "questions stay in the hall", RETURN_S)
+        fleet.processes[self.local_core].kill()
         fleet.acknowledged(4, fleet.hosts[1:])
-        wait_for(lambda: self.in_force() == 4, "a far core VM's news", BACK_S)
-        far = self.asked("other")
+        wait_for(
+            lambda: self.configuration_version() == 4, "a far core VM's news", RETURN_S
+        )
+        far = self.sync_requests("other")
         time.sleep(WATCHED_S)
-        self.assertTrue(self.asked("other") > far)
-        fleet.start_core(self.near)
-        wait_for(self.asks_only_near, "questions stay in the hall again", BACK_S)
+        self.assertTrue(self.sync_requests("other") > far)
+        fleet.start_core(self.local_core)
+        wait_for(self.syncs_only_locally, "questions stay in the hall again", RETURN_S)
         fleet.acknowledged(5)
-        wait_for(lambda: self.in_force() == 5, "news of the near core VM", BACK_S)
+        wait_for(
+            lambda: self.configuration_version() == 5,
+            "news of the near core VM",
+            RETURN_S,
+        )
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -29,8 +29,8 @@
 from tests.standin import StandIn, answer
 
 FIRST = Endpoint("i-1", "app", "10.0.0.1:80", "hall-1", "v1", 8, False, 1000)
-LATER = msgspec.structs.replace(FIRST, started_unix_ms=2000)
-UNTOLD = msgspec.structs.replace(FIRST, started_unix_ms=0)
+RESTARTED = msgspec.structs.replace(FIRST, started_unix_ms=2000)
+WITHOUT_START = msgspec.structs.replace(FIRST, started_unix_ms=0)
 PARTS = (PromptPart("aa", 4000),)
 
 
@@ -38,7 +38,7 @@
     return EndpointList(1, number, endpoints)
 
 
-def busy(state: EndpointState) -> None:
+def fill_state(state: EndpointState) -> None:
     """Beliefs of each kind about an endpoint."""
     state.apply_load(LoadFigures(8, 3, 8), 0.0)
     state.advertised_load.heard(4, 0.0)
@@ -61,30 +61,30 @@
 
     def test_a_later_life_is_believed_nothing_of(self) -> None:
         directory = self.directory(FIRST)
-        busy(self.state(directory))
-        directory.replace(listed(2, LATER), 0.0)
+        fill_state(self.state(directory))
+        directory.replace(listed(2, RESTARTED), 0.0)
         state = self.state(directory)
         self.assertEqual(["i-1"], self.ended)
         self.assertEqual((0.0, 0.0), (state.requests(0.0), state.failure_ratio))
         self.assertEqual(0.0, state.workload.left_ms(0.0))
 
     def test_the_same_life_goes_on(self) -> None:
-        for again in (FIRST, UNTOLD):
+        for again in (FIRST, WITHOUT_START):
             directory = self.directory(FIRST)
-            busy(self.state(directory))
+            fill_state(self.state(directory))
             directory.replace(listed(2, again), 0.0)
             self.assertEqual([], self.ended)
             self.assertEqual(11.0, self.state(directory).requests(0.0))
 
     def test_an_older_start_that_is_told_late_changes_nothing(self) -> None:
-        directory = self.directory(LATER)
-        busy(self.state(directory))
+        directory = self.directory(RESTARTED)
+        fill_state(self.state(directory))
         directory.replace(listed(2, FIRST), 0.0)
         state = self.state(directory)
         self.assertEqual([], self.ended)
         self.assertEqual(11.0, state.requests(0.0))
         self.assertEqual(2000, state.endpoint.started_unix_ms)
-        directory.replace(listed(3, LATER), 0.0)
+        directory.replace(listed(3, RESTARTED), 0.0)
         self.assertEqual([], self.ended)
 
     starts = st.lists(st.integers(min_value=0, max_value=5), min_size=1, max_size=20)
@@ -96,7 +96,7 @@
         directory = self.directory(msgspec.structs.replace(FIRST, started_unix_ms=1))
         newest = 1
         for number, start in enumerate(starts):
-            busy(self.state(directory))
+            fill_state(self.state(directory))
             told = msgspec.structs.replace(FIRST, started_unix_ms=start)
             directory.replace(listed(number + 2, told), 0.0)
             state = self.state(directory)
@@ -106,17 +106,17 @@
             self.assertEqual(newest, state.endpoint.started_unix_ms)
 
 
-class EndedTest(GatewayHarness):
+class ProcessEndedTest(GatewayHarness):
     """Nobody listens at an address: whatever comes back there has begun anew."""
 
-    def play(
+    def run_and_end(
         self, end: Callable[[GatewayContext, EndpointState], None]
     ) -> GatewayContext:
         async def work() -> None:
             known = self.context
             state = known.directory.state("i-0")
             assert state is not None
-            busy(state)
+            fill_state(state)
             now_ms = asyncio.get_running_loop().time() * 1000.0
             known.prefix_caches.record_prefill("i-0", "small", PARTS, 400_000, now_ms)
             self.assertEqual(
@@ -136,14 +136,14 @@
         def end(known: GatewayContext, state: EndpointState) -> None:
             note_refusal(known, state, asyncio.get_running_loop().time() * 1000.0)
 
-        self.play(end)
+        self.run_and_end(end)
 
     def test_told_by_another_gateway(self) -> None:
         def end(known: GatewayContext, state: EndpointState) -> None:
             data = encode(EndpointRefuses("i-0"))
             PeerProtocol(known).datagram_received(data, ("10.0.0.9", 7000))
 
-        self.play(end)
+        self.run_and_end(end)
 
     def test_reads_of_the_life_that_has_ended_are_not_believed(self) -> None:
         """They are on their way through the core for up to a second."""
@@ -161,4 +161,4 @@
             note_refusal(known, state, now_ms)
             news.apply_prefills(reply)
 
-        self.play(end)
+        self.run_and_end(end)
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -10,23 +10,23 @@
 from ashlatch.http.upstream import CONNECT_TIMED_OUT, ConnectFailed, Upstream
 from ashlatch.platform.document import decode_catalog
 from tests import standin
-from tests.gateway import ASK_STREAM, GatewayHarness, ask, hang
+from tests.gateway import STREAM_HEADERS, GatewayHarness, build_request, hang
 from tests.standin import StandIn
 
 # Longer than any wait of these tests, so that a route's target ends none.
 TARGET_MS = 2400
-LEFT_WITHIN_S = 1.8
+ABANDONED_WITHIN_S = 1.8
 
 
-def failing(reason: str) -> Callable[[str, float], Awaitable[Upstream]]:
+def refuse_with(reason: str) -> Callable[[str, float], Awaitable[Upstream]]:
     async def connect(address: str, timeout_s: float) -> Upstream:
         raise ConnectFailed(address, reason)
 
     return connect
 
 
-class SilenceWatchTest(GatewayHarness):
-    def watched(self, reason: str, progress: bool = False) -> EndpointState:
+class LivenessProberTest(GatewayHarness):
+    def probe(self, reason: str, progress: bool = False) -> EndpointState:
         """An endpoint with one silent request, after a second of watching."""
 
         async def run() -> EndpointState:
@@ -37,7 +37,7 @@
             loop = asyncio.get_running_loop()
             state.sent(loop.time() * 1000.0)
             watch = asyncio.create_task(
-                LivenessProber(directory, failing(reason)).run()
+                LivenessProber(directory, refuse_with(reason)).run()
             )
             for _ in range(10):
                 await asyncio.sleep(0.1)
@@ -49,15 +49,15 @@
         return asyncio.run(run())
 
     def test_a_vm_that_takes_no_connection_has_gone(self) -> None:
-        self.assertTrue(self.watched(CONNECT_TIMED_OUT).breaker.open)
+        self.assertTrue(self.probe(CONNECT_TIMED_OUT).breaker.open)
 
     def test_a_refusal_comes_from_a_vm_that_is_there(self) -> None:
-        self.assertFalse(self.watched("ConnectionRefusedError").breaker.open)
+        self.assertFalse(self.probe("ConnectionRefusedError").breaker.open)
 
     def test_what_sends_is_not_probed(self) -> None:
-        self.assertFalse(self.watched(CONNECT_TIMED_OUT, progress=True).breaker.open)
+        self.assertFalse(self.probe(CONNECT_TIMED_OUT, progress=True).breaker.open)
 
-    def took_s(self, asked: bytes, reason: str) -> tuple[int, float]:
+    def status_and_time(self, asked: bytes, reason: str) -> tuple[int, float]:
         """Status and time of a request whose first endpoint falls silent."""
         silent, other = StandIn([hang]), StandIn([standin.answer(), standin.stream(3)])
         other.scripts = [
@@ -75,7 +75,7 @@
                 if state.endpoint.instance == "i-1":
                     state.load.in_flight = 1
                     state.last_progress_ms = float("inf")
-            watch = LivenessProber(self.context.directory, failing(reason))
+            watch = LivenessProber(self.context.directory, refuse_with(reason))
             task = asyncio.create_task(watch.run())
             loop = asyncio.get_running_loop()
             begun_s = loop.time()
@@ -87,20 +87,27 @@
         self.assertEqual(1, len(silent.seen))
         return result[0]
 
-    def patient(self, path: str, extra: str = "") -> bytes:
-        return ask(path, extra).replace(b"Ms: 1500", b"Ms: 3500")
+    def request_with_timeout(self, path: str, extra: str = "") -> bytes:
+        return build_request(path, extra).replace(b"Ms: 1500", b"Ms: 3500")
 
     def test_requests_at_a_vm_that_has_gone_go_elsewhere(self) -> None:
-        for asked in (self.patient("/get/1"), self.patient("/stream/1", ASK_STREAM)):
-            status, took_s = self.took_s(asked, CONNECT_TIMED_OUT)
+        for asked in (
+            self.request_with_timeout("/get/1"),
+            self.request_with_timeout("/stream/1", STREAM_HEADERS),
+        ):
+            status, took_s = self.status_and_time(asked, CONNECT_TIMED_OUT)
             self.assertEqual(200, status)
-            self.assertTrue(took_s < LEFT_WITHIN_S, took_s)
+            self.assertTrue(took_s < ABANDONED_WITHIN_S, took_s)
 
     def test_requests_at_a_slow_endpoint_wait(self) -> None:
-        _, took_s = self.took_s(self.patient("/get/1"), "ConnectionResetError")
-        self.assertTrue(took_s > LEFT_WITHIN_S, took_s)
+        _, took_s = self.status_and_time(
+            self.request_with_timeout("/get/1"), "ConnectionResetError"
+        )
+        self.assertTrue(took_s > ABANDONED_WITHIN_S, took_s)
 
     def test_what_may_not_be_repeated_waits(self) -> None:
-        status, took_s = self.took_s(self.patient("/once/1"), CONNECT_TIMED_OUT)
+        status, took_s = self.status_and_time(
+            self.request_with_timeout("/once/1"), CONNECT_TIMED_OUT
+        )
         self.assertNotEqual(200, status)
-        self.assertTrue(took_s > LEFT_WITHIN_S, took_s)
+        self.assertTrue(took_s > ABANDONED_WITHIN_S, took_s)
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -15,7 +15,7 @@
 from ashlatch.http.upstream import CONNECT_TIMED_OUT, ConnectFailed, Upstream
 from ashlatch.platform.document import decode_catalog
 from tests import standin
-from tests.gateway import GatewayHarness, ask
+from tests.gateway import GatewayHarness, build_request
 
 # An address at which nobody answers, nor refuses: packets to it are dropped.
 DARK = "198.51.100.1:80"
@@ -60,7 +60,7 @@
             self.context.directory.replace(EndpointList(1, 2, endpoints), 0.0)
             loop = asyncio.get_running_loop()
             begun_s = loop.time()
-            status, _ = await self.call(ask("/once/1", method="POST"))
+            status, _ = await self.call(build_request("/once/1", method="POST"))
             self.assertEqual(200, status)
             self.assertTrue(loop.time() - begun_s < 0.3)
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -22,16 +22,16 @@
 from tests.system import HOST, free_port
 from tests.test_forecast import gateway_knowledge
 
-ARRIVES_S = 0.1
+DELIVERY_S = 0.1
 
 
-class GatewayPeersTest(testtools.TestCase):
+class PeerProtocolTest(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.teller = gateway_knowledge()
-        self.hearer = gateway_knowledge()
+        self.sender = gateway_knowledge()
+        self.receiver = gateway_knowledge()
 
-    def with_sockets(self, work: Callable[[PeerProtocol], Awaitable[None]]) -> None:
+    def run_with_sockets(self, work: Callable[[PeerProtocol], Awaitable[None]]) -> None:
         """Two gateways that know each other, and a third that is not there."""
 
         async def run() -> None:
@@ -40,7 +40,7 @@
                 for hall in ("here", "there", "here")
             )
             peers = []
-            for known, own in zip((self.teller, self.hearer), gateways, strict=False):
+            for known, own in zip((self.sender, self.receiver), gateways, strict=False):
                 known.gateways = gateways
                 peers.append(PeerProtocol(known))
                 await peers[-1].start(own)
@@ -58,22 +58,22 @@
             peers.broadcast(PromptSent("i-far", 800.0))
             peers.broadcast(PromptSent("i-farther", 5.0))
             peers.broadcast(PromptSent("i-unknown", 800.0))
-            await asyncio.sleep(ARRIVES_S)
+            await asyncio.sleep(DELIVERY_S)
             now_ms = asyncio.get_running_loop().time() * 1000.0
-            states = self.hearer.directory.all()
+            states = self.receiver.directory.all()
             left_ms = [s.workload.left_ms(now_ms) for s in states]
             self.assertTrue(800.0 < left_ms[1] <= 1000.0, left_ms)
             self.assertEqual([0.0, 0.0], [left_ms[0], left_ms[2]])
             peers.broadcast(PromptSent("i-near", 800.0))
-            await asyncio.sleep(ARRIVES_S)
+            await asyncio.sleep(DELIVERY_S)
             now_ms = asyncio.get_running_loop().time() * 1000.0
-            near = self.hearer.directory.state("i-near")
+            near = self.receiver.directory.state("i-near")
             assert near is not None
             self.assertTrue(500.0 < near.workload.left_ms(now_ms) <= 800.0)
-            own = [s.workload.left_ms(now_ms) for s in self.teller.directory.all()]
+            own = [s.workload.left_ms(now_ms) for s in self.sender.directory.all()]
             self.assertEqual([0.0, 0.0, 0.0], own)
 
-        self.with_sockets(work)
+        self.run_with_sockets(work)
 
     def test_a_relay_tells_its_hall_once(self) -> None:
         """A prompt crosses to one gateway of a hall, and reaches all of them."""
@@ -91,7 +91,7 @@
                 await peers[-1].start(own)
             for _ in range(3):
                 peers[0].broadcast(PromptSent("i-far", 1000.0))
-            await asyncio.sleep(ARRIVES_S)
+            await asyncio.sleep(DELIVERY_S)
             now_ms = asyncio.get_running_loop().time() * 1000.0
             for known in knowns[1:]:
                 state = known.directory.state("i-far")
@@ -107,7 +107,7 @@
 
     def test_moved_sessions(self) -> None:
         """The hearer keeps the session that was told, and no other, on its version."""
-        versions = self.hearer.versions
+        versions = self.receiver.versions
         stage = RolloutStage.SETTLE
         versions.learn([Rollout("app", "v2", stage, 0.0, 1, 1000.0)])
         states = [
@@ -117,57 +117,57 @@
 
         async def work(peers: PeerProtocol) -> None:
             peers.broadcast(SessionMoved("app", "s1", "v2"))
-            await asyncio.sleep(ARRIVES_S)
+            await asyncio.sleep(DELIVERY_S)
             now_ms = asyncio.get_running_loop().time() * 1000.0
             for session, version in (("s1", "v2"), ("s2", "v1")):
                 allowed = versions.allowed("app", session, "r", states, now_ms)
                 found = [state.endpoint.version for state in allowed.states]
                 self.assertEqual([version], found)
 
-        self.with_sockets(work)
+        self.run_with_sockets(work)
 
     def test_replaced_endpoints(self) -> None:
         async def work(peers: PeerProtocol) -> None:
             peers.broadcast(EndpointReplaced("i-near"))
-            await asyncio.sleep(ARRIVES_S)
+            await asyncio.sleep(DELIVERY_S)
             now_ms = asyncio.get_running_loop().time() * 1000.0
             replaced = [
-                s.recently_replaced(now_ms) for s in self.hearer.directory.all()
+                s.recently_replaced(now_ms) for s in self.receiver.directory.all()
             ]
             self.assertEqual([True, False, False], replaced)
             later_ms = now_ms + REPLACED_MS
             replaced = [
-                s.recently_replaced(later_ms) for s in self.hearer.directory.all()
+                s.recently_replaced(later_ms) for s in self.receiver.directory.all()
             ]
             self.assertEqual([False, False, False], replaced)
 
-        self.with_sockets(work)
+        self.run_with_sockets(work)
 
     def test_endpoints_that_refuse_are_left(self) -> None:
         async def work(peers: PeerProtocol) -> None:
             peers.broadcast(EndpointRefuses("i-far"))
-            await asyncio.sleep(ARRIVES_S)
+            await asyncio.sleep(DELIVERY_S)
             now_ms = asyncio.get_running_loop().time() * 1000.0
-            states = list(self.hearer.directory.all())
+            states = list(self.receiver.directory.all())
             allowed = [s.breaker.allows(now_ms) for s in states]
             self.assertEqual([True, False, True], allowed)
             self.assertFalse(states[1].record_refusal(now_ms))
             self.assertTrue(states[1].record_refusal(now_ms + BREAKER_OPEN_MS))
 
-        self.with_sockets(work)
+        self.run_with_sockets(work)
 
     def test_a_taken_port_hinders_nothing(self) -> None:
         async def run() -> None:
             taken = GatewayVm(f"{HOST}:{free_port()}", "here")
-            first, second = PeerProtocol(self.teller), PeerProtocol(self.hearer)
+            first, second = PeerProtocol(self.sender), PeerProtocol(self.receiver)
             await first.start(taken)
             await second.start(taken)
-            self.hearer.gateways = (taken, GatewayVm("127.0.0.1:1", "here"))
+            self.receiver.gateways = (taken, GatewayVm("127.0.0.1:1", "here"))
             second.broadcast(PromptSent("i-near", 800.0))
 
         asyncio.run(run())
 
     def test_garbage_is_counted(self) -> None:
-        peers = PeerProtocol(self.hearer)
+        peers = PeerProtocol(self.receiver)
         peers.datagram_received(b"\xc1garbage", ("127.0.0.1", 1))
-        self.assertIn("datagrams_unreadable_total 1", self.hearer.metrics.text())
+        self.assertIn("datagrams_unreadable_total 1", self.receiver.metrics.text())
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -33,7 +33,7 @@
 from ashlatch.platform.headers import decode_answer
 from ashlatch.policy.rate_limit import NO_LIMIT, Sharers
 from tests.fleet import READY_PORT, Fleet, wait_for
-from tests.gateway import GatewayHarness, ask
+from tests.gateway import GatewayHarness, build_request
 from tests.limited import LimitedEndpoint, allowed, most_within
 
 
@@ -67,7 +67,7 @@
 
         async def work() -> None:
             for number in range(60):
-                status, _ = await self.call(ask(f"/get/{number}"))
+                status, _ = await self.call(build_request(f"/get/{number}"))
                 self.assertEqual(200, status)
                 await asyncio.sleep(0.05)
 
@@ -102,7 +102,7 @@
     def test_repeats_after_an_error(self) -> None:
         """The first endpoint fails each request; the repeats keep the limit too."""
         failing, limited = LimitedEndpoint(status=500), LimitedEndpoint(1.0)
-        self.play([failing, limited], [ask(f"/get/{n}") for n in range(60)])
+        self.play([failing, limited], [build_request(f"/get/{n}") for n in range(60)])
         self.assertTrue(most_within(limited.came_s) <= allowed(1.0))
 
     def test_a_silent_endpoint_is_not_left_for_a_limited_one(self) -> None:
@@ -117,7 +117,7 @@
             state.limit.set_rate(5.0, Sharers(), 0.0, now_ms)
 
         self.prepare = prepare  # type: ignore[method-assign]
-        self.assertEqual([200], self.play([silent, limited], [ask("/get/1")]))
+        self.assertEqual([200], self.play([silent, limited], [build_request("/get/1")]))
         self.assertEqual((1, 0), (len(silent.came_s), len(limited.came_s)))
 
     def test_nothing_has_room(self) -> None:
@@ -127,7 +127,7 @@
 
         async def work() -> None:
             for number in range(20):
-                answers.append(await self.call(ask(f"/get/{number}")))
+                answers.append(await self.call(build_request(f"/get/{number}")))
 
         self.run_gateway([limited.worker], work)
         refused = [answer for status, answer in answers if status == 503]
@@ -151,7 +151,7 @@
             self.context.versions.learn([trial])
 
         self.prepare = prepare  # type: ignore[method-assign]
-        one_id = ask("/get/1")
+        one_id = build_request("/get/1")
         data = [one_id.replace(b"Id: r1", f"Id: r{n}".encode()) for n in range(60)]
         statuses = self.play([new, old], data)
         self.assertEqual({200}, set(statuses))
--- a/tests/test_recipients.py
+++ b/tests/test_recipients.py
@@ -22,7 +22,7 @@
 LONG_MS, MIDDLE_MS, SHORT_MS = 900.0, 100.0, 5.0
 
 
-def audience(
+def recipients_of(
     read_ms: float,
     engine_hall: str = "north",
     gateways: tuple[GatewayVm, ...] = GATEWAYS,
@@ -31,9 +31,9 @@
     return prompt_recipients(read_ms, engine_hall, OWN, gateways, random.Random(seed))
 
 
-class AudienceTest(testtools.TestCase):
+class RecipientsTest(testtools.TestCase):
     def test_a_long_prompt_crosses_once_for_each_hall(self) -> None:
-        told = audience(LONG_MS)
+        told = recipients_of(LONG_MS)
         self.assertEqual(35, len(told.direct))
         self.assertEqual({"north"}, {g.hall for g in told.direct})
         self.assertNotIn(OWN, told.direct)
@@ -42,27 +42,27 @@
         )
 
     def test_another_prompt_concerns_two_halls(self) -> None:
-        self.assertEqual((), audience(MIDDLE_MS).relays)
-        far = audience(MIDDLE_MS, "east")
+        self.assertEqual((), recipients_of(MIDDLE_MS).relays)
+        far = recipients_of(MIDDLE_MS, "east")
         self.assertEqual(35, len(far.direct))
         self.assertEqual(["east"], [g.hall for g in far.relays])
 
     def test_a_short_one_concerns_nobody(self) -> None:
-        self.assertEqual(Recipients(), audience(SHORT_MS, "east"))
+        self.assertEqual(Recipients(), recipients_of(SHORT_MS, "east"))
 
     def test_every_gateway_relays_its_share(self) -> None:
         """One that has died takes no more than that with it."""
         drawn = Counter(
             relay.address
             for seed in range(4000)
-            for relay in audience(MIDDLE_MS, "east", seed=seed).relays
+            for relay in recipients_of(MIDDLE_MS, "east", seed=seed).relays
         )
         self.assertEqual(HALLS["east"], len(drawn))
         self.assertTrue(max(drawn.values()) < 4000 / HALLS["east"] * 1.5, drawn)
 
     def test_halls_with_one_gateway_and_with_none(self) -> None:
         alone = (OWN, GatewayVm("10.9.0.1:7000", "island"))
-        told = audience(LONG_MS, "island", alone)
+        told = recipients_of(LONG_MS, "island", alone)
         self.assertEqual(Recipients((), alone[1:]), told)
-        self.assertEqual(Recipients(), audience(LONG_MS, "nowhere", (OWN,)))
-        self.assertEqual(Recipients(), audience(LONG_MS, "north", ()))
+        self.assertEqual(Recipients(), recipients_of(LONG_MS, "nowhere", (OWN,)))
+        self.assertEqual(Recipients(), recipients_of(LONG_MS, "north", ()))
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -6,7 +6,7 @@
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.platform.document import decode_catalog
 from tests import standin
-from tests.gateway import ASK_STREAM, GatewayHarness, ask
+from tests.gateway import STREAM_HEADERS, GatewayHarness, build_request
 from tests.standin import Received, StandIn
 
 REGIONS = {"hall-1": "north", "hall-2": "south", "hall-3": "west"}
@@ -45,7 +45,7 @@
         async def work() -> None:
             self.bind(route, organisation)
             for _ in range(20):
-                self.assertEqual(200, (await self.call(ask("/get/1")))[0])
+                self.assertEqual(200, (await self.call(build_request("/get/1")))[0])
 
         self.run_gateway(self.workers, work)
         return [len(worker.seen) for worker in self.workers]
@@ -62,7 +62,7 @@
     def refused(self, route: list[str], organisation: list[str]) -> None:
         async def work() -> None:
             self.bind(route, organisation)
-            status, got = await self.call(ask("/once/1", method="POST"))
+            status, got = await self.call(build_request("/once/1", method="POST"))
             self.assertEqual(503, status)
             self.assertIn(b"no_endpoint_in_region", got)
             self.assertIn(b"Retry-After", got)
@@ -81,7 +81,7 @@
         async def work() -> None:
             self.bind(["north"], [])
             self.context.regions = {}
-            self.assertEqual(503, (await self.call(ask("/get/1")))[0])
+            self.assertEqual(503, (await self.call(build_request("/get/1")))[0])
 
         self.run_gateway(self.workers, work)
         self.assertEqual([], [seen for w in self.workers for seen in w.seen])
@@ -92,7 +92,7 @@
 
         async def work() -> None:
             self.bind(["south"], [])
-            await self.call(ask("/stream/1", ASK_STREAM))
+            await self.call(build_request("/stream/1", STREAM_HEADERS))
 
         self.run_gateway(self.workers, work)
         self.assertTrue(self.workers[1].seen)
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -65,7 +65,7 @@
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 from tests import standin
 from tests.fleet import PORTS, READY_PORT, Fleet, wait_for
-from tests.gateway import ASK_STREAM, GatewayHarness, ask
+from tests.gateway import STREAM_HEADERS, GatewayHarness, build_request
 from tests.session_play import Load, SessionWorld
 from tests.standin import Received, StandIn
 
@@ -198,7 +198,9 @@
         async def work() -> None:
             running = Rollout("app", "v2", RolloutStage.SETTLE, 0.0, 1, DURATION_MS)
             self.context.versions.learn([running])
-            call = asyncio.ensure_future(self.call(ask("/stream/1", ASK_STREAM)))
+            call = asyncio.ensure_future(
+                self.call(build_request("/stream/1", STREAM_HEADERS))
+            )
             while not worker.seen:
                 await asyncio.sleep(0.01)
             peers = PeerProtocol(self.context)
--- a/tests/test_traffic_counts.py
+++ b/tests/test_traffic_counts.py
@@ -6,7 +6,7 @@
 from ashlatch.metrics import Metrics
 
 
-class HallTrafficTest(testtools.TestCase):
+class TrafficCounterTest(testtools.TestCase):
     def test_what_crosses_is_told_from_what_stays(self) -> None:
         metrics = Metrics()
         traffic = TrafficCounter("here", metrics)
