--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -10,11 +10,12 @@
 from collections.abc import Awaitable, Callable
 from pathlib import PurePath
 
+from tests.stub_server import StubServer
+
 from bench.table import row, title
 from tests import stub_server
 from tests.fleet import FRONT_PORT, READY_PORT, Fleet, wait_for
-from tests.gateway import GatewayHarness, ask
-from tests.stub_server import StubServer
+from tests.gateway import GatewayHarness, build_request
 
 REQUESTS = 1500
 AT_ONCE = 4
@@ -33,7 +34,7 @@
 
 async def calls(address: tuple[str, int], path: str, count: int) -> None:
     """Requests on kept connections, some at once."""
-    raw = ask(path, HEADERS if path.startswith("/stream") else "")
+    raw = build_request(path, HEADERS if path.startswith("/stream") else "")
 
     async def caller(share: int) -> None:
         reader, writer = await asyncio.open_connection(*address)
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -33,7 +33,7 @@
 from ashlatch.policy.endpoint import rank
 from ashlatch.policy.permission import DenialReason
 from tests.fleet import READY_PORT, Fleet, wait_for
-from tests.gateway import ASK_STREAM, GatewayHarness, ask
+from tests.gateway import STREAM_HEADERS, GatewayHarness, build_request
 from tests.shedding import WITHIN_BACKOFF_MAX, SheddingEndpoint
 
 
@@ -46,7 +46,7 @@
 
         async def work() -> None:
             for number in range(int(length_s * 20)):
-                status, _ = await self.call(ask(f"/get/{number}"))
+                status, _ = await self.call(build_request(f"/get/{number}"))
                 statuses.append(status)
                 await asyncio.sleep(0.05)
 
@@ -103,7 +103,8 @@
         failing = StubServer([answer_with(status=500)])
         shedding = SheddingEndpoint("3")
         self.send_requests(
-            [failing, shedding.worker], [ask(f"/get/{number}") for number in range(30)]
+            [failing, shedding.worker],
+            [build_request(f"/get/{number}") for number in range(30)],
         )
         self.assertEqual(1, len(shedding.arrivals))
 
@@ -123,7 +124,7 @@
 
         small.scripts = [shed_soon]
         answers = self.send_requests(
-            [small], [ask("/stream/1", ASK_STREAM, "POST")], prepare
+            [small], [build_request("/stream/1", STREAM_HEADERS, "POST")], prepare
         )
         self.assertEqual([200], [status for status, _ in answers])
         self.assertEqual(1, len(small.requests))
@@ -146,7 +147,9 @@
             self.state("i-2").breaker.trip(self.now_ms())
 
         answers = self.send_requests(
-            [first, second, third], [ask("/stream/1", ASK_STREAM, "POST")], prepare
+            [first, second, third],
+            [build_request("/stream/1", STREAM_HEADERS, "POST")],
+            prepare,
         )
         self.assertEqual([200], [status for status, _ in answers])
         self.assertEqual((0, 1), (len(second.requests), len(third.requests)))
@@ -165,11 +168,11 @@
 
         async def work() -> None:
             self.state("i-1").breaker.trip(self.now_ms())
-            await self.call(ask("/get/1"))
+            await self.call(build_request("/get/1"))
             # As if the second endpoint had been chosen just before the first answer.
             self.state("i-0").backoff, backoff = Backoff(), self.state("i-0").backoff
             self.state("i-1").breaker.trip(self.now_ms())
-            second = asyncio.create_task(self.call(ask("/get/2")))
+            second = asyncio.create_task(self.call(build_request("/get/2")))
             await asyncio.sleep(0.1)
             self.state("i-0").backoff = backoff
             status, _ = await second
@@ -197,7 +200,7 @@
             self.state(tested).backoff.record_request(5000.0, self.now_ms())
 
         answers = self.send_requests(
-            workers, [ask(f"/get/{n}") for n in range(5)], prepare
+            workers, [build_request(f"/get/{n}") for n in range(5)], prepare
         )
         self.assertEqual([200] * 5, [status for status, _ in answers])
         # No other endpoint is tested in its place: all gateways test the same one.
@@ -208,7 +211,9 @@
         endpoints = [SheddingEndpoint("3"), SheddingEndpoint("1.5")]
         workers = [e.worker for e in endpoints]
         begun_s = time.monotonic()
-        answers = self.send_requests(workers, [ask(f"/get/{n}") for n in range(10)])
+        answers = self.send_requests(
+            workers, [build_request(f"/get/{n}") for n in range(10)]
+        )
         took_s = time.monotonic() - begun_s
         self.assertEqual({503}, {status for status, _ in answers})
         self.assertEqual(2, sum(len(e.arrivals) for e in endpoints))
@@ -235,7 +240,7 @@
             self.state("i-0").backoff.record_request(3000.0, self.now_ms())
 
         ((status, text),) = self.send_requests(
-            workers, [ask("/get/1", "Session: s1\r\n")], prepare
+            workers, [build_request("/get/1", "Session: s1\r\n")], prepare
         )
         self.assertEqual(503, status)
         wait_s = float(text.partition(b"Retry-After: ")[2].partition(b"\r")[0])
@@ -247,11 +252,11 @@
         other = SheddingEndpoint(sheds=False)
 
         async def work() -> None:
-            await self.call(ask("/get/1"))
-            await self.call(ask("/get/2"))
+            await self.call(build_request("/get/1"))
+            await self.call(build_request("/get/2"))
             await asyncio.sleep(0.4)
             arrivals = len(shedding.arrivals)
-            calls = (self.call(ask(f"/get/{n}")) for n in range(20))
+            calls = (self.call(build_request(f"/get/{n}")) for n in range(20))
             statuses = {status for status, _ in await asyncio.gather(*calls)}
             self.assertEqual({200}, statuses)
             self.assertTrue(len(shedding.arrivals) - arrivals <= 1)
@@ -260,7 +265,7 @@
 
     def test_the_load_in_a_refusal_is_ignored(self) -> None:
         shedding = SheddingEndpoint("1")
-        answers = self.send_requests([shedding.worker], [ask("/get/1")])
+        answers = self.send_requests([shedding.worker], [build_request("/get/1")])
         self.assertEqual([503], [status for status, _ in answers])
         self.assertIs(None, self.state("i-0").load.report)
 
@@ -270,7 +275,7 @@
 
         async def work() -> None:
             self.state("i-1").breaker.trip(self.now_ms())
-            await self.call(ask("/get/1"))
+            await self.call(build_request("/get/1"))
             self.state("i-1").breaker.record_success()
             listed = tuple(state.endpoint for state in self.context.directory.all())
             for number, endpoints in enumerate((listed[1:], listed)):
@@ -278,7 +283,9 @@
                     EndpointList(1, 2 + number, endpoints), self.now_ms()
                 )
             for number in range(10):
-                self.assertEqual(200, (await self.call(ask(f"/get/{number}")))[0])
+                self.assertEqual(
+                    200, (await self.call(build_request(f"/get/{number}")))[0]
+                )
 
         self.run_gateway([shedding.worker, other.worker], work)
         self.assertEqual(1, len(shedding.arrivals))
--- a/tests/test_crash_load.py
+++ b/tests/test_crash_load.py
@@ -24,7 +24,7 @@
 
 from ashlatch.codec import encode
 from ashlatch.gateway.traffic import TrafficKind
-from tests.engines import World
+from tests.engines import Simulation
 
 SEEDS = range(1, 6)
 SMALL = (7, 5)
@@ -79,7 +79,7 @@
 
     def test_all_gateways_quarantine_it(self) -> None:
         async def run() -> None:
-            world = World(self.HALLS, self.GATEWAYS_PER_HALL, 1, 16, 1)
+            world = Simulation(self.HALLS, self.GATEWAYS_PER_HALL, 1, 16, 1)
             first = world.gateways[0]
             for number in range(CRASHES_MAX):
                 at_ms = AT_MS + 2000 * number
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -34,7 +34,7 @@
 from tests import stub_server
 from tests.crashing import CRASHING_BODY, CrashingEngine, CrashLog
 from tests.fleet import FRONT_PORT, READY_PORT, Fleet, wait_for
-from tests.gateway import ASK_STREAM, GatewayHarness, ask
+from tests.gateway import STREAM_HEADERS, GatewayHarness, build_request
 
 # The bound set by users: three crashes, and this many sends after them, counted from
 # the time by which all connected VMs must know.
@@ -68,7 +68,7 @@
                 for e in engines
             )
             self.context.directory.replace(EndpointList(1, 2, endpoints), 0.0)
-            crashing = ask(path, ASK_STREAM, "POST", CRASHING_BODY)
+            crashing = build_request(path, STREAM_HEADERS, "POST", CRASHING_BODY)
             for number in range(tries):
                 own_id = f"X-Attempt-Id: r{number}".encode()
                 data = crashing.replace(b"X-Attempt-Id: r1", own_id)
@@ -118,8 +118,8 @@
                 self.context.quarantine.record_crash(
                     fingerprint, f"i-{number}", 0, at_ms
                 )
-            self.assertEqual(503, (await self.call(ask("/get/1")))[0])
-            self.assertEqual(200, (await self.call(ask("/get/2")))[0])
+            self.assertEqual(503, (await self.call(build_request("/get/1")))[0])
+            self.assertEqual(200, (await self.call(build_request("/get/2")))[0])
 
         self.run_gateway([StubServer([stub_server.answer_with()])], work)
 
@@ -135,7 +135,7 @@
 
         async def work() -> None:
             for _ in range(4):
-                self.assertEqual(502, (await self.call(ask("/get/1")))[0])
+                self.assertEqual(502, (await self.call(build_request("/get/1")))[0])
             self.assertEqual(12, sum(len(worker.requests) for worker in workers))
 
         self.run_gateway(workers, work)
@@ -159,13 +159,13 @@
             )
             only_bad = EndpointList(1, 2, (crashing_endpoint,))
             self.context.directory.replace(only_bad, 0.0)
-            self.assertEqual(502, (await self.call(ask("/get/1")))[0])
+            self.assertEqual(502, (await self.call(build_request("/get/1")))[0])
             self.assertEqual(1, len(self.context.quarantine.unconfirmed()))
             healthy = Endpoint(
                 "i-0", "app", healthy_worker.address, "hall-1", "v1", 8, False
             )
             self.context.directory.replace(EndpointList(1, 3, (healthy,)), 0.0)
-            self.assertEqual(200, (await self.call(ask("/get/1")))[0])
+            self.assertEqual(200, (await self.call(build_request("/get/1")))[0])
             (record,) = self.context.quarantine.unconfirmed()
             self.assertEqual((), record.counted_crashes)
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -32,7 +32,7 @@
 from ashlatch.platform.headers import decode_answer
 from ashlatch.policy.rate_limit import NO_LIMIT, LimitSharing
 from tests.fleet import READY_PORT, Fleet, wait_for
-from tests.gateway import GatewayHarness, ask
+from tests.gateway import GatewayHarness, build_request
 from tests.limited import LimitedEndpoint, allowed, most_within
 
 
@@ -66,7 +66,7 @@
 
         async def work() -> None:
             for number in range(60):
-                status, _ = await self.call(ask(f"/get/{number}"))
+                status, _ = await self.call(build_request(f"/get/{number}"))
                 self.assertEqual(200, status)
                 await asyncio.sleep(0.05)
 
@@ -104,7 +104,9 @@
     def test_repeats_after_an_error(self) -> None:
         """The first endpoint fails each request; repeats are limited too."""
         failing, limited = LimitedEndpoint(status=500), LimitedEndpoint(1.0)
-        self.send_requests([failing, limited], [ask(f"/get/{n}") for n in range(60)])
+        self.send_requests(
+            [failing, limited], [build_request(f"/get/{n}") for n in range(60)]
+        )
         self.assertTrue(most_within(limited.arrivals_s) <= allowed(1.0))
 
     def test_a_silent_endpoint_is_not_abandoned_for_a_limited_one(self) -> None:
@@ -120,7 +122,9 @@
             state.limit.set_rate(5.0, LimitSharing(), 0.0, now_ms)
 
         self.prepare = prepare  # type: ignore[method-assign]
-        self.assertEqual([200], self.send_requests([silent, limited], [ask("/get/1")]))
+        self.assertEqual(
+            [200], self.send_requests([silent, limited], [build_request("/get/1")])
+        )
         self.assertEqual((1, 0), (len(silent.arrivals_s), len(limited.arrivals_s)))
 
     def test_no_endpoint_has_capacity(self) -> None:
@@ -130,7 +134,7 @@
 
         async def work() -> None:
             for number in range(20):
-                answers.append(await self.call(ask(f"/get/{number}")))
+                answers.append(await self.call(build_request(f"/get/{number}")))
 
         self.run_gateway([limited.worker], work)
         refused = [answer for status, answer in answers if status == 503]
@@ -154,7 +158,7 @@
             self.context.versions.apply_rollouts([trial])
 
         self.prepare = prepare  # type: ignore[method-assign]
-        request = ask("/get/1")
+        request = build_request("/get/1")
         requests = [request.replace(b"Id: r1", f"Id: r{n}".encode()) for n in range(60)]
         statuses = self.send_requests([new, old], requests)
         self.assertEqual({200}, set(statuses))
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -65,7 +65,7 @@
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 from tests import stub_server
 from tests.fleet import PORTS, READY_PORT, Fleet, wait_for
-from tests.gateway import ASK_STREAM, GatewayHarness, ask
+from tests.gateway import STREAM_HEADERS, GatewayHarness, build_request
 
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
 OLD = Endpoint("i-1", "app", "127.0.0.1:1", "hall-1", "v1", 8, False)
@@ -200,7 +200,9 @@
         async def work() -> None:
             running = Rollout("app", "v2", RolloutStage.SETTLE, 0.0, 1, DURATION_MS)
             self.context.versions.apply_rollouts([running])
-            call = asyncio.ensure_future(self.call(ask("/stream/1", ASK_STREAM)))
+            call = asyncio.ensure_future(
+                self.call(build_request("/stream/1", STREAM_HEADERS))
+            )
             while not worker.requests:
                 await asyncio.sleep(0.01)
             peers = PeerProtocol(self.context)
