--- a/tests/engines.py
+++ b/tests/engines.py
@@ -1,9 +1,9 @@
-"""Model engines and the gateways before them, in one process and in virtual time.
+"""Simulates model engines and gateways in one process and in virtual time.
 
-Gateways choose by the product's own code, each with its own knowledge, and hear
-each other's datagrams. An engine reads one prompt after another, runs as many
-requests at once as it has places and tells its load with each answer. Putting back
-running requests, memory that runs out and faults are not modelled.
+Gateways choose by the product's code, each with its own state, and receive each other's
+datagrams. An engine prefills one prompt after another, runs as many requests at once as
+it has slots and reports its load with each answer. Preemption of running requests, full
+memory and faults are not modelled.
 """
 
 import asyncio
@@ -34,16 +34,18 @@
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 from tests.standin import document, encoded, engine_service
 
-# How long it takes to learn that nobody listens.
+# The time until a connection to a crashed engine is refused.
 CONNECT_MS = 2.0
 MODEL = "large"
-MEMORY_TOKENS = 400_000
+CACHE_TOKENS = 400_000
 
 
 @dataclass(frozen=True)
 class LoadProfile:
-    """What is asked of a fleet: `hot_share` of the requests are about one subject,
-    the others about one of `subjects`; each is answered for `held_ms`.
+    """The load on a fleet.
+
+    `hot_share` of the requests are about one subject, the others about one of
+    `subjects`; each is answered for `answer_ms`.
     """
 
     requests_per_s: float
@@ -58,7 +60,7 @@
 
 @dataclass
 class Engine:
-    """One engine: what runs, what waits for a place, when it has read all."""
+    """One engine: requests that run and that wait for a slot, and when prefills end."""
 
     slots: int
     running: int = 0
@@ -69,18 +71,18 @@
     crashed: bool = False
 
     def crash(self) -> None:
-        """Its process ends; what it ran is not followed."""
+        """Ends its process; requests that ran there are not tracked further."""
         self.crashed = True
 
     def figures(self) -> LoadFigures:
-        """Its load, as it tells it."""
+        """Returns the load that it reports."""
         return LoadFigures(self.running, len(self.waiting), self.slots)
 
 
 @dataclass(frozen=True)
 class Result:
-    """When each answer began, after its request came; sends of each engine; how
-    many requests were refused, as they met too many crashed engines.
+    """When each answer began after its request, the sends to each engine, and how many
+    requests were refused because they reached too many crashed engines.
     """
 
     first_ms: tuple[float, ...]
@@ -88,12 +90,12 @@
     refused: int
 
     def late_ratio(self, target_ms: float) -> float:
-        """The share of answers that began after the target."""
+        """Returns the share of answers that began after the target."""
         return sum(ms > target_ms for ms in self.first_ms) / len(self.first_ms)
 
 
 class Simulation:
-    """Gateways and engines of some halls; `hears` drops news that it refuses."""
+    """Gateways and engines of some halls; `accepts` filters the updates delivered."""
 
     TOKEN_MS = 0.03
 
@@ -104,7 +106,7 @@
         engines_each: int,
         slots: int,
         seed: int,
-        accepts: Callable[[PeerUpdate], bool] = lambda news: True,
+        accepts: Callable[[PeerUpdate], bool] = lambda update: True,
     ) -> None:
         self._random = random.Random(seed)
         self._accepts = accepts
@@ -141,7 +143,7 @@
         listed: EndpointList,
         seed: int,
     ) -> GatewayContext:
-        known = GatewayContext(
+        context = GatewayContext(
             vm.hall,
             vm.address,
             VersionChooser(SessionVersions(5000.0)),
@@ -149,35 +151,35 @@
             BudgetTerms(0.9, 50.0, 10_000.0),
             generator=random.Random(f"{vm.address} {seed}"),
         )
-        known.table = table
-        known.gateways = vms
-        known.directory.replace(listed, 0.0)
+        context.table = table
+        context.gateways = vms
+        context.directory.replace(listed, 0.0)
         for n in range(20):
-            known.latency_model.began(
+            context.latency_model.began(
                 "app", MODEL, 5000, 5000 * self.TOKEN_MS, float(n)
             )
-        peers = PeerProtocol(known)
+        peers = PeerProtocol(context)
         peers._local = vm
         peers._transport = cast(Any, self)
-        known.broadcast = peers.broadcast
+        context.broadcast = peers.broadcast
         self._peers[vm.address] = peers
-        return known
+        return context
 
     # The network.
 
     def sendto(self, data: bytes, to: tuple[str, int]) -> None:
-        """Bring a datagram to a gateway, at once."""
+        """Delivers a datagram to a gateway at once."""
         self.datagrams += 1
         if self._accepts(decode(data, PeerUpdate)):
             self._peers[f"{to[0]}:{to[1]}"].datagram_received(data, to)
 
     # Time.
 
-    def _schedule(self, at_ms: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (at_ms, next(self._sequence), what))
+    def _schedule(self, at_ms: float, event: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (at_ms, next(self._sequence), event))
 
     def schedule_crashes(self, share: float, at_ms: float) -> None:
-        """Let a share of the engines crash; no list says so."""
+        """Schedules crashes of a share of the engines; the list does not show them."""
         names = self._random.sample(
             sorted(self.engines), int(share * len(self.engines))
         )
@@ -185,7 +187,7 @@
             self._schedule(at_ms, self.engines[name].crash)
 
     def run(self, load: LoadProfile, unreachable_max: int = UNREACHABLE_MAX) -> Result:
-        """Play a load to its end; a request gives up after so many crashed engines."""
+        """Runs a load; a request is refused after `unreachable_max` crashed engines."""
         self._unreachable_max = unreachable_max
 
         async def run() -> None:
@@ -207,13 +209,13 @@
             at_ms += self._random.expovariate(load.requests_per_s) * 1000.0
             self._schedule(at_ms, lambda: self._start_request(load))
         while self._events:
-            self.now_ms, _, what = heapq.heappop(self._events)
-            what()
+            self.now_ms, _, event = heapq.heappop(self._events)
+            event()
 
     # One request.
 
     def _start_request(self, load: LoadProfile) -> None:
-        known = self._random.choice(self.gateways)
+        context = self._random.choice(self.gateways)
         hot = self._random.random() < load.hot_share
         subject = "hot" if hot else f"s{self._random.randrange(load.subjects)}"
         parts = (
@@ -221,7 +223,7 @@
             PromptPart(f"own-{self.now_ms}", load.own_tokens),
         )
         tokens = load.subject_tokens + load.own_tokens
-        ask = CallerRequest(
+        caller_request = CallerRequest(
             f"r-{self.now_ms}",
             "POST",
             "/chat/1",
@@ -239,97 +241,98 @@
             "",
             "",
         )
-        self._attempt(known, ask, load, frozenset())
+        self._attempt(context, caller_request, load, frozenset())
 
     def _attempt(
         self,
-        known: GatewayContext,
-        ask: CallerRequest,
+        context: GatewayContext,
+        caller_request: CallerRequest,
         load: LoadProfile,
-        tried: frozenset[str],
+        attempted: frozenset[str],
     ) -> None:
-        """Choose an engine and send there; another one if nobody listens."""
-        assert known.table is not None
-        parts = ask.prompt_parts
-        states = list(known.directory.of_service("app"))
-        chosen = choose_endpoint(
-            known,
-            known.table.services["app"],
+        """Chooses an engine and sends there; tries another if the connection fails."""
+        assert context.table is not None
+        parts = caller_request.prompt_parts
+        states = list(context.directory.of_service("app"))
+        choice = choose_endpoint(
+            context,
+            context.table.services["app"],
             AllowedEndpoints(states, VersionReason.NO_ROLLOUT),
-            tried,
-            Send(ask, MODEL, load.target_ms),
+            attempted,
+            Send(caller_request, MODEL, load.target_ms),
             self.now_ms,
         )
-        assert chosen is not None and chosen.forecast is not None
-        state, read_ms = chosen.state, chosen.forecast.read_ms
+        assert choice is not None and choice.forecast is not None
+        state, read_ms = choice.state, choice.forecast.read_ms
         state.breaker.sent(self.now_ms)
         if self.engines[state.endpoint.instance].crashed:
-            self._connection_refused(known, ask, load, state, tried)
+            self._connection_refused(context, caller_request, load, state, attempted)
             return
         state.sent(self.now_ms)
         state.workload.add(read_ms, self.now_ms)
-        known.broadcast(PromptSent(state.endpoint.instance, round(read_ms, 1)))
-        known.prefix_caches.record_prefill(
-            state.endpoint.instance, MODEL, parts, MEMORY_TOKENS, self.now_ms
+        context.broadcast(PromptSent(state.endpoint.instance, round(read_ms, 1)))
+        context.prefix_caches.record_prefill(
+            state.endpoint.instance, MODEL, parts, CACHE_TOKENS, self.now_ms
         )
-        self._send(known, state, parts, load)
+        self._send(context, state, parts, load)
 
     def _connection_refused(
         self,
-        known: GatewayContext,
-        ask: CallerRequest,
+        context: GatewayContext,
+        caller_request: CallerRequest,
         load: LoadProfile,
         state: EndpointState,
-        tried: frozenset[str],
+        attempted: frozenset[str],
     ) -> None:
         state.failed(self.now_ms, unreachable=True)
         if state.record_refusal(self.now_ms):
-            known.broadcast(EndpointRefuses(state.endpoint.instance))
-        tried |= {state.endpoint.instance}
-        if len(tried) >= self._unreachable_max:
+            context.broadcast(EndpointRefuses(state.endpoint.instance))
+        attempted |= {state.endpoint.instance}
+        if len(attempted) >= self._unreachable_max:
             self.refused += 1
             return
         self._schedule(
-            self.now_ms + CONNECT_MS, lambda: self._attempt(known, ask, load, tried)
+            self.now_ms + CONNECT_MS,
+            lambda: self._attempt(context, caller_request, load, attempted),
         )
 
     def _send(
         self,
-        known: GatewayContext,
+        context: GatewayContext,
         state: EndpointState,
         parts: tuple[PromptPart, ...],
         load: LoadProfile,
     ) -> None:
         engine = self.engines[state.endpoint.instance]
         engine.sends += 1
-        came_ms = self.now_ms
+        received_ms = self.now_ms
 
-        def begin() -> None:
+        def start() -> None:
             engine.running += 1
-            subject, own = parts
-            tokens = own.tokens + subject.tokens * (
+            subject, request_part = parts
+            tokens = request_part.tokens + subject.tokens * (
                 subject.part_id not in engine.cached
             )
             engine.cached.add(subject.part_id)
             engine.prefill_until_ms = max(engine.prefill_until_ms, self.now_ms)
             engine.prefill_until_ms += tokens * self.TOKEN_MS
-            self._schedule(engine.prefill_until_ms, first)
+            self._schedule(engine.prefill_until_ms, first_byte)
 
-        def first() -> None:
-            self.first_ms.append(self.now_ms - came_ms)
+        def first_byte() -> None:
+            self.first_ms.append(self.now_ms - received_ms)
             figures = engine.figures()
             state.apply_load(figures, self.now_ms)
-            broadcast_load(known, state, figures, self.now_ms)
+            broadcast_load(context, state, figures, self.now_ms)
             self._schedule(self.now_ms + load.answer_ms, end)
 
         def end() -> None:
             engine.running -= 1
             state.load.finished(self.now_ms, None)
-            known.latency_model.ended("app", self.now_ms - came_ms)
+            context.latency_model.ended("app", self.now_ms - received_ms)
             if engine.waiting:
                 engine.waiting.popleft()()
 
         if engine.running < engine.slots:
-            begin()
+            start()
         else:
-            engine.waiting.append(begin)
+            engine.waiting.append(start)
--- a/tests/gateway.py
+++ b/tests/gateway.py
@@ -1,4 +1,4 @@
-"""A gateway in the test's own loop, before stand-ins of endpoints."""
+"""A gateway in the test's own event loop, with stand-ins for endpoints."""
 
 import asyncio
 import random
@@ -41,7 +41,7 @@
     "X-Model: *\r\nX-Token-Count: 100,50\r\nX-Prompt-Prefix: aa:50,bb:50\r\n"
     "Session: s1\r\n"
 )
-# Requests about different subjects, so that each endpoint is asked first for some.
+# Requests about different subjects, so that each endpoint is chosen first for some.
 STREAM_HEADER_VARIANTS = tuple(
     STREAM_HEADERS.replace("bb:", f"b{n}:") for n in range(8)
 )
@@ -78,7 +78,7 @@
             runner.run(run())
 
     def build_context(self, workers: list[StandIn], extra: float) -> GatewayContext:
-        known = GatewayContext(
+        context = GatewayContext(
             "hall-1",
             "vm-1",
             VersionChooser(SessionVersions(5000.0)),
@@ -86,24 +86,24 @@
             BudgetTerms(0.9, extra, 10_000.0),
             generator=random.Random(1),
         )
-        known.table = RouteTable(decode_catalog(standin.encoded(standin.document())))
+        context.table = RouteTable(decode_catalog(standin.encoded(standin.document())))
         endpoints = tuple(
             Endpoint(f"i-{n}", "app", w.address, "hall-1", "v1", 8, False)
             for n, w in enumerate(workers)
         )
-        known.directory.replace(EndpointList(1, 1, endpoints), 0.0)
-        return known
+        context.directory.replace(EndpointList(1, 1, endpoints), 0.0)
+        return context
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
-        asked = decode_ask(request)
-        admission = admit(self.context, asked)
+        caller_request = decode_ask(request)
+        admission = admit(self.context, caller_request)
         if isinstance(admission, Refused):
-            refuse(responder, asked.request_id, admission)
+            refuse(responder, caller_request.request_id, admission)
             return
         await Exchange(self.context, admission, responder).run()
 
     async def call(self, data: bytes) -> tuple[int, bytes]:
-        """One request on a connection of its own: status and whole rest."""
+        """Sends a request on its own connection; returns status and whole answer."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(data.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n", 1))
         try:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,11 +1,9 @@
-"""How many idle connections gateways keep to an endpoint that accepts so many from all.
+"""Tests how many idle connections gateways keep to an endpoint that limits them.
 
-Found by looking for other bounds that all gateways share on one endpoint, after
-`test_rate_limits`: operators say how many connections an endpoint accepts from all
-callers together, and it resets the rest; gateways read that and did nothing with it.
-After a burst one of ten gateways kept 20 idle connections to an endpoint that accepts
-50. Requests under way are bounded by what the endpoint tells of its load; idle
-connections are told by nobody.
+Operators configure how many connections an endpoint accepts from all callers together;
+it resets further ones. Gateways ignored that limit: after a burst, one of ten gateways
+kept 20 idle connections to an endpoint that accepts 50. Requests in flight are bounded
+by the load that the endpoint reports, but idle connections are reported by nobody.
 """
 
 import asyncio
@@ -24,13 +22,13 @@
 
 
 async def slow(request: Received, writer: asyncio.StreamWriter) -> None:
-    """Answer after half a second."""
+    """Answers after half a second."""
     await asyncio.sleep(0.5)
     writer.write(standin.whole(request, b"body"))
 
 
 class IdleConnectionsTest(GatewayHarness):
-    """One of ten gateways, and an endpoint that takes half a second for an answer."""
+    """One of ten gateways, and an endpoint that answers after half a second."""
 
     def prepare(self, gateways: int) -> None:
         services = [
@@ -43,9 +41,9 @@
         )
 
     def idle_after_burst(self, gateways: int) -> int:
-        """How many connections are left when all requests have been answered."""
+        """Returns the number of open connections after all requests were answered."""
         worker = StandIn([slow])
-        left = []
+        idle = []
 
         async def work() -> None:
             self.prepare(gateways)
@@ -53,17 +51,17 @@
             statuses = [status for status, _ in await asyncio.gather(*calls)]
             self.assertEqual([200] * REQUESTS, statuses)
             await asyncio.sleep(0.1)
-            left.append(worker.open)
+            idle.append(worker.open)
 
         self.run_gateway([worker], work)
-        return left[0]
+        return idle[0]
 
-    def test_no_more_than_its_part_is_kept_idle(self) -> None:
-        left = self.idle_after_burst(GATEWAYS)
-        self.assertTrue(0 < left <= SHARE, str(left))
+    def test_idle_connections_stay_within_the_share(self) -> None:
+        idle = self.idle_after_burst(GATEWAYS)
+        self.assertTrue(0 < idle <= SHARE, str(idle))
 
-    def test_one_is_kept_where_there_are_more_gateways_than_connections(self) -> None:
+    def test_one_connection_stays_with_more_gateways_than_connections(self) -> None:
         self.assertEqual(1, self.idle_after_burst(2 * CONNECTIONS_MAX))
 
-    def test_a_gateway_by_itself_keeps_them_all(self) -> None:
+    def test_a_single_gateway_keeps_all_connections(self) -> None:
         self.assertEqual(REQUESTS, self.idle_after_burst(1))
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -1,7 +1,7 @@
-"""Operators have a hall evacuated: nothing more is sent to its endpoints.
+"""Tests the evacuation of a hall: nothing more is sent to its endpoints.
 
-An evacuation was answered 404, so a hall that was about to be switched off kept its
-share of the requests, and operators sent the order again until they gave up.
+Guards against an evacuation that is answered 404: the hall about to be switched off kept
+its share of the requests, and operators repeated the command until they gave up.
 """
 
 import asyncio
@@ -58,7 +58,7 @@
         command: Command = SetEvacuation(hall, evacuated)
         return self.machine.apply(encode(command))
 
-    def test_orders_are_taken_once(self) -> None:
+    def test_commands_are_applied_once(self) -> None:
         self.assertEqual(Accepted(True), self.apply("b", True))
         self.assertEqual(Accepted(False), self.apply("b", True))
         self.assertEqual(Accepted(True), self.apply("a", True))
@@ -74,8 +74,8 @@
         other.restore(self.machine.snapshot())
         self.assertEqual(Evacuations(1, ("a",)), other.state.evacuations)
 
-    def test_a_snapshot_from_before_has_none(self) -> None:
-        """A core VM of the release before has left a snapshot without the field."""
+    def test_a_snapshot_of_an_older_release(self) -> None:
+        """A core VM of the previous release wrote a snapshot without the field."""
         old = msgspec.msgpack.decode(self.machine.snapshot())
         old.pop("evacuations")
         self.machine.restore(msgspec.msgpack.encode(old))
@@ -83,7 +83,7 @@
 
 
 class FakeFleet:
-    """Commits to a machine of its own, unless it has no leader."""
+    """Commits commands to its own state machine, unless it has no leader."""
 
     def __init__(self) -> None:
         self.machine = FleetMachine()
@@ -101,7 +101,7 @@
 
 
 class FakeResponder:
-    """A responder that keeps the answer."""
+    """A responder that stores the answer."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -141,12 +141,12 @@
             self.assertEqual(200, self.call("POST", f"{FINISH}hall-1")[0])
             self.assertEqual((), self.halls())
 
-    def test_names_are_read_as_they_are_meant(self) -> None:
+    def test_hall_names_are_unquoted(self) -> None:
         self.assertEqual(200, self.call("POST", f"{BEGIN}hall%202")[0])
         self.assertEqual(("hall 2",), self.halls())
 
-    def test_a_hall_that_is_not_there(self) -> None:
-        """An acknowledged evacuation of a misspelt hall would empty nothing."""
+    def test_an_unknown_hall_is_refused(self) -> None:
+        """An acknowledged evacuation of a misspelt hall would have no effect."""
         for target in (f"{BEGIN}hall-3", BEGIN, f"{FINISH}hall-3"):
             self.assertEqual(404, self.call("POST", target)[0])
         self.assertEqual((), self.halls())
@@ -158,7 +158,7 @@
 
 
 class TableTest(testtools.TestCase):
-    """The product's own routers: an evacuation is a resource named by its hall."""
+    """Routers: an evacuation is a resource named by its hall."""
 
     def table(self, *evacuated: str) -> frozenset[str]:
         spec = {"pool": "p", "url": "http://10.0.0.1:80", "vm": "vm", "leaving": False}
@@ -172,18 +172,18 @@
     def spec(self, document: dict[str, object]) -> bytes:
         return msgspec.json.encode(document)
 
-    def test_its_endpoints_get_no_new_work(self) -> None:
+    def test_endpoints_get_no_new_requests(self) -> None:
         self.assertEqual(frozenset(), self.table())
         self.assertEqual({"e-b"}, self.table("b"))
         self.assertEqual({"e-a", "e-b"}, self.table("b", "a"))
 
 
 class SoftStateTest(testtools.TestCase):
-    def test_news_for_who_knows_less(self) -> None:
+    def test_only_newer_evacuations_are_sent(self) -> None:
         spread = Spread(CoreVm("a:1", "h"))
         state = FleetState(evacuations=Evacuations(2, ("h",)))
-        for known, expected in ((0, state.evacuations), (2, None)):
-            request = SyncRequest("g", (), 0, (0, 0), 0, 0.0, evacuations_known=known)
+        for number, expected in ((0, state.evacuations), (2, None)):
+            request = SyncRequest("g", (), 0, (0, 0), 0, 0.0, evacuations_known=number)
             reply = spread.reply(request, True, (), state)
             self.assertEqual(expected, reply.evacuations)
             self.assertEqual(expected is not None, has_news(reply))
@@ -200,38 +200,38 @@
         listed = (endpoint("i1", "a"), endpoint("i2", "b"), endpoint("i3", "b"))
         self.directory.replace(EndpointList(1, 1, listed), 0.0)
 
-    def open_endpoints(self) -> list[str]:
+    def allowed_endpoints(self) -> list[str]:
         states = self.directory.of_service("app")
         return [s.endpoint.instance for s in states if s.permission(0.0).granted]
 
-    def test_an_evacuated_hall_takes_no_work(self) -> None:
+    def test_an_evacuated_hall_gets_no_requests(self) -> None:
         self.assertTrue(self.directory.apply_evacuations(Evacuations(1, ("b",))))
-        self.assertEqual(["i1"], self.open_endpoints())
+        self.assertEqual(["i1"], self.allowed_endpoints())
         self.assertTrue(self.directory.apply_evacuations(Evacuations(2)))
-        self.assertEqual(["i1", "i2", "i3"], self.open_endpoints())
+        self.assertEqual(["i1", "i2", "i3"], self.allowed_endpoints())
 
-    def test_older_orders_change_nothing(self) -> None:
+    def test_older_evacuations_are_ignored(self) -> None:
         self.directory.apply_evacuations(Evacuations(4))
         self.assertFalse(self.directory.apply_evacuations(Evacuations(3, ("b",))))
-        self.assertEqual(["i1", "i2", "i3"], self.open_endpoints())
+        self.assertEqual(["i1", "i2", "i3"], self.allowed_endpoints())
 
-    def test_endpoints_that_are_listed_later(self) -> None:
-        """A release in an evacuated hall brings endpoints that nobody knew."""
+    def test_endpoints_listed_later_are_evacuated(self) -> None:
+        """A deployment in an evacuated hall adds endpoints that were not listed before."""
         self.directory.apply_evacuations(Evacuations(1, ("b",)))
         listed = (endpoint("i1", "a"), endpoint("i4", "b"))
         self.directory.replace(EndpointList(1, 2, listed), 0.0)
-        self.assertEqual(["i1"], self.open_endpoints())
+        self.assertEqual(["i1"], self.allowed_endpoints())
 
-    def test_before_any_list(self) -> None:
-        """A gateway that starts may hear of the order before the endpoints."""
+    def test_evacuation_before_the_first_list(self) -> None:
+        """A starting gateway may receive the evacuation before the endpoints."""
         directory = Directory()
         directory.apply_evacuations(Evacuations(1, ("b",)))
         directory.replace(EndpointList(1, 1, (endpoint("i2", "b"),)), 0.0)
         state = directory.state("i2")
         self.assertTrue(state is not None and not state.permission(0.0).granted)
 
-    def test_the_load_test_of_a_roll_out(self) -> None:
-        """It tests another endpoint, not the one that rendezvous hashing gives."""
+    def test_load_tests_avoid_evacuated_halls(self) -> None:
+        """A load test uses another endpoint than the one that rendezvous hashing gives."""
         listed = tuple(endpoint(f"i{n}", "b", "v2") for n in range(5, 9))
         stays = endpoint("i4", "a", "v2")
         self.directory.replace(EndpointList(1, 2, (*listed, stays)), 0.0)
@@ -265,8 +265,8 @@
 
 
 class RequestTest(GatewayHarness):
-    def test_what_only_an_evacuated_hall_serves(self) -> None:
-        """It is refused at once, with a time to come back, and has not run."""
+    def test_requests_that_only_an_evacuated_hall_serves(self) -> None:
+        """The request is refused at once, with a retry time, and has not run."""
         worker = standin.StandIn([standin.answer()])
 
         async def work() -> None:
@@ -280,7 +280,7 @@
         self.assertEqual([], worker.seen)
 
     def test_retries_and_resumed_streams(self) -> None:
-        """A hall is evacuated while the first answer there breaks off."""
+        """A hall is evacuated while the first answer from it breaks off."""
         first = standin.StandIn([self.evacuate_and_break])
         second = standin.StandIn([standin.stream(3)])
         third = standin.StandIn([standin.stream(3)])
@@ -309,7 +309,7 @@
             for n, (worker, hall) in enumerate(workers)
         )
         self.context.directory.replace(EndpointList(1, 2, endpoints), 0.0)
-        # Whoever is chosen first, it is the one that breaks.
+        # The endpoint that breaks off is chosen first.
         for state in self.context.directory.all():
             if state.endpoint.instance != "i-0":
                 state.workload.add(5000.0, asyncio.get_running_loop().time() * 1000.0)
@@ -331,32 +331,32 @@
         return self.fleet.call(self.gateway, "GET", at, port=READY_PORT)[0] == 200
 
     def send_command(self, target: str) -> None:
-        """Send an order to one core VM after another, until it is taken."""
+        """Sends a command to one core VM after another, until one accepts it."""
         hosts = self.fleet.hosts
 
-        def taken() -> bool:
+        def accepted() -> bool:
             calls = (self.fleet.call(host, "POST", target) for host in hosts)
             return any(status == 200 for status, _ in calls)
 
-        wait_for(taken, f"{target} acknowledged")
+        wait_for(accepted, f"{target} acknowledged")
 
     def halls(self, host: str) -> bytes:
         return self.fleet.call(host, "GET", "/-/Evacuations.Read")[1]
 
-    def test_in_force_and_over(self) -> None:
+    def test_begin_and_finish_take_effect(self) -> None:
         fleet = self.fleet
         self.assertEqual(200, fleet.ask(self.gateway))
         self.send_command(f"{BEGIN}hall-1")
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         wait_for(lambda: fleet.ask(self.gateway) == 503, "evacuated", 5.0)
-        self.assertTrue(time.monotonic() - begun_s < 1.0)
+        self.assertTrue(time.monotonic() - started_s < 1.0)
         log = fleet.processes[self.gateway]
-        wait_for(lambda: "reason=evacuated" in log.log, "told in the log", 2.0)
+        wait_for(lambda: "reason=evacuated" in log.log, "the refusal in the log", 2.0)
         self.send_command(f"{FINISH}hall-1")
         wait_for(lambda: fleet.ask(self.gateway) == 200, "over", 5.0)
 
-    def test_survives_the_loss_of_all(self) -> None:
-        """All processes are killed as soon as it is acknowledged."""
+    def test_survives_a_kill_of_all_processes(self) -> None:
+        """All processes are killed as soon as the command is acknowledged."""
         fleet = self.fleet
         self.send_command(f"{BEGIN}hall-1")
         for host in (*fleet.hosts, self.gateway):
@@ -368,8 +368,8 @@
         self.assertEqual(503, fleet.ask(self.gateway))
         wait_for(lambda: self.halls(fleet.hosts[0]) == b'{"halls":["hall-1"]}', "read")
 
-    def test_a_gateway_that_stood_still(self) -> None:
-        """It asks before it sends, as it does for a key that was taken away."""
+    def test_a_gateway_that_was_suspended(self) -> None:
+        """It syncs before it sends, as it does for a key that was removed."""
         fleet = self.fleet
         process = fleet.processes[self.gateway]
         process.signal(signal.SIGSTOP)
@@ -379,7 +379,7 @@
         self.assertEqual(503, fleet.ask(self.gateway))
         self.assertEqual([], fleet.platform.worker.seen)
 
-    def test_by_the_operators_command(self) -> None:
+    def test_operators_command(self) -> None:
         hosts = self.fleet.hosts
         servers = [f"--server=http://{host}:{OPERATOR_PORT}" for host in hosts]
 
@@ -391,14 +391,14 @@
         wait_for(lambda: ctl("finish", "hall-1").exit_code == 0, "finished")
         self.assertEqual("", ctl("list").output)
 
-    def test_through_the_kill_of_a_leader(self) -> None:
+    def test_commands_during_the_kill_of_a_leader(self) -> None:
         fleet = self.fleet
         leader = fleet.leader()
         self.send_command(f"{BEGIN}hall-1")
         fleet.processes[leader].kill()
         others = [host for host in fleet.hosts if host != leader]
-        told = b'{"halls":["hall-1"]}'
-        wait_for(lambda: all(self.halls(h) == told for h in others), "all read it")
+        expected = b'{"halls":["hall-1"]}'
+        wait_for(lambda: all(self.halls(h) == expected for h in others), "all read it")
         fleet.hosts = others
         self.send_command(f"{FINISH}hall-1")
         wait_for(lambda: self.halls(others[0]) == b'{"halls":[]}', "finished")
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""Tests of a gateway's requests, against stand-ins of the platform's endpoints."""
+"""Tests how a gateway handles requests, with stand-ins for the platform's endpoints."""
 
 import asyncio
 import socket
@@ -50,9 +50,9 @@
 
 
 class GatewayTest(GatewayHarness):
-    def test_headers(self) -> None:
+    def test_headers_sent_to_the_endpoint(self) -> None:
         worker = StandIn([standin.answer()])
-        theirs = (
+        caller_headers = (
             "X-Tenant: other\r\nX-Kv-Hold: a\r\nX-Pin-Ms: 9\r\nKv-From: b\r\n"
             "X-Kv-Backup: c\r\nX-Request-Priority: 0\r\nX-Expect-Instance: z\r\n"
             "X-Mine: kept\r\n"
@@ -60,7 +60,7 @@
 
         async def work() -> None:
             status, got = await self.call(
-                build_request("/get/1?q=2", theirs, "POST", b"abc")
+                build_request("/get/1?q=2", caller_headers, "POST", b"abc")
             )
             self.assertEqual(200, status)
             self.assertIn(b"X-Server-Seal: seal", got)
@@ -82,7 +82,7 @@
         absent = {"authorization", "x-kv-hold", "x-pin-ms", "kv-from", "x-kv-backup"}
         self.assertEqual(set(), absent & set(seen.headers))
 
-    def test_refusals(self) -> None:
+    def test_requests_that_are_refused(self) -> None:
         async def work() -> None:
             unknown = build_request("/get/1").replace(b"key-1", b"key-2")
             self.assertEqual(401, (await self.call(unknown))[0])
@@ -96,19 +96,19 @@
 
         self.run_gateway([StandIn([standin.answer()])], work)
 
-    def test_repeats(self) -> None:
+    def test_failed_requests_are_retried(self) -> None:
         broken = StandIn([reset])
-        sound = StandIn([standin.answer()])
+        healthy = StandIn([standin.answer()])
 
         async def work() -> None:
             for _ in range(12):
                 self.assertEqual(200, (await self.call(build_request("/get/1")))[0])
 
-        self.run_gateway([broken, sound], work)
+        self.run_gateway([broken, healthy], work)
         self.assertNotEqual([], broken.seen)
-        self.assertEqual(12, len(sound.seen))
+        self.assertEqual(12, len(healthy.seen))
 
-    def test_never_twice(self) -> None:
+    def test_non_repeatable_requests_are_sent_once(self) -> None:
         broken = StandIn([reset])
 
         async def work() -> None:
@@ -121,7 +121,7 @@
         self.run_gateway([broken], work)
         self.assertEqual(1, len(broken.seen))
 
-    def test_not_run_goes_elsewhere(self) -> None:
+    def test_requests_that_did_not_run_are_retried(self) -> None:
         full = standin.answer(b"", 503, "X-Not-Executed: 1")
         workers = [StandIn([full]) for _ in range(5)]
 
@@ -135,7 +135,7 @@
         self.run_gateway(workers, work)
         self.assertEqual(3, sum(len(w.seen) for w in workers))
 
-    def test_budget(self) -> None:
+    def test_retries_are_bounded_by_the_budget(self) -> None:
         workers = [StandIn([reset]) for _ in range(5)]
 
         async def work() -> None:
@@ -146,7 +146,7 @@
         sent = sum(len(w.seen) for w in workers)
         self.assertTrue(4 <= sent <= 4 + int(0.9 * 4), sent)
 
-    def test_foreign_answers(self) -> None:
+    def test_answers_of_other_requests_are_not_forwarded(self) -> None:
         worker = StandIn([foreign, standin.answer()])
         other = StandIn([foreign, standin.answer()])
 
@@ -159,7 +159,7 @@
 
         self.run_gateway([worker, other], work)
 
-    def test_surplus_ends_the_connection(self) -> None:
+    def test_surplus_bytes_close_the_connection(self) -> None:
         worker = StandIn([surplus, standin.answer(b"second")])
 
         async def work() -> None:
@@ -170,7 +170,7 @@
         self.run_gateway([worker], work)
         self.assertEqual(2, worker.connections)
 
-    def test_kept_connections(self) -> None:
+    def test_connections_are_reused(self) -> None:
         worker = StandIn([standin.answer(b"body", 200, "Keep-Alive: timeout=5")])
 
         async def work() -> None:
@@ -180,7 +180,7 @@
         self.run_gateway([worker], work)
         self.assertEqual(1, worker.connections)
 
-    def test_unframed_and_reset_is_not_whole(self) -> None:
+    def test_an_unframed_answer_that_is_reset_is_incomplete(self) -> None:
         worker = StandIn([unframed_reset])
 
         async def work() -> None:
@@ -192,41 +192,43 @@
 
         self.run_gateway([worker], work)
 
-    def test_stream_resumes(self) -> None:
+    def test_broken_streams_are_resumed(self) -> None:
         cut = StandIn([cut_within_event])
-        sound = StandIn([standin.stream(5)])
+        healthy = StandIn([standin.stream(5)])
 
         async def work() -> None:
-            for asked in STREAM_HEADER_VARIANTS:
-                status, got = await self.call(build_request("/stream/1", asked, "POST"))
+            for headers in STREAM_HEADER_VARIANTS:
+                status, got = await self.call(
+                    build_request("/stream/1", headers, "POST")
+                )
                 self.assertEqual(200, status)
                 ids = [n for n in range(1, 9) if f"id: {n}\n".encode() in got]
                 self.assertEqual([1, 2, 3, 4, 5], ids)
                 self.assertEqual(5, got.count(b"data: piece"))
                 self.assertTrue(got.endswith(LAST_CHUNK))
 
-        self.run_gateway([cut, sound], work)
-        resumed = [s for s in sound.seen if s.headers.get("last-event-id") == "2"]
+        self.run_gateway([cut, healthy], work)
+        resumed = [s for s in healthy.seen if s.headers.get("last-event-id") == "2"]
         self.assertNotEqual([], cut.seen)
         self.assertEqual(len(cut.seen), len(resumed))
 
-    def test_stream_begun_anew_passes_nothing_twice(self) -> None:
+    def test_restarted_streams_repeat_no_events(self) -> None:
         async def anew(request: Received, writer: asyncio.StreamWriter) -> None:
             request.headers.pop("last-event-id", None)
             await standin.stream(5)(request, writer)
 
         cut = StandIn([cut_within_event])
-        sound = StandIn([anew])
+        healthy = StandIn([anew])
 
         async def work() -> None:
-            for asked in STREAM_HEADER_VARIANTS:
-                _, got = await self.call(build_request("/stream/1", asked, "POST"))
+            for headers in STREAM_HEADER_VARIANTS:
+                _, got = await self.call(build_request("/stream/1", headers, "POST"))
                 self.assertEqual(5, got.count(b"data: piece"))
 
-        self.run_gateway([cut, sound], work)
+        self.run_gateway([cut, healthy], work)
         self.assertNotEqual([], cut.seen)
 
-    def test_stream_that_cannot_resume_seems_cut(self) -> None:
+    def test_a_stream_that_cannot_resume_ends_incomplete(self) -> None:
         cut = StandIn([cut_within_event])
 
         async def work() -> None:
@@ -235,7 +237,7 @@
 
         self.run_gateway([cut], work)
 
-    def test_larger_model(self) -> None:
+    def test_low_confidence_escalates_to_the_larger_model(self) -> None:
         unsure = standin.stream(3, "X-Confidence: 20")
         sure = standin.stream(3, "X-Confidence: 90")
         worker = StandIn([unsure, sure])
@@ -252,8 +254,8 @@
         models = [seen.headers["x-model"] for seen in worker.seen]
         self.assertEqual(["small", "large"], models)
 
-    def test_silence_alone_ends_nothing(self) -> None:
-        """Without a repeat to spend, the answer is waited for."""
+    def test_without_budget_a_slow_answer_is_awaited(self) -> None:
+        """Without budget for a retry, silence does not end an attempt."""
 
         async def slow(request: Received, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.9)
@@ -268,18 +270,18 @@
         self.run_gateway([worker, other], work, extra=0.0)
         self.assertEqual(1, len(worker.seen) + len(other.seen))
 
-    def test_a_silent_endpoint_is_left(self) -> None:
+    def test_requests_at_a_silent_endpoint_are_retried(self) -> None:
         silent = StandIn([hang])
-        sound = StandIn([standin.answer()])
+        healthy = StandIn([standin.answer()])
 
         async def work() -> None:
             for _ in range(6):
                 self.assertEqual(200, (await self.call(build_request("/get/1")))[0])
 
-        self.run_gateway([silent, sound], work)
+        self.run_gateway([silent, healthy], work)
         self.assertNotEqual([], silent.seen)
 
-    def test_caller_leaves(self) -> None:
+    def test_disconnected_callers_free_the_endpoint(self) -> None:
         worker = StandIn([hang])
 
         async def work() -> None:
@@ -294,7 +296,7 @@
 
         self.run_gateway([worker], work)
 
-    def test_held_no_longer_than_allowed(self) -> None:
+    def test_the_callers_timeout_is_kept(self) -> None:
         worker = StandIn([hang])
 
         async def work() -> None:
@@ -310,10 +312,10 @@
 
 
 class DroppedAnswerTest(GatewayHarness):
-    def test_what_has_run_is_not_said_not_to_have(self) -> None:
-        """The small model's answer is dropped for the large one's, which is refused.
+    def test_a_request_that_ran_is_not_reported_as_not_run(self) -> None:
+        """The small model's answer is dropped, and the large model refuses the request.
 
-        The answer was a 503 on the code before, a promise that nothing has run.
+        Guards against a 503 in this case: it promises that nothing has run.
         """
         low = standin.stream(3, "X-Confidence: 20")
         full = standin.answer(b"", 503, "X-Not-Executed: full")
@@ -330,11 +332,11 @@
 
 
 class MisdirectedTest(GatewayHarness):
-    def test_an_address_that_another_endpoint_has(self) -> None:
-        """Two engines of three are replaced: the request is served all the same.
+    def test_replaced_engines_are_tried_once(self) -> None:
+        """Requests are served although two of three engines were replaced.
 
-        It has climbed to the large model by then, so two of three attempts are
-        taken, and each of the replaced engines is asked once.
+        The request has escalated to the large model before, so one of three attempts is
+        used, and each of the replaced engines receives it once at most.
         """
         turned = standin.answer(b"", 421)
         low = standin.stream(3, "X-Confidence: 20")
@@ -351,39 +353,39 @@
         workers = [StandIn([small_only]), StandIn([small_only]), StandIn([by_model])]
 
         async def work() -> None:
-            told: list[object] = []
-            self.context.broadcast = told.append
+            updates: list[object] = []
+            self.context.broadcast = updates.append
             for _ in range(6):
                 status, _ = await self.call(build_request("/stream/1", STREAM_HEADERS))
                 self.assertEqual(200, status)
-            turned_away = [
+            rejected = [
                 r
                 for w in workers[:2]
                 for r in w.seen
                 if r.headers["x-model"] != "small"
             ]
-            self.assertTrue(len(turned_away) <= 2, len(turned_away))
-            replaced = [n for n in told if isinstance(n, EndpointReplaced)]
-            self.assertEqual(len(turned_away), len(replaced))
+            self.assertTrue(len(rejected) <= 2, len(rejected))
+            replaced = [n for n in updates if isinstance(n, EndpointReplaced)]
+            self.assertEqual(len(rejected), len(replaced))
 
         self.run_gateway(workers, work)
 
 
 class LoadTestSessionsTest(GatewayHarness):
-    def test_other_gateways_are_told_of_moved_sessions(self) -> None:
-        """The session's next request may come by another gateway."""
+    def test_moved_sessions_are_broadcast(self) -> None:
+        """The session's next request may arrive at another gateway."""
         worker = StandIn([standin.stream(2, "X-Confidence: 90")])
 
         async def work() -> None:
-            told: list[object] = []
-            self.context.broadcast = told.append
+            updates: list[object] = []
+            self.context.broadcast = updates.append
             moved = Endpoint("i-0", "app", worker.address, "hall-1", "v2", 8, False)
             self.context.directory.replace(EndpointList(1, 2, (moved,)), 0.0)
             stage = RolloutStage.LOAD_TEST
             self.context.versions.learn([Rollout("app", "v2", stage, 0.1, 1, 1000.0)])
             for _ in range(2):
                 await self.call(build_request("/stream/1", STREAM_HEADERS))
-            moves = [n for n in told if isinstance(n, SessionMoved)]
-            self.assertEqual([SessionMoved("app", "s1", "v2")], moves)
+            moved_updates = [n for n in updates if isinstance(n, SessionMoved)]
+            self.assertEqual([SessionMoved("app", "s1", "v2")], moved_updates)
 
         self.run_gateway([worker], work)
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -1,7 +1,7 @@
-"""A gateway and core VMs of two halls as real processes.
+"""Tests a gateway and core VMs of two halls as real processes.
 
-What was seen: with 195 gateways in five halls, two thirds of the bytes between halls
-were copies of what the core tells every gateway.
+Guards against excess traffic between halls: with 195 gateways in five halls, two thirds
+of the bytes between halls were copies of what the core sends to every gateway.
 """
 
 import time
@@ -10,7 +10,7 @@
 
 from tests.fleet import METRICS_PORT, Fleet, wait_for
 
-# A gateway looks every 1 to 3 s whether it can go back to its hall.
+# A gateway tries every 1 to 3 s to return to a core VM of its hall.
 RETURN_S = 10.0
 WATCHED_S = 1.5
 
@@ -20,22 +20,25 @@
         super().setUp()
         self.fleet = Fleet()
         self.addCleanup(self.fleet.close)
-        self.local_core, *far = self.fleet.hosts
+        self.local_core, *distant = self.fleet.hosts
         self.gateway = f"{self.fleet.net}.20"
         self.fleet.halls = {self.local_core: "north", self.gateway: "north"}
-        self.fleet.halls |= dict.fromkeys(far, "south")
+        self.fleet.halls |= dict.fromkeys(distant, "south")
         self.fleet.found()
         self.fleet.acknowledged(3)
         self.fleet.start_gateway(self.gateway)
 
-    def sync_requests(self, place: str) -> int:
-        return self.fleet.counted(self.gateway, f"question_{place}_hall")
+    def sync_requests(self, hall: str) -> int:
+        return self.fleet.counted(self.gateway, f"question_{hall}_hall")
 
     def syncs_only_locally(self) -> bool:
-        """Whether no question has crossed for a while, and some have stayed."""
-        other, own = self.sync_requests("other"), self.sync_requests("own")
+        """Whether no sync request has crossed halls for a while, and some have not."""
+        crossing, local = self.sync_requests("other"), self.sync_requests("own")
         time.sleep(WATCHED_S)
-        return self.sync_requests("other") == other and self.sync_requests("own") > own
+        return (
+            self.sync_requests("other") == crossing
+            and self.sync_requests("own") > local
+        )
 
     def configuration_version(self) -> int:
         text = self.fleet.call(self.gateway, "GET", "/metrics", port=METRICS_PORT)[
@@ -45,27 +48,29 @@
         name = "ashlatch_configuration_version"
         return next((int(line[1]) for line in lines if line[0] == name), 0)
 
-    def test_asks_in_its_hall_and_goes_on_without_it(self) -> None:
+    def test_syncs_in_its_hall_and_falls_back(self) -> None:
         fleet = self.fleet
         wait_for(
             lambda: self.configuration_version() == 3,
             "the first configuration",
             RETURN_S,
         )
-        wait_for(self.syncs_only_locally, "questions stay in the hall", RETURN_S)
+        wait_for(self.syncs_only_locally, "sync requests stay in the hall", RETURN_S)
         fleet.processes[self.local_core].kill()
         fleet.acknowledged(4, fleet.hosts[1:])
         wait_for(
-            lambda: self.configuration_version() == 4, "a far core VM's news", RETURN_S
+            lambda: self.configuration_version() == 4,
+            "updates of a distant core VM",
+            RETURN_S,
         )
-        far = self.sync_requests("other")
+        distant = self.sync_requests("other")
         time.sleep(WATCHED_S)
-        self.assertTrue(self.sync_requests("other") > far)
+        self.assertTrue(self.sync_requests("other") > distant)
         fleet.start_core(self.local_core)
-        wait_for(self.syncs_only_locally, "questions stay in the hall again", RETURN_S)
+        wait_for(self.syncs_only_locally, "sync requests in the hall again", RETURN_S)
         fleet.acknowledged(5)
         wait_for(
             lambda: self.configuration_version() == 5,
-            "news of the near core VM",
+            "updates of the local core VM",
             RETURN_S,
         )
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,9 +1,8 @@
-"""Endpoints that start again under the id that they had: a new life holds and knows
-nothing of the one before.
+"""Tests that a gateway drops the state of an endpoint whose process has restarted.
 
-On the code before, what was believed went on under the id: kept prompts drew requests
-to an engine that had to read them anew, and work that had ended with its process was
-waited for.
+Guards against state that outlives the process under the same id: cached prefixes drew
+requests to an engine that had to prefill them again, and the gateway waited for work
+that had ended with the old process.
 """
 
 import asyncio
@@ -39,7 +38,7 @@
 
 
 def fill_state(state: EndpointState) -> None:
-    """Beliefs of each kind about an endpoint."""
+    """Sets state of each kind for an endpoint."""
     state.apply_load(LoadFigures(8, 3, 8), 0.0)
     state.advertised_load.heard(4, 0.0)
     state.workload.add(900.0, 0.0)
@@ -59,7 +58,7 @@
         assert state is not None
         return state
 
-    def test_a_later_life_is_believed_nothing_of(self) -> None:
+    def test_a_restart_resets_the_state(self) -> None:
         directory = self.directory(FIRST)
         fill_state(self.state(directory))
         directory.replace(listed(2, RESTARTED), 0.0)
@@ -68,7 +67,7 @@
         self.assertEqual((0.0, 0.0), (state.requests(0.0), state.failure_ratio))
         self.assertEqual(0.0, state.workload.left_ms(0.0))
 
-    def test_the_same_life_goes_on(self) -> None:
+    def test_the_same_incarnation_keeps_its_state(self) -> None:
         for again in (FIRST, WITHOUT_START):
             directory = self.directory(FIRST)
             fill_state(self.state(directory))
@@ -76,7 +75,7 @@
             self.assertEqual([], self.ended)
             self.assertEqual(11.0, self.state(directory).requests(0.0))
 
-    def test_an_older_start_that_is_told_late_changes_nothing(self) -> None:
+    def test_an_older_start_changes_nothing(self) -> None:
         directory = self.directory(RESTARTED)
         fill_state(self.state(directory))
         directory.replace(listed(2, FIRST), 0.0)
@@ -87,44 +86,46 @@
         directory.replace(listed(3, RESTARTED), 0.0)
         self.assertEqual([], self.ended)
 
-    starts = st.lists(st.integers(min_value=0, max_value=5), min_size=1, max_size=20)
+    start_times = st.lists(
+        st.integers(min_value=0, max_value=5), min_size=1, max_size=20
+    )
 
     @settings(max_examples=200, deadline=None)
-    @given(starts)
-    def test_starts_told_in_any_order(self, starts: list[int]) -> None:
-        """Beliefs are dropped just when a start is newer than all before it."""
+    @given(start_times)
+    def test_start_times_in_any_order(self, start_times: list[int]) -> None:
+        """The state is reset exactly when a start is newer than all before it."""
         directory = self.directory(msgspec.structs.replace(FIRST, started_unix_ms=1))
         newest = 1
-        for number, start in enumerate(starts):
+        for number, start in enumerate(start_times):
             fill_state(self.state(directory))
-            told = msgspec.structs.replace(FIRST, started_unix_ms=start)
-            directory.replace(listed(number + 2, told), 0.0)
+            relisted = msgspec.structs.replace(FIRST, started_unix_ms=start)
+            directory.replace(listed(number + 2, relisted), 0.0)
             state = self.state(directory)
-            began = start > newest
-            self.assertEqual(0.0 if began else 11.0, state.requests(0.0))
+            restarted = start > newest
+            self.assertEqual(0.0 if restarted else 11.0, state.requests(0.0))
             newest = max(newest, start)
             self.assertEqual(newest, state.endpoint.started_unix_ms)
 
 
 class ProcessEndedTest(GatewayHarness):
-    """Nobody listens at an address: whatever comes back there has begun anew."""
+    """Nothing listens at an address: a later process there is a new incarnation."""
 
     def run_and_end(
         self, end: Callable[[GatewayContext, EndpointState], None]
     ) -> GatewayContext:
         async def work() -> None:
-            known = self.context
-            state = known.directory.state("i-0")
+            context = self.context
+            state = context.directory.state("i-0")
             assert state is not None
             fill_state(state)
             now_ms = asyncio.get_running_loop().time() * 1000.0
-            known.prefix_caches.record_prefill("i-0", "small", PARTS, 400_000, now_ms)
+            context.prefix_caches.record_prefill("i-0", "small", PARTS, 400_000, now_ms)
             self.assertEqual(
-                4000, known.prefix_caches.cached_tokens("i-0", "small", PARTS)
+                4000, context.prefix_caches.cached_tokens("i-0", "small", PARTS)
             )
-            end(known, state)
+            end(context, state)
             self.assertEqual(
-                0, known.prefix_caches.cached_tokens("i-0", "small", PARTS)
+                0, context.prefix_caches.cached_tokens("i-0", "small", PARTS)
             )
             self.assertEqual(0.0, state.workload.left_ms(now_ms))
             self.assertEqual(0.0, state.load.requests())
@@ -132,33 +133,33 @@
         self.run_gateway([StandIn([answer()])], work)
         return self.context
 
-    def test_seen_here(self) -> None:
-        def end(known: GatewayContext, state: EndpointState) -> None:
-            note_refusal(known, state, asyncio.get_running_loop().time() * 1000.0)
+    def test_refusal_seen_by_this_gateway(self) -> None:
+        def end(context: GatewayContext, state: EndpointState) -> None:
+            note_refusal(context, state, asyncio.get_running_loop().time() * 1000.0)
 
         self.run_and_end(end)
 
-    def test_told_by_another_gateway(self) -> None:
-        def end(known: GatewayContext, state: EndpointState) -> None:
+    def test_refusal_reported_by_another_gateway(self) -> None:
+        def end(context: GatewayContext, state: EndpointState) -> None:
             data = encode(EndpointRefuses("i-0"))
-            PeerProtocol(known).datagram_received(data, ("10.0.0.9", 7000))
+            PeerProtocol(context).datagram_received(data, ("10.0.0.9", 7000))
 
         self.run_and_end(end)
 
-    def test_reads_of_the_life_that_has_ended_are_not_believed(self) -> None:
-        """They are on their way through the core for up to a second."""
-        read = PromptPrefill("i-0", "small", (("aa", 4000),))
-        reply = SyncReply(True, reads=(read,))
+    def test_prefills_of_the_ended_process_are_ignored(self) -> None:
+        """Reports pass through the core for up to a second."""
+        prefill = PromptPrefill("i-0", "small", (("aa", 4000),))
+        reply = SyncReply(True, reads=(prefill,))
 
-        def end(known: GatewayContext, state: EndpointState) -> None:
+        def end(context: GatewayContext, state: EndpointState) -> None:
             now_ms = asyncio.get_running_loop().time() * 1000.0
-            news = CoreUpdates(known)
-            known.prefix_cache_tokens = lambda instance: 400_000  # type: ignore[method-assign]
-            news.apply_prefills(reply)
+            core_updates = CoreUpdates(context)
+            context.prefix_cache_tokens = lambda instance: 400_000  # type: ignore[method-assign]
+            core_updates.apply_prefills(reply)
             self.assertEqual(
-                4000, known.prefix_caches.cached_tokens("i-0", "small", PARTS)
+                4000, context.prefix_caches.cached_tokens("i-0", "small", PARTS)
             )
-            note_refusal(known, state, now_ms)
-            news.apply_prefills(reply)
+            note_refusal(context, state, now_ms)
+            core_updates.apply_prefills(reply)
 
         self.run_and_end(end)
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -1,4 +1,4 @@
-"""Tests of `ashlatch.gateway.watch`, alone and in a gateway."""
+"""Tests `ashlatch.gateway.liveness`, alone and in a gateway."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,7 +13,7 @@
 from tests.gateway import STREAM_HEADERS, GatewayHarness, build_request, hang
 from tests.standin import StandIn
 
-# Longer than any wait of these tests, so that a route's target ends none.
+# Longer than any wait in these tests, so that no wait ends by a route's target.
 TARGET_MS = 2400
 ABANDONED_WITHIN_S = 1.8
 
@@ -27,7 +27,7 @@
 
 class LivenessProberTest(GatewayHarness):
     def probe(self, reason: str, progress: bool = False) -> EndpointState:
-        """An endpoint with one silent request, after a second of watching."""
+        """Returns an endpoint with one silent request after a second of probing."""
 
         async def run() -> EndpointState:
             directory = Directory()
@@ -36,32 +36,32 @@
             (state,) = directory.all()
             loop = asyncio.get_running_loop()
             state.sent(loop.time() * 1000.0)
-            watch = asyncio.create_task(
+            prober = asyncio.create_task(
                 LivenessProber(directory, refuse_with(reason)).run()
             )
             for _ in range(10):
                 await asyncio.sleep(0.1)
                 if progress:
                     state.progressed(loop.time() * 1000.0)
-            watch.cancel()
+            prober.cancel()
             return state
 
         return asyncio.run(run())
 
-    def test_a_vm_that_takes_no_connection_has_gone(self) -> None:
+    def test_a_vm_without_connections_is_gone(self) -> None:
         self.assertTrue(self.probe(CONNECT_TIMED_OUT).breaker.open)
 
-    def test_a_refusal_comes_from_a_vm_that_is_there(self) -> None:
+    def test_a_vm_that_refuses_is_running(self) -> None:
         self.assertFalse(self.probe("ConnectionRefusedError").breaker.open)
 
-    def test_what_sends_is_not_probed(self) -> None:
+    def test_endpoints_that_send_are_not_probed(self) -> None:
         self.assertFalse(self.probe(CONNECT_TIMED_OUT, progress=True).breaker.open)
 
-    def status_and_time(self, asked: bytes, reason: str) -> tuple[int, float]:
-        """Status and time of a request whose first endpoint falls silent."""
+    def status_and_time(self, request: bytes, reason: str) -> tuple[int, float]:
+        """Returns status and time of a request whose first endpoint becomes silent."""
         silent, other = StandIn([hang]), StandIn([standin.answer(), standin.stream(3)])
         other.scripts = [
-            standin.stream(3) if b"/stream/" in asked else other.scripts[0]
+            standin.stream(3) if b"/stream/" in request else other.scripts[0]
         ]
         result: list[tuple[int, float]] = []
 
@@ -71,16 +71,16 @@
             document = standin.encoded(standin.document(routes=slow))
             self.context.table = RouteTable(decode_catalog(document))
             for state in self.context.directory.all():
-                # The other one seems busier, so the silent one is asked first.
+                # The other one appears busier, so the silent one is chosen first.
                 if state.endpoint.instance == "i-1":
                     state.load.in_flight = 1
                     state.last_progress_ms = float("inf")
-            watch = LivenessProber(self.context.directory, refuse_with(reason))
-            task = asyncio.create_task(watch.run())
+            prober = LivenessProber(self.context.directory, refuse_with(reason))
+            task = asyncio.create_task(prober.run())
             loop = asyncio.get_running_loop()
-            begun_s = loop.time()
-            status, _ = await self.call(asked)
-            result.append((status, loop.time() - begun_s))
+            started_s = loop.time()
+            status, _ = await self.call(request)
+            result.append((status, loop.time() - started_s))
             task.cancel()
 
         self.run_gateway([silent, other], work)
@@ -90,24 +90,24 @@
     def request_with_timeout(self, path: str, extra: str = "") -> bytes:
         return build_request(path, extra).replace(b"Ms: 1500", b"Ms: 3500")
 
-    def test_requests_at_a_vm_that_has_gone_go_elsewhere(self) -> None:
-        for asked in (
+    def test_requests_at_a_vm_that_is_gone_are_retried(self) -> None:
+        for request in (
             self.request_with_timeout("/get/1"),
             self.request_with_timeout("/stream/1", STREAM_HEADERS),
         ):
-            status, took_s = self.status_and_time(asked, CONNECT_TIMED_OUT)
+            status, elapsed_s = self.status_and_time(request, CONNECT_TIMED_OUT)
             self.assertEqual(200, status)
-            self.assertTrue(took_s < ABANDONED_WITHIN_S, took_s)
+            self.assertTrue(elapsed_s < ABANDONED_WITHIN_S, elapsed_s)
 
     def test_requests_at_a_slow_endpoint_wait(self) -> None:
-        _, took_s = self.status_and_time(
+        _, elapsed_s = self.status_and_time(
             self.request_with_timeout("/get/1"), "ConnectionResetError"
         )
-        self.assertTrue(took_s > ABANDONED_WITHIN_S, took_s)
+        self.assertTrue(elapsed_s > ABANDONED_WITHIN_S, elapsed_s)
 
-    def test_what_may_not_be_repeated_waits(self) -> None:
-        status, took_s = self.status_and_time(
+    def test_non_repeatable_requests_wait(self) -> None:
+        status, elapsed_s = self.status_and_time(
             self.request_with_timeout("/once/1"), CONNECT_TIMED_OUT
         )
         self.assertNotEqual(200, status)
-        self.assertTrue(took_s > ABANDONED_WITHIN_S, took_s)
+        self.assertTrue(elapsed_s > ABANDONED_WITHIN_S, elapsed_s)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of what gateways tell each other in datagrams, over real sockets."""
+"""Tests the updates that gateways send each other in datagrams, over real sockets."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -32,7 +32,7 @@
         self.receiver = gateway_knowledge()
 
     def run_with_sockets(self, work: Callable[[PeerProtocol], Awaitable[None]]) -> None:
-        """Two gateways that know each other, and a third that is not there."""
+        """Runs `work` with two gateways that run and a third one that does not."""
 
         async def run() -> None:
             gateways = tuple(
@@ -40,19 +40,21 @@
                 for hall in ("here", "there", "here")
             )
             peers = []
-            for known, own in zip((self.sender, self.receiver), gateways, strict=False):
-                known.gateways = gateways
-                peers.append(PeerProtocol(known))
-                await peers[-1].start(own)
+            for context, local in zip(
+                (self.sender, self.receiver), gateways, strict=False
+            ):
+                context.gateways = gateways
+                peers.append(PeerProtocol(context))
+                await peers[-1].start(local)
             await work(peers[0])
 
         asyncio.run(run())
 
     def test_prompts(self) -> None:
         async def work(peers: PeerProtocol) -> None:
-            # The hearer is in the hall of the far engines: of the near one it hears
-            # when a prompt is long, and of short prompts and what is not listed
-            # never.
+            # The receiver is in the hall of the far engines. It receives updates about
+            # the near one only for long prompts, and none about short prompts or
+            # unlisted engines.
             peers.broadcast(PromptSent("i-near", 200.0))
             peers.broadcast(PromptSent("i-far", 200.0))
             peers.broadcast(PromptSent("i-far", 800.0))
@@ -70,43 +72,45 @@
             near = self.receiver.directory.state("i-near")
             assert near is not None
             self.assertTrue(500.0 < near.workload.left_ms(now_ms) <= 800.0)
-            own = [s.workload.left_ms(now_ms) for s in self.sender.directory.all()]
-            self.assertEqual([0.0, 0.0, 0.0], own)
+            sender_ms = [
+                s.workload.left_ms(now_ms) for s in self.sender.directory.all()
+            ]
+            self.assertEqual([0.0, 0.0, 0.0], sender_ms)
 
         self.run_with_sockets(work)
 
-    def test_a_relay_tells_its_hall_once(self) -> None:
-        """A prompt crosses to one gateway of a hall, and reaches all of them."""
+    def test_a_relay_forwards_to_its_hall_once(self) -> None:
+        """An update crosses to one gateway of a hall, which relays it to the others."""
 
         async def run() -> None:
             halls = ("here", "there", "there", "there")
-            knowns = [gateway_knowledge() for _ in halls]
+            contexts = [gateway_knowledge() for _ in halls]
             gateways = tuple(GatewayVm(f"{HOST}:{free_port()}", hall) for hall in halls)
             peers = []
-            for known, own in zip(knowns, gateways, strict=True):
-                known.hall = own.hall
-                known.traffic = TrafficCounter(own.hall, known.metrics)
-                known.gateways = gateways
-                peers.append(PeerProtocol(known))
-                await peers[-1].start(own)
+            for context, local in zip(contexts, gateways, strict=True):
+                context.hall = local.hall
+                context.traffic = TrafficCounter(local.hall, context.metrics)
+                context.gateways = gateways
+                peers.append(PeerProtocol(context))
+                await peers[-1].start(local)
             for _ in range(3):
                 peers[0].broadcast(PromptSent("i-far", 1000.0))
             await asyncio.sleep(DELIVERY_S)
             now_ms = asyncio.get_running_loop().time() * 1000.0
-            for known in knowns[1:]:
-                state = known.directory.state("i-far")
+            for context in contexts[1:]:
+                state = context.directory.state("i-far")
                 assert state is not None
                 left_ms = state.workload.left_ms(now_ms)
                 self.assertTrue(2000.0 < left_ms <= 3000.0, left_ms)
-            carried = [c for known in knowns for c in known.traffic.counts()]
-            crossed = sum(c.messages for c in carried if c.cross_hall)
-            stayed = sum(c.messages for c in carried if not c.cross_hall)
-            self.assertEqual((3, 6), (crossed, stayed))
+            counts = [c for context in contexts for c in context.traffic.counts()]
+            crossing = sum(c.messages for c in counts if c.cross_hall)
+            staying = sum(c.messages for c in counts if not c.cross_hall)
+            self.assertEqual((3, 6), (crossing, staying))
 
         asyncio.run(run())
 
     def test_moved_sessions(self) -> None:
-        """The hearer keeps the session that was told, and no other, on its version."""
+        """The receiver keeps only the moved session on its new version."""
         versions = self.receiver.versions
         stage = RolloutStage.SETTLE
         versions.learn([Rollout("app", "v2", stage, 0.0, 1, 1000.0)])
@@ -143,7 +147,7 @@
 
         self.run_with_sockets(work)
 
-    def test_endpoints_that_refuse_are_left(self) -> None:
+    def test_refusing_endpoints_get_no_requests(self) -> None:
         async def work(peers: PeerProtocol) -> None:
             peers.broadcast(EndpointRefuses("i-far"))
             await asyncio.sleep(DELIVERY_S)
@@ -156,7 +160,7 @@
 
         self.run_with_sockets(work)
 
-    def test_a_taken_port_hinders_nothing(self) -> None:
+    def test_a_port_in_use_is_tolerated(self) -> None:
         async def run() -> None:
             taken = GatewayVm(f"{HOST}:{free_port()}", "here")
             first, second = PeerProtocol(self.sender), PeerProtocol(self.receiver)
@@ -167,7 +171,7 @@
 
         asyncio.run(run())
 
-    def test_garbage_is_counted(self) -> None:
+    def test_invalid_datagrams_are_counted(self) -> None:
         peers = PeerProtocol(self.receiver)
         peers.datagram_received(b"\xc1garbage", ("127.0.0.1", 1))
         self.assertIn("datagrams_unreadable_total 1", self.receiver.metrics.text())
--- a/tests/test_recipients.py
+++ b/tests/test_recipients.py
@@ -1,7 +1,8 @@
-"""Tests of who is told of a prompt, and of what that takes between halls.
+"""Tests which gateways receive updates about prompts.
 
-What was seen: with 195 gateways in five halls each long prompt was told to 194
-others, one message each, of which about 155 crossed between halls.
+Guards against excess traffic between halls: with 195 gateways in five halls, the update
+about each long prompt was sent to 194 others, and about 155 of the messages crossed
+between halls.
 """
 
 import random
@@ -18,7 +19,7 @@
     for h, (hall, count) in enumerate(HALLS.items())
     for n in range(count)
 )
-OWN = GATEWAYS[0]
+LOCAL = GATEWAYS[0]
 LONG_MS, MIDDLE_MS, SHORT_MS = 900.0, 100.0, 5.0
 
 
@@ -28,30 +29,30 @@
     gateways: tuple[GatewayVm, ...] = GATEWAYS,
     seed: int = 1,
 ) -> Recipients:
-    return prompt_recipients(read_ms, engine_hall, OWN, gateways, random.Random(seed))
+    return prompt_recipients(read_ms, engine_hall, LOCAL, gateways, random.Random(seed))
 
 
 class RecipientsTest(testtools.TestCase):
-    def test_a_long_prompt_crosses_once_for_each_hall(self) -> None:
-        told = recipients_of(LONG_MS)
-        self.assertEqual(35, len(told.direct))
-        self.assertEqual({"north"}, {g.hall for g in told.direct})
-        self.assertNotIn(OWN, told.direct)
+    def test_a_long_prompt_has_one_recipient_in_each_other_hall(self) -> None:
+        selected = recipients_of(LONG_MS)
+        self.assertEqual(35, len(selected.direct))
+        self.assertEqual({"north"}, {g.hall for g in selected.direct})
+        self.assertNotIn(LOCAL, selected.direct)
         self.assertEqual(
-            ["centre", "east", "south", "west"], [g.hall for g in told.relays]
+            ["centre", "east", "south", "west"], [g.hall for g in selected.relays]
         )
 
-    def test_another_prompt_concerns_two_halls(self) -> None:
+    def test_a_medium_prompt_concerns_two_halls(self) -> None:
         self.assertEqual((), recipients_of(MIDDLE_MS).relays)
         far = recipients_of(MIDDLE_MS, "east")
         self.assertEqual(35, len(far.direct))
         self.assertEqual(["east"], [g.hall for g in far.relays])
 
-    def test_a_short_one_concerns_nobody(self) -> None:
+    def test_a_short_prompt_has_no_recipients(self) -> None:
         self.assertEqual(Recipients(), recipients_of(SHORT_MS, "east"))
 
-    def test_every_gateway_relays_its_share(self) -> None:
-        """One that has died takes no more than that with it."""
+    def test_relays_are_spread_evenly(self) -> None:
+        """A relay that has crashed loses only its share of the updates."""
         drawn = Counter(
             relay.address
             for seed in range(4000)
@@ -60,9 +61,9 @@
         self.assertEqual(HALLS["east"], len(drawn))
         self.assertTrue(max(drawn.values()) < 4000 / HALLS["east"] * 1.5, drawn)
 
-    def test_halls_with_one_gateway_and_with_none(self) -> None:
-        alone = (OWN, GatewayVm("10.9.0.1:7000", "island"))
-        told = recipients_of(LONG_MS, "island", alone)
-        self.assertEqual(Recipients((), alone[1:]), told)
-        self.assertEqual(Recipients(), recipients_of(LONG_MS, "nowhere", (OWN,)))
+    def test_halls_with_one_or_no_gateway(self) -> None:
+        pair = (LOCAL, GatewayVm("10.9.0.1:7000", "island"))
+        selected = recipients_of(LONG_MS, "island", pair)
+        self.assertEqual(Recipients((), pair[1:]), selected)
+        self.assertEqual(Recipients(), recipients_of(LONG_MS, "nowhere", (LOCAL,)))
         self.assertEqual(Recipients(), recipients_of(LONG_MS, "north", ()))
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -1,4 +1,4 @@
-"""Tests of how a gateway asks the core for news."""
+"""Tests how a gateway syncs with the core."""
 
 import asyncio
 import random
@@ -32,7 +32,7 @@
 from tests.test_fleet import standing
 
 CORE = CoreVm("127.0.0.2:7001", "hall-1")
-OWN = GatewayVm("127.0.0.1:7000", "hall-1")
+LOCAL = GatewayVm("127.0.0.1:7000", "hall-1")
 SETTINGS = read(
     {
         "vm": "vm-1",
@@ -49,10 +49,10 @@
 
 
 class FakePeerBook(PeerBook):
-    """Core VMs that answer as told; notes what was asked of them.
+    """Core VMs that give prepared answers and record the calls.
 
-    With `holds`, a question is held for as long as it may be. `own_replies` are
-    those of single VMs.
+    With `waits`, a call takes as long as its request allows. `replies_by_address` holds
+    answers of single VMs that differ from `reply`.
     """
 
     def __init__(self, reply: SyncReply | None, waits: bool = False) -> None:
@@ -68,18 +68,18 @@
 
 
 class FakePeer:
-    def __init__(self, book: FakePeerBook, address: str) -> None:
-        self._book = book
+    def __init__(self, peers: FakePeerBook, address: str) -> None:
+        self._peers = peers
         self._address = address
 
     async def call(
         self, method: object, request: SyncRequest, timeout_s: float
     ) -> SyncReply:
-        self._book.calls.append((self._address, request.wait_ms, timeout_s))
-        for told in request.sessions:
-            self._book.moved_sessions.append((request.wait_ms, told.moved))
-        await asyncio.sleep(request.wait_ms / 1000.0 if self._book.waits else 0.01)
-        reply = self._book.replies_by_address.get(self._address, self._book.reply)
+        self._peers.calls.append((self._address, request.wait_ms, timeout_s))
+        for reported in request.sessions:
+            self._peers.moved_sessions.append((request.wait_ms, reported.moved))
+        await asyncio.sleep(request.wait_ms / 1000.0 if self._peers.waits else 0.01)
+        reply = self._peers.replies_by_address.get(self._address, self._peers.reply)
         if reply is None:
             raise TransportError(self._address, "timeout", True)
         return reply
@@ -97,54 +97,54 @@
 
 
 class MovedSessionsTest(testtools.TestCase):
-    """The core is told at once, also while the question for news is held."""
+    """The core gets reports at once, also while the request for updates is held."""
 
     REPORTED_WITHIN_S = 0.3
 
-    def test_a_gateway_tells_its_core_vm(self) -> None:
+    def test_a_gateway_reports_to_its_core_vm(self) -> None:
         async def run() -> list[tuple[float, tuple[int, ...]]]:
-            known = build_context()
+            context = build_context()
             seeds = Seeds(SETTINGS, lambda: SETTINGS)
-            link = CoreSync(known, seeds, "x:1", 10_000.0, OWN)
-            book = link._peers = FakePeerBook(SyncReply(True), waits=True)
-            tasks = [asyncio.create_task(link.run())]
-            tasks.append(asyncio.create_task(link.report_urgent()))
+            core_sync = CoreSync(context, seeds, "x:1", 10_000.0, LOCAL)
+            peers = core_sync._peers = FakePeerBook(SyncReply(True), waits=True)
+            tasks = [asyncio.create_task(core_sync.run())]
+            tasks.append(asyncio.create_task(core_sync.report_urgent()))
             await asyncio.sleep(0.1)
             stage = RolloutStage.LOAD_TEST
-            known.versions.learn([Rollout("app", "v2", stage, 0.0, 1, 1000.0)])
+            context.versions.learn([Rollout("app", "v2", stage, 0.0, 1, 1000.0)])
             for session in ("s1", "s2"):
-                self.assertTrue(known.versions.note_move("app", session, "v2"))
+                self.assertTrue(context.versions.note_move("app", session, "v2"))
             await asyncio.sleep(self.REPORTED_WITHIN_S)
             for task in tasks:
                 task.cancel()
-            return book.moved_sessions
+            return peers.moved_sessions
 
         marks = tuple(sorted(session_mark("v2", s) for s in ("s1", "s2")))
         self.assertEqual([(0.0, marks)], asyncio.run(run()))
 
-    def test_a_core_vm_tells_the_leader(self) -> None:
+    def test_a_core_vm_reports_to_the_leader(self) -> None:
         async def run() -> list[tuple[float, tuple[int, ...]]]:
-            book, spread = FakePeerBook(SyncReply(True), waits=True), Spread(CORE)
+            peers, spread = FakePeerBook(SyncReply(True), waits=True), Spread(CORE)
             leader = "127.0.0.9:7000"
             following = replace(standing(3, {}), leading=False, leader_address=leader)
             link = LeaderLink(
-                "core-1", CORE, 10_000.0, spread, book, lambda: following, FleetState
+                "core-1", CORE, 10_000.0, spread, peers, lambda: following, FleetState
             )
             tasks = [asyncio.create_task(link.follow())]
             tasks.append(asyncio.create_task(link.pass_on()))
             await asyncio.sleep(0.1)
-            told = (SessionMarks("app", (), (7,)),)
-            spread.asked(SyncRequest("gw", (), 0, (0, 0), 0, 0.0, sessions=told))
+            reported = (SessionMarks("app", (), (7,)),)
+            spread.asked(SyncRequest("gw", (), 0, (0, 0), 0, 0.0, sessions=reported))
             await asyncio.sleep(self.REPORTED_WITHIN_S)
             for task in tasks:
                 task.cancel()
-            return book.moved_sessions
+            return peers.moved_sessions
 
         self.assertEqual([(0.0, (7,))], asyncio.run(run()))
 
 
 class LocalCoreTest(testtools.TestCase):
-    """A gateway goes back to a core VM of its hall, if that one is in touch."""
+    """A gateway returns to a core VM of its hall if that one has a connected leader."""
 
     LOCAL_CORE = CoreVm("127.0.0.9:7001", "hall-1")
     MEMBERS = (
@@ -153,67 +153,73 @@
         CoreVm("127.0.0.3:7001", "x"),
     )
 
-    def addresses_called(self, reply: SyncReply | None) -> set[str]:
-        """Whom a gateway asks in the end; `reply` is the near core VM's."""
+    def called_addresses(self, reply: SyncReply | None) -> set[str]:
+        """Returns the addresses called in the end; `reply` is the local core VM's."""
 
         async def run() -> set[str]:
-            known = build_context()
-            link = CoreSync(known, Seeds(SETTINGS, lambda: SETTINGS), "x:1", 20.0, OWN)
-            book = link._peers = FakePeerBook(SyncReply(True, self.MEMBERS), waits=True)
-            book.replies_by_address[self.LOCAL_CORE.address] = reply
-            tasks = [asyncio.create_task(link.run())]
-            tasks.append(asyncio.create_task(link.prefer_local_core()))
+            context = build_context()
+            core_sync = CoreSync(
+                context, Seeds(SETTINGS, lambda: SETTINGS), "x:1", 20.0, LOCAL
+            )
+            peers = core_sync._peers = FakePeerBook(
+                SyncReply(True, self.MEMBERS), waits=True
+            )
+            peers.replies_by_address[self.LOCAL_CORE.address] = reply
+            tasks = [asyncio.create_task(core_sync.run())]
+            tasks.append(asyncio.create_task(core_sync.prefer_local_core()))
             await asyncio.sleep(0.3)
-            book.calls.clear()
+            peers.calls.clear()
             await asyncio.sleep(0.1)
             for task in tasks:
                 task.cancel()
-            return {address for address, wait_ms, _ in book.calls if wait_ms}
+            return {address for address, wait_ms, _ in peers.calls if wait_ms}
 
         self.patch(sync, "LOCAL_CORE_RETRY_S", (0.05, 0.1))
         return asyncio.run(run())
 
-    def test_goes_to_its_own_hall(self) -> None:
+    def test_moves_to_its_own_hall(self) -> None:
         self.assertEqual(
             {self.LOCAL_CORE.address},
-            self.addresses_called(SyncReply(True, self.MEMBERS)),
+            self.called_addresses(SyncReply(True, self.MEMBERS)),
         )
 
-    def test_stays_away_from_one_without_a_leader(self) -> None:
-        asked = self.addresses_called(SyncReply(False, self.MEMBERS))
-        self.assertNotIn(self.LOCAL_CORE.address, asked)
-        self.assertEqual(1, len(asked))
+    def test_avoids_a_core_vm_without_a_leader(self) -> None:
+        called = self.called_addresses(SyncReply(False, self.MEMBERS))
+        self.assertNotIn(self.LOCAL_CORE.address, called)
+        self.assertEqual(1, len(called))
 
-    def test_stays_away_from_one_that_does_not_answer(self) -> None:
-        asked = self.addresses_called(None)
-        self.assertNotIn(self.LOCAL_CORE.address, asked)
-        self.assertEqual(1, len(asked))
+    def test_avoids_a_core_vm_that_does_not_answer(self) -> None:
+        called = self.called_addresses(None)
+        self.assertNotIn(self.LOCAL_CORE.address, called)
+        self.assertEqual(1, len(called))
 
 
 class CoreSyncTest(testtools.TestCase):
     def calls(self, reply: SyncReply | None) -> list[tuple[str, float, float]]:
-        """What a gateway asks in its first half second."""
+        """Returns the calls of a gateway in its first half second."""
 
         async def run() -> list[tuple[str, float, float]]:
-            known = build_context()
-            link = CoreSync(known, Seeds(SETTINGS, lambda: SETTINGS), "x:1", 500.0, OWN)
-            book = link._peers = FakePeerBook(reply)
-            task = asyncio.create_task(link.run())
+            context = build_context()
+            core_sync = CoreSync(
+                context, Seeds(SETTINGS, lambda: SETTINGS), "x:1", 500.0, LOCAL
+            )
+            peers = core_sync._peers = FakePeerBook(reply)
+            task = asyncio.create_task(core_sync.run())
             await asyncio.sleep(0.5)
             task.cancel()
-            return book.calls
+            return peers.calls
 
         return asyncio.run(run())
 
-    def test_the_first_contact_waits_for_nobody_long(self) -> None:
-        """A VM that is not up yet must not keep a gateway from the others."""
-        asked = self.calls(None)
-        self.assertEqual({0.0}, {wait_ms for _, wait_ms, _ in asked})
-        self.assertTrue(all(timeout_s <= 0.3 for _, _, timeout_s in asked), asked)
-        self.assertEqual(2, len({address for address, _, _ in asked}))
-
-    def test_news_is_waited_for_once_the_core_was_heard(self) -> None:
-        asked = self.calls(SyncReply(True))
-        self.assertEqual(0.0, asked[0][1])
-        self.assertEqual({500.0}, {wait_ms for _, wait_ms, _ in asked[1:]})
-        self.assertTrue(all(timeout_s > 1.0 for _, _, timeout_s in asked[1:]))
+    def test_the_first_calls_have_a_short_timeout(self) -> None:
+        """A VM that is not running yet must not delay the calls to the others."""
+        called = self.calls(None)
+        self.assertEqual({0.0}, {wait_ms for _, wait_ms, _ in called})
+        self.assertTrue(all(timeout_s <= 0.3 for _, _, timeout_s in called), called)
+        self.assertEqual(2, len({address for address, _, _ in called}))
+
+    def test_later_calls_wait_for_updates(self) -> None:
+        called = self.calls(SyncReply(True))
+        self.assertEqual(0.0, called[0][1])
+        self.assertEqual({500.0}, {wait_ms for _, wait_ms, _ in called[1:]})
+        self.assertTrue(all(timeout_s > 1.0 for _, _, timeout_s in called[1:]))
