--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -1,7 +1,7 @@
 """Tests the evacuation of a hall: nothing more is sent to its endpoints.
 
-Guards against an evacuation that is answered 404: the hall about to be switched off kept
-its share of the requests, and operators repeated the command until they gave up.
+Guards against an evacuation that is answered 404: the hall about to be switched off
+kept its share of the requests, and operators repeated the command until they gave up.
 """
 
 import asyncio
@@ -216,7 +216,7 @@
         self.assertEqual(["i1", "i2", "i3"], self.allowed_endpoints())
 
     def test_endpoints_listed_later_are_evacuated(self) -> None:
-        """A deployment in an evacuated hall adds endpoints that were not listed before."""
+        """A deployment in an evacuated hall adds endpoints to the list."""
         self.directory.apply_evacuations(Evacuations(1, ("b",)))
         listed = (endpoint("i1", "a"), endpoint("i4", "b"))
         self.directory.replace(EndpointList(1, 2, listed), 0.0)
@@ -231,7 +231,7 @@
         self.assertTrue(state is not None and not state.permission(0.0).granted)
 
     def test_load_tests_avoid_evacuated_halls(self) -> None:
-        """A load test uses another endpoint than the one that rendezvous hashing gives."""
+        """The load test skips the endpoint that rendezvous hashing gives."""
         listed = tuple(endpoint(f"i{n}", "b", "v2") for n in range(5, 9))
         stays = endpoint("i4", "a", "v2")
         self.directory.replace(EndpointList(1, 2, (*listed, stays)), 0.0)
