--- a/ashlatch/fleet/leader.py
+++ b/ashlatch/fleet/leader.py
@@ -15,7 +15,6 @@
 from dataclasses import dataclass, field
 
 import msgspec
-from ashlatch.fleet.evaluation import DEFAULT_PLAN, Decision, Evidence, decide
 
 from ashlatch.catalog import (
     Endpoint,
@@ -25,6 +24,7 @@
     SessionHashes,
 )
 from ashlatch.fleet.discovery import ListReader, ListUnreadable
+from ashlatch.fleet.evaluation import DEFAULT_PLAN, Decision, Evidence, decide
 from ashlatch.fleet.exposure import ExposurePlan
 from ashlatch.fleet.logs import ListRead, ListReadFailed, RolloutDecided
 from ashlatch.fleet.machine import FINAL_STAGES, UpdateRollout
--- a/ashlatch/fleet/prefix_caches.py
+++ b/ashlatch/fleet/prefix_caches.py
@@ -17,11 +17,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ashlatch.gateway.prefix_cache import PromptPrefill
-
 from ashlatch.catalog import Endpoint
 from ashlatch.errors import AshlatchError
 from ashlatch.fleet.logs import PrefixCacheReadFailed, PrefixCachesRead
+from ashlatch.gateway.prefix_cache import PromptPrefill
 from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
 from ashlatch.log import emit
 from ashlatch.platform.memory import (
--- a/ashlatch/fleet/protocol.py
+++ b/ashlatch/fleet/protocol.py
@@ -10,8 +10,6 @@
 
 import msgspec
 import xxhash
-from ashlatch.gateway.prefix_cache import PromptPrefill
-from ashlatch.policy.prefill_rate import PrefillRate
 
 from ashlatch.catalog import (
     CoreVm,
@@ -22,8 +20,10 @@
     SessionHashes,
 )
 from ashlatch.fleet.machine import Command, Outcome
+from ashlatch.gateway.prefix_cache import PromptPrefill
 from ashlatch.gateway.tally import Tally
 from ashlatch.link import Method
+from ashlatch.policy.prefill_rate import PrefillRate
 from ashlatch.policy.quarantine import CrashRecord
 from ashlatch.raft.message import Member
 
--- a/ashlatch/gateway/admission.py
+++ b/ashlatch/gateway/admission.py
@@ -12,11 +12,10 @@
 import logging
 from dataclasses import dataclass
 
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.fingerprint import fingerprint_text, request_fingerprint
-
 from ashlatch.catalog import Organisation, Route, Service
 from ashlatch.clock import unix_ms
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.fingerprint import fingerprint_text, request_fingerprint
 from ashlatch.gateway.logs import QuarantinedRequestRefused
 from ashlatch.gateway.message import CallerRequest, RefusalReason
 from ashlatch.http.connection import Responder
--- a/ashlatch/gateway/exchange.py
+++ b/ashlatch/gateway/exchange.py
@@ -12,16 +12,6 @@
 import asyncio
 from dataclasses import dataclass
 
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.crash_detector import CrashDetector
-from ashlatch.gateway.request_record import RequestRecord
-from ashlatch.gateway.timeouts import (
-    AnswerTimeout,
-    answer_timeout,
-    connect_timeout_s,
-    event_timeout,
-)
-
 from ashlatch.catalog import RepeatPolicy
 from ashlatch.gateway.admission import (
     RETRY_AFTER_S,
@@ -39,8 +29,17 @@
     larger_models,
 )
 from ashlatch.gateway.chooser import EndpointChooser
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.crash_detector import CrashDetector
 from ashlatch.gateway.events import EventSplitter, StreamEvent
 from ashlatch.gateway.message import AnswerHead, Dispatch, RefusalReason
+from ashlatch.gateway.request_record import RequestRecord
+from ashlatch.gateway.timeouts import (
+    AnswerTimeout,
+    answer_timeout,
+    connect_timeout_s,
+    event_timeout,
+)
 from ashlatch.http.connection import CallerGone, Headers, Responder
 
 __all__ = [
--- a/ashlatch/gateway/limits.py
+++ b/ashlatch/gateway/limits.py
@@ -14,10 +14,9 @@
 from dataclasses import dataclass
 
 from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.updates import RateLimitChanged, RateLimitedSend
-
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.logs import EndpointLimited
+from ashlatch.gateway.updates import RateLimitChanged, RateLimitedSend
 from ashlatch.log import emit
 from ashlatch.policy.rate_limit import NO_LIMIT, RATE_MIN_PER_S, SECOND_MS, LimitSharing
 
--- a/ashlatch/gateway/notices.py
+++ b/ashlatch/gateway/notices.py
@@ -12,11 +12,10 @@
 import logging
 
 from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.updates import BackoffRequested, EndpointLeaving
-
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.logs import EndpointBackoff, EndpointLeavingAnnounced
 from ashlatch.gateway.message import AnswerHead
+from ashlatch.gateway.updates import BackoffRequested, EndpointLeaving
 from ashlatch.log import emit
 
 __all__ = [
--- a/ashlatch/gateway/peer_updates.py
+++ b/ashlatch/gateway/peer_updates.py
@@ -14,6 +14,14 @@
 
 from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.crash_detector import apply_peer_crashes
+from ashlatch.gateway.limits import apply_peer_limit, apply_peer_send
+from ashlatch.gateway.logs import (
+    EndpointBackoffElsewhere,
+    EndpointMisdirected,
+    EndpointNotListening,
+)
+from ashlatch.gateway.message import LoadFigures
+from ashlatch.gateway.notices import mark_leaving
 from ashlatch.gateway.updates import (
     BackoffRequested,
     CrashRecordUpdate,
@@ -27,17 +35,8 @@
     SessionActive,
     SessionMoved,
 )
-from ashlatch.policy.load_advertisement import load_level
-
-from ashlatch.gateway.limits import apply_peer_limit, apply_peer_send
-from ashlatch.gateway.logs import (
-    EndpointBackoffElsewhere,
-    EndpointMisdirected,
-    EndpointNotListening,
-)
-from ashlatch.gateway.message import LoadFigures
-from ashlatch.gateway.notices import mark_leaving
 from ashlatch.log import emit
+from ashlatch.policy.load_advertisement import load_level
 from ashlatch.registry import Handlers
 
 __all__ = [
--- a/ashlatch/gateway/permission.py
+++ b/ashlatch/gateway/permission.py
@@ -10,9 +10,8 @@
 :license: MIT, see LICENSE for details.
 """
 
-from ashlatch.gateway.context import GatewayContext
-
 from ashlatch.catalog import Service
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.limits import limit_wait_ms
 from ashlatch.policy.permission import ALLOWED, DenialReason, Permission, combine
--- a/ashlatch/gateway/reports.py
+++ b/ashlatch/gateway/reports.py
@@ -10,11 +10,10 @@
 """
 
 from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.updates import LoadReported
-from ashlatch.policy.load_advertisement import load_level
-
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.message import LoadFigures
+from ashlatch.gateway.updates import LoadReported
+from ashlatch.policy.load_advertisement import load_level
 
 __all__ = [
     "broadcast_load",
--- a/ashlatch/gateway/retry_time.py
+++ b/ashlatch/gateway/retry_time.py
@@ -11,9 +11,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ashlatch.gateway.context import GatewayContext
-
 from ashlatch.catalog import Service
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.limits import limit_interval_ms
 from ashlatch.gateway.permission import send_permission
--- a/ashlatch/router/attempt.py
+++ b/ashlatch/router/attempt.py
@@ -9,6 +9,9 @@
 :license: MIT, see LICENSE for details.
 """
 
+from ashlatch.http import problem as problems
+from ashlatch.http.problem import Problem
+from ashlatch.policy.permission import NEVER_MS
 from ashlatch.router.attempt_results import record_result
 from ashlatch.router.completion import (
     close_claim,
@@ -17,12 +20,6 @@
     is_cancellable,
     remove_request,
 )
-from ashlatch.router.planning_result import NoPlan, Plan
-from ashlatch.router.quarantine import quarantine_left_ms
-
-from ashlatch.http import problem as problems
-from ashlatch.http.problem import Problem
-from ashlatch.policy.permission import NEVER_MS
 from ashlatch.router.core import (
     HANDLERS,
     ActiveAttempt,
@@ -43,6 +40,8 @@
     RecordOutcomeReceived,
     Rejected,
 )
+from ashlatch.router.planning_result import NoPlan, Plan
+from ashlatch.router.quarantine import quarantine_left_ms
 from ashlatch.router.sending import plan_attempt, start_attempt
 from ashlatch.store.command import AnswerAccepted, AnswerRecorded, RecordAnswer
 
--- a/ashlatch/router/attempt_results.py
+++ b/ashlatch/router/attempt_results.py
@@ -9,11 +9,10 @@
 :license: MIT, see LICENSE for details.
 """
 
-from ashlatch.router.quarantine import record_completion, record_crash
-
 from ashlatch.policy.evidence import Failure, Timing
 from ashlatch.router.core import ActiveAttempt, ActiveRequest, RouterCore
 from ashlatch.router.event import Answered, AttemptResult, Broken, Rejected
+from ashlatch.router.quarantine import record_completion, record_crash
 
 __all__ = [
     "record_result",
--- a/ashlatch/router/daemon.py
+++ b/ashlatch/router/daemon.py
@@ -20,7 +20,6 @@
 from typing import ClassVar
 
 import msgspec
-from ashlatch.router.responder import Responder
 from werkzeug.wrappers import Request as HttpRequest
 from werkzeug.wrappers import Response
 
@@ -54,6 +53,7 @@
     VersionTotalsReceived,
 )
 from ashlatch.router.host import RouterHost
+from ashlatch.router.responder import Responder
 from ashlatch.rpc import Address
 from ashlatch.settings import RouterSettings
 from ashlatch.store.protocol import RouterPoll, RouterReply, VersionReport
--- a/ashlatch/router/hedge.py
+++ b/ashlatch/router/hedge.py
@@ -10,10 +10,9 @@
 :license: MIT, see LICENSE for details.
 """
 
-from ashlatch.router.planning_result import Plan
-
 from ashlatch.router.core import HANDLERS, ActiveRequest, RouterCore
 from ashlatch.router.event import HedgeDue
+from ashlatch.router.planning_result import Plan
 from ashlatch.router.sending import plan_attempt, start_hedge
 
 __all__ = []
--- a/ashlatch/router/sending.py
+++ b/ashlatch/router/sending.py
@@ -12,19 +12,18 @@
 from dataclasses import dataclass
 from typing import ClassVar
 
-from ashlatch.router.planning_result import Exclusion, ExclusionReason, NoPlan, Plan
-from ashlatch.router.quarantine import (
-    format_fingerprint,
-    quarantine_left_ms,
-    request_fingerprint,
-)
-
 from ashlatch.http import problem as problems
 from ashlatch.http.problem import Problem
 from ashlatch.log import LogEvent
 from ashlatch.router.core import ActiveAttempt, ActiveRequest, RouterCore
 from ashlatch.router.effect import ScheduleHedge, StartAttempt, WriteLog
 from ashlatch.router.event import RequestKind
+from ashlatch.router.planning_result import Exclusion, ExclusionReason, NoPlan, Plan
+from ashlatch.router.quarantine import (
+    format_fingerprint,
+    quarantine_left_ms,
+    request_fingerprint,
+)
 
 __all__ = [
     "RouteChosen",
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -10,12 +10,11 @@
 from collections.abc import Awaitable, Callable
 from pathlib import PurePath
 
-from tests.stub_server import StubServer
-
 from bench.table import row, title
 from tests import stub_server
 from tests.fleet import FRONT_PORT, READY_PORT, Fleet, wait_for
 from tests.gateway import GatewayHarness, build_request
+from tests.stub_server import StubServer
 
 REQUESTS = 1500
 AT_ONCE = 4
--- a/bench/hedge.py
+++ b/bench/hedge.py
@@ -5,10 +5,9 @@
 import time
 from concurrent.futures import ThreadPoolExecutor
 
-from tests.small_system import KEY, ROUTE, SmallSystem, start_small_system
-
 from bench.table import percentile, row, title
 from tests.chat import chat, chat_stream
+from tests.small_system import KEY, ROUTE, SmallSystem, start_small_system
 
 RATE_PER_S = 20.0
 WARM_CALLS = 150
--- a/bench/router.py
+++ b/bench/router.py
@@ -5,10 +5,9 @@
 import time
 from concurrent.futures import ThreadPoolExecutor
 
-from tests.small_system import KEY, ROUTE, SmallSystem, start_small_system
-
 from bench.table import percentile, row, title
 from tests.chat import StreamedAnswer, chat, chat_stream
+from tests.small_system import KEY, ROUTE, SmallSystem, start_small_system
 from tests.system import Daemon
 
 RATE_PER_S = 50.0
--- a/tests/crash_simulation.py
+++ b/tests/crash_simulation.py
@@ -16,12 +16,10 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from ashlatch.gateway.context import GatewayContext
-from tests.stub_server import document, encode_document, engine_service
-
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.choice import choose_endpoint
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.forecast import Send
 from ashlatch.gateway.message import CallerRequest, PromptPart
 from ashlatch.gateway.routing import RouteTable
@@ -30,6 +28,7 @@
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 from ashlatch.policy.quarantine import CrashRecord
+from tests.stub_server import document, encode_document, engine_service
 
 MODEL = "large"
 SLOTS = 128
--- a/tests/engines.py
+++ b/tests/engines.py
@@ -15,14 +15,11 @@
 from dataclasses import dataclass, field
 from typing import Any, cast
 
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.updates import EndpointRefuses, PeerUpdate, PromptSent
-from tests.stub_server import document, encode_document, engine_service
-
 from ashlatch.catalog import Endpoint, EndpointList, GatewayVm
 from ashlatch.codec import decode
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.choice import choose_endpoint
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.exchange import UNREACHABLE_MAX
 from ashlatch.gateway.forecast import Send
@@ -31,9 +28,11 @@
 from ashlatch.gateway.reports import broadcast_load
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
+from ashlatch.gateway.updates import EndpointRefuses, PeerUpdate, PromptSent
 from ashlatch.gateway.versions import AllowedEndpoints, VersionChooser, VersionReason
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
+from tests.stub_server import document, encode_document, engine_service
 
 # The time until a connection to a crashed engine is refused.
 CONNECT_MS = 2.0
--- a/tests/gateway.py
+++ b/tests/gateway.py
@@ -5,13 +5,12 @@
 from collections.abc import Awaitable, Callable
 
 import testtools
-from ashlatch.gateway.context import GatewayContext
-from tests.stub_server import ReceivedRequest, StubServer
 
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.clock import ClockLoop
 from ashlatch.gateway.admission import Refused, admit, refuse
 from ashlatch.gateway.budget import BudgetTerms
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.exchange import Exchange
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
@@ -22,6 +21,7 @@
 from ashlatch.platform.headers import decode_ask
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 from tests import stub_server
+from tests.stub_server import ReceivedRequest, StubServer
 
 TIMEOUT_HEADER = "X-Deadline-Ms: 1500\r\n"
 KEY = "Authorization: Bearer key-1\r\n"
--- a/tests/limit_simulation.py
+++ b/tests/limit_simulation.py
@@ -15,25 +15,24 @@
 from functools import partial
 from typing import Any, cast
 
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.retry_time import find_retry_time
-from tests.stub_server import document, encode_document
-
 from ashlatch.catalog import Endpoint, EndpointList, GatewayVm
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.choice import choose_endpoint
 from ashlatch.gateway.cold import GATEWAYS_KNOWN_MS, ColdSendLimiter
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Send
 from ashlatch.gateway.limits import LimitReport, apply_answer_limit, record_limited_send
 from ashlatch.gateway.message import CallerRequest
 from ashlatch.gateway.peers import PeerProtocol
+from ashlatch.gateway.retry_time import find_retry_time
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import AllowedEndpoints, VersionChooser, VersionReason
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 from ashlatch.policy.rate_limit import NO_LIMIT
+from tests.stub_server import document, encode_document
 
 HALLS = ("a", "b", "c")
 SLOTS = 64
--- a/tests/limit_soak.py
+++ b/tests/limit_soak.py
@@ -12,9 +12,8 @@
 
 from functools import partial
 
-from tests.limit_simulation import LimitWorld
-
 from ashlatch.policy.rate_limit import NO_LIMIT
+from tests.limit_simulation import LimitWorld
 from tests.limited import WINDOW_S, allowed, most_within
 from tests.random_worlds import Plan, draw_plan, run_worlds
 
--- a/tests/limited.py
+++ b/tests/limited.py
@@ -4,9 +4,8 @@
 import time
 from dataclasses import dataclass, field
 
-from tests.stub_server import ReceivedRequest, StubServer, full_response
-
 from ashlatch.policy.rate_limit import NO_LIMIT
+from tests.stub_server import ReceivedRequest, StubServer, full_response
 
 # The users' bound: within any window of this length an endpoint gets no more than one
 # and a half times what its limit allows, and some extra requests.
--- a/tests/session_simulation.py
+++ b/tests/session_simulation.py
@@ -12,16 +12,15 @@
 from functools import partial
 from typing import Any, cast
 
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.peer_updates import PEER_HANDLERS, Sender
-from ashlatch.gateway.session_updates import announce_session
-from ashlatch.gateway.updates import HallUpdate, PeerUpdate
-
 from ashlatch.catalog import Endpoint, EndpointList, GatewayVm, Rollout, RolloutStage
 from ashlatch.codec import decode
 from ashlatch.gateway.budget import BudgetTerms
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.peer_updates import PEER_HANDLERS, Sender
 from ashlatch.gateway.peers import PeerProtocol
+from ashlatch.gateway.session_updates import announce_session
 from ashlatch.gateway.sessions import SessionVersions
+from ashlatch.gateway.updates import HallUpdate, PeerUpdate
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 
--- a/tests/shed_simulation.py
+++ b/tests/shed_simulation.py
@@ -10,15 +10,14 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from ashlatch.gateway.context import GatewayContext
-from tests.limit_simulation import REQUEST, LimitWorld, Network
-
 from ashlatch.gateway.choice import choose_endpoint
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Send
 from ashlatch.gateway.message import AnswerHead
 from ashlatch.gateway.notices import apply_notice
 from ashlatch.gateway.versions import AllowedEndpoints, VersionReason
+from tests.limit_simulation import REQUEST, LimitWorld, Network
 from tests.shedding import GRACE_S
 
 ATTEMPTS_MAX = 3
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -12,21 +12,12 @@
 import h11
 import msgspec
 import testtools
-from ashlatch.gateway.peer_updates import PEER_HANDLERS, Sender
-from ashlatch.gateway.updates import EndpointLeaving, PeerUpdate
-from tests.stub_server import (
-    ReceivedRequest,
-    StubServer,
-    answer_with,
-    chunk,
-    event,
-    response_head,
-    stream,
-)
 
 from ashlatch.catalog import Endpoint, EndpointList, Rollout, RolloutStage
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.notices import apply_notice
+from ashlatch.gateway.peer_updates import PEER_HANDLERS, Sender
+from ashlatch.gateway.updates import EndpointLeaving, PeerUpdate
 from ashlatch.http.upstream import Upstream
 from ashlatch.platform.headers import decode_answer
 from ashlatch.policy.backoff import Backoff
@@ -35,6 +26,15 @@
 from tests.fleet import READY_PORT, Fleet, wait_for
 from tests.gateway import STREAM_HEADERS, GatewayHarness, build_request
 from tests.shedding import WITHIN_BACKOFF_MAX, SheddingEndpoint
+from tests.stub_server import (
+    ReceivedRequest,
+    StubServer,
+    answer_with,
+    chunk,
+    event,
+    response_head,
+    stream,
+)
 
 
 class OneGatewayTest(GatewayHarness):
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -3,19 +3,19 @@
 import random
 
 import testtools
-from ashlatch.gateway.latency_model import LatencyModel
-from tests.stub_server import document, encode_document, route
 
 from ashlatch.catalog import Endpoint, Rollout, RolloutStage, SessionHashes
 from ashlatch.gateway.budget import BudgetTerms, RepeatBudget
 from ashlatch.gateway.directory import REPLACED_MS, EndpointState
 from ashlatch.gateway.events import EventSplitter
+from ashlatch.gateway.latency_model import LatencyModel
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions, session_hash
 from ashlatch.gateway.versions import VersionChooser, VersionReason
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES, Candidate
 from ashlatch.policy.rate_limit import LimitSharing
+from tests.stub_server import document, encode_document, route
 
 
 class VersionsTest(testtools.TestCase):
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -11,7 +11,6 @@
 from unittest import mock
 
 import testtools
-from tests.stub_server import ReceivedRequest, StubServer, answer_with
 
 from ashlatch.catalog import GatewayVm
 from ashlatch.clock import ClockLoop, monotonic_ms
@@ -21,6 +20,7 @@
 from ashlatch.rpc import RpcLoop
 from ashlatch.suspension import SuspensionMeter
 from tests.gateway import GatewayHarness, build_request
+from tests.stub_server import ReceivedRequest, StubServer, answer_with
 
 SUSPENDED_S = 3.0
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -8,13 +8,12 @@
 
 import asyncio
 
-from tests.stub_server import ReceivedRequest, StubServer
-
 from ashlatch.catalog import GatewayVm
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.platform.document import decode_catalog
 from tests import stub_server
 from tests.gateway import GatewayHarness, build_request
+from tests.stub_server import ReceivedRequest, StubServer
 
 CONNECTIONS_MAX = 50
 GATEWAYS = 10
--- a/tests/test_crash_load.py
+++ b/tests/test_crash_load.py
@@ -19,11 +19,11 @@
 import statistics
 
 import testtools
-from ashlatch.gateway.updates import CrashRecordUpdate
-from tests.crash_simulation import CrashLoad, CrashOutcome, CrashWorld
 
 from ashlatch.codec import encode
 from ashlatch.gateway.traffic import TrafficKind
+from ashlatch.gateway.updates import CrashRecordUpdate
+from tests.crash_simulation import CrashLoad, CrashOutcome, CrashWorld
 from tests.engines import Simulation
 
 SEEDS = range(1, 6)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -23,11 +23,10 @@
 from concurrent.futures import ThreadPoolExecutor
 
 import testtools
-from ashlatch.gateway.fingerprint import request_fingerprint
-from tests.stub_server import LAST_CHUNK, ReceivedRequest, StubServer
 
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.clock import unix_ms
+from ashlatch.gateway.fingerprint import request_fingerprint
 from ashlatch.http.connection import HttpRequest
 from ashlatch.platform.headers import decode_ask
 from ashlatch.policy.quarantine import QUARANTINE_MS
@@ -35,6 +34,7 @@
 from tests.crashing import CRASHING_BODY, CrashingEngine, CrashLog
 from tests.fleet import FRONT_PORT, READY_PORT, Fleet, wait_for
 from tests.gateway import STREAM_HEADERS, GatewayHarness, build_request
+from tests.stub_server import LAST_CHUNK, ReceivedRequest, StubServer
 
 # The bound set by users: three crashes, and this many sends after them, counted from
 # the time by which all connected VMs must know.
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -10,8 +10,6 @@
 
 import msgspec
 import testtools
-from ashlatch.fleet.soft_state import SoftState, has_updates
-from ashlatch.gateway.liveness import LivenessProber
 from click.testing import CliRunner, Result
 
 from ashlatch.catalog import (
@@ -34,7 +32,9 @@
 )
 from ashlatch.fleet.operators import NoQuorum, OperatorApi
 from ashlatch.fleet.protocol import ReadReply, SyncRequest
+from ashlatch.fleet.soft_state import SoftState, has_updates
 from ashlatch.gateway.directory import Directory
+from ashlatch.gateway.liveness import LivenessProber
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.http.connection import Headers, HttpRequest
--- a/tests/test_evaluation.py
+++ b/tests/test_evaluation.py
@@ -1,9 +1,9 @@
 """Tests of the evaluation of a new version against the old one."""
 
 import testtools
-from ashlatch.fleet.evaluation import Decision, Evidence, decide
 
 from ashlatch.catalog import Rollout, RolloutStage
+from ashlatch.fleet.evaluation import Decision, Evidence, decide
 from ashlatch.gateway.tally import Tallies, Tally, TallyKey, bucket_of
 
 
--- a/tests/test_exposure.py
+++ b/tests/test_exposure.py
@@ -6,11 +6,11 @@
 """
 
 import testtools
-from ashlatch.fleet.evaluation import Evidence, decide
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from ashlatch.catalog import Rollout, RolloutStage
+from ashlatch.fleet.evaluation import Evidence, decide
 from ashlatch.fleet.exposure import ExposurePlan, plan_exposure
 from ashlatch.gateway.tally import Tally, TallyKey, bucket_of
 
--- a/tests/test_forecast.py
+++ b/tests/test_forecast.py
@@ -3,14 +3,13 @@
 import random
 
 import testtools
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.latency_model import LatencyModel
-from tests.stub_server import document, encode_document, engine_service
 
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.choice import Choice, choose_endpoint, engine_urgency
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.forecast import Forecast, Send
+from ashlatch.gateway.latency_model import LatencyModel
 from ashlatch.gateway.message import CallerRequest, LoadFigures, PromptPart
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.sessions import SessionVersions
@@ -18,6 +17,7 @@
 from ashlatch.platform.document import decode_catalog
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES, rank
 from ashlatch.policy.workload import WORK_MAX_MS, Workload
+from tests.stub_server import document, encode_document, engine_service
 
 ENGINES = ("i-near", "i-far", "i-farther")
 HALLS = ("here", "there", "there")
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -4,17 +4,8 @@
 import socket
 import struct
 
-from ashlatch.gateway.updates import EndpointReplaced, SessionMoved
-from tests.stub_server import (
-    LAST_CHUNK,
-    ReceivedRequest,
-    StubServer,
-    chunk,
-    event,
-    response_head,
-)
-
 from ashlatch.catalog import Endpoint, EndpointList, Rollout, RolloutStage
+from ashlatch.gateway.updates import EndpointReplaced, SessionMoved
 from tests import stub_server
 from tests.gateway import (
     KEY,
@@ -24,6 +15,14 @@
     build_request,
     hang,
 )
+from tests.stub_server import (
+    LAST_CHUNK,
+    ReceivedRequest,
+    StubServer,
+    chunk,
+    event,
+    response_head,
+)
 
 
 async def reset(request: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -10,22 +10,22 @@
 
 import msgspec
 import testtools
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.core_updates import CoreUpdates
-from ashlatch.gateway.crash_detector import record_refusal
-from ashlatch.gateway.prefix_cache import PromptPrefill
-from ashlatch.gateway.updates import EndpointRefuses
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from tests.stub_server import StubServer, answer_with
 
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.codec import encode
 from ashlatch.fleet.protocol import SyncReply
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.core_updates import CoreUpdates
+from ashlatch.gateway.crash_detector import record_refusal
 from ashlatch.gateway.directory import Directory, EndpointState
 from ashlatch.gateway.message import LoadFigures, PromptPart
 from ashlatch.gateway.peers import PeerProtocol
+from ashlatch.gateway.prefix_cache import PromptPrefill
+from ashlatch.gateway.updates import EndpointRefuses
 from tests.gateway import GatewayHarness
+from tests.stub_server import StubServer, answer_with
 
 FIRST = Endpoint("i-1", "app", "10.0.0.1:80", "hall-1", "v1", 8, False, 1000)
 RESTARTED = msgspec.structs.replace(FIRST, started_unix_ms=2000)
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -2,7 +2,6 @@
 
 import msgspec
 import testtools
-from ashlatch.fleet.evaluation import DEFAULT_PLAN
 
 from ashlatch.catalog import (
     Endpoint,
@@ -11,6 +10,7 @@
     RolloutStage,
     SessionHashes,
 )
+from ashlatch.fleet.evaluation import DEFAULT_PLAN
 from ashlatch.fleet.leader import RolloutController
 from ashlatch.gateway.tally import Tally, TallyKey
 
--- a/tests/test_limit_load.py
+++ b/tests/test_limit_load.py
@@ -11,8 +11,6 @@
 from functools import partial
 
 import testtools
-from ashlatch.gateway.updates import RateLimitChanged
-from tests.limit_simulation import LimitWorld, Network
 
 from ashlatch.gateway.cold import GATEWAYS_KNOWN_MS, ColdSendLimiter
 from ashlatch.gateway.limits import (
@@ -21,6 +19,7 @@
     apply_peer_limit,
     limit_wait_ms,
 )
+from ashlatch.gateway.updates import RateLimitChanged
 from ashlatch.policy.rate_limit import (
     BURST_S,
     DEBT_MAX_S,
@@ -29,6 +28,7 @@
     LimitSharing,
     RateLimit,
 )
+from tests.limit_simulation import LimitWorld, Network
 from tests.limited import allowed, most_within
 
 SIZES = (7, 61, 195)
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -3,16 +3,15 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from ashlatch.gateway.liveness import LivenessProber
-from tests.stub_server import StubServer
-
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.gateway.directory import Directory, EndpointState
+from ashlatch.gateway.liveness import LivenessProber
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.http.upstream import CONNECT_TIMED_OUT, ConnectFailed, Upstream
 from ashlatch.platform.document import decode_catalog
 from tests import stub_server
 from tests.gateway import STREAM_HEADERS, GatewayHarness, build_request, hang
+from tests.stub_server import StubServer
 
 # Longer than any wait in these tests, so that no wait ends by a route's target.
 TARGET_MS = 2400
--- a/tests/test_malformed_input.py
+++ b/tests/test_malformed_input.py
@@ -17,7 +17,6 @@
 import testtools
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from tests.stub_server import StubServer
 
 from ashlatch.fleet.discovery import ListReader, ListUnreadable
 from ashlatch.http.connection import HttpRequest
@@ -27,6 +26,7 @@
 from ashlatch.platform.memory import decode_memory
 from ashlatch.platform.reading import JsonUnreadable
 from tests import stub_server
+from tests.stub_server import StubServer
 
 ENTRY = {
     "id": "i-1",
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -4,17 +4,17 @@
 from collections.abc import Awaitable, Callable
 
 import testtools
+
+from ashlatch.catalog import Endpoint, GatewayVm, Rollout, RolloutStage
+from ashlatch.gateway.directory import BREAKER_OPEN_MS, REPLACED_MS, EndpointState
+from ashlatch.gateway.peers import PeerProtocol
+from ashlatch.gateway.traffic import TrafficCounter
 from ashlatch.gateway.updates import (
     EndpointRefuses,
     EndpointReplaced,
     PromptSent,
     SessionMoved,
 )
-
-from ashlatch.catalog import Endpoint, GatewayVm, Rollout, RolloutStage
-from ashlatch.gateway.directory import BREAKER_OPEN_MS, REPLACED_MS, EndpointState
-from ashlatch.gateway.peers import PeerProtocol
-from ashlatch.gateway.traffic import TrafficCounter
 from tests.system import HOST, free_port
 from tests.test_forecast import gateway_context
 
--- a/tests/test_prefill_rate.py
+++ b/tests/test_prefill_rate.py
@@ -8,13 +8,13 @@
 """
 
 import testtools
-from ashlatch.fleet.soft_state import SoftState
-from ashlatch.gateway.latency_model import TOKEN_MS_PRIOR, UNREPORTED_MAX, LatencyModel
-from ashlatch.policy.prefill_rate import RATES_MAX, PrefillRate, PrefillRates
 
 from ashlatch.catalog import CoreVm
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncRequest
+from ashlatch.fleet.soft_state import SoftState
+from ashlatch.gateway.latency_model import TOKEN_MS_PRIOR, UNREPORTED_MAX, LatencyModel
+from ashlatch.policy.prefill_rate import RATES_MAX, PrefillRate, PrefillRates
 
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
 SMALL_MS = 0.003
--- a/tests/test_prefix_cache.py
+++ b/tests/test_prefix_cache.py
@@ -1,7 +1,9 @@
 """Tests the gateways' estimates of prefix caches, and the reports about prefills."""
 
 import testtools
+
 from ashlatch.fleet.prefill_log import PREFILLS_MAX, PrefillLog
+from ashlatch.gateway.message import PromptPart
 from ashlatch.gateway.prefix_cache import (
     EXPIRY_MS,
     RECENT_USE_MS,
@@ -9,8 +11,6 @@
     PromptPrefill,
 )
 
-from ashlatch.gateway.message import PromptPart
-
 SHARED = PromptPart("shared", 1000)
 SUBJECT = PromptPart("subject", 5000)
 OWN = PromptPart("own", 300)
--- a/tests/test_prefix_caches.py
+++ b/tests/test_prefix_caches.py
@@ -4,12 +4,12 @@
 import json
 
 import testtools
-from ashlatch.fleet.prefix_caches import PART_TOKENS_MIN, PARTS_MAX, read_prefix_caches
-from ashlatch.gateway.prefix_cache import PromptPrefill
-from tests.stub_server import Script, StubServer, answer_with
 
 from ashlatch.catalog import Endpoint
+from ashlatch.fleet.prefix_caches import PART_TOKENS_MIN, PARTS_MAX, read_prefix_caches
+from ashlatch.gateway.prefix_cache import PromptPrefill
 from tests.gateway import hang
+from tests.stub_server import Script, StubServer, answer_with
 
 HeldParts = list[list[object]]
 
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -2,13 +2,12 @@
 
 import asyncio
 
-from tests.stub_server import ReceivedRequest, StubServer
-
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.platform.document import decode_catalog
 from tests import stub_server
 from tests.gateway import STREAM_HEADERS, GatewayHarness, build_request
+from tests.stub_server import ReceivedRequest, StubServer
 
 REGIONS = {"hall-1": "north", "hall-2": "south", "hall-3": "west"}
 
--- a/tests/test_router_backoff.py
+++ b/tests/test_router_backoff.py
@@ -5,7 +5,6 @@
 from collections.abc import Callable
 
 import testtools
-from tests.small_system import start_small_system
 
 from ashlatch.adapter.notices import EndpointNotice, decode_notice
 from ashlatch.http.client import Reply
@@ -14,6 +13,7 @@
 from ashlatch.router.effect import Effect, ScheduleHedge, StartAttempt
 from ashlatch.router.event import Broken, EndpointNoticeReceived, HedgeDue, Rejected
 from tests.shedding import GRACE_S, WITHIN_BACKOFF_MAX
+from tests.small_system import start_small_system
 from tests.test_router import NOW_MS, ORDER, RouterTest
 
 _HANDLER_MODULES = (notices,)
--- a/tests/test_router_crashes.py
+++ b/tests/test_router_crashes.py
@@ -11,8 +11,6 @@
 import time
 
 import testtools
-from ashlatch.router.quarantine import request_fingerprint
-from tests.small_system import SmallSystem, start_small_system
 
 from ashlatch.adapter.liveness import refuses_connections
 from ashlatch.http import problem as problems
@@ -25,9 +23,11 @@
     CrashRecordsReceived,
     RequestArrived,
 )
+from ashlatch.router.quarantine import request_fingerprint
 from ashlatch.store.command import NoteCrashes
 from ashlatch.store.machine import Machine
 from tests.deployment import KENYA, wait_for_endpoints
+from tests.small_system import SmallSystem, start_small_system
 from tests.system import HOST, Fake, wait_until
 from tests.test_router import ANSWER, NOW_MS, ORDER, RouterTest, request
 
--- a/tests/test_router_failures.py
+++ b/tests/test_router_failures.py
@@ -10,6 +10,8 @@
 from typing import Any
 
 import testtools
+
+from tests.chat import StreamedAnswer, chat_body, chat_stream, headers, service
 from tests.small_system import (
     KEY,
     ORDERS,
@@ -18,8 +20,6 @@
     SmallSystem,
     start_small_system,
 )
-
-from tests.chat import StreamedAnswer, chat_body, chat_stream, headers, service
 from tests.system import HOST, request, wait_until
 
 
--- a/tests/test_router_limits.py
+++ b/tests/test_router_limits.py
@@ -12,7 +12,6 @@
 from concurrent.futures import Future, ThreadPoolExecutor
 
 import testtools
-from tests.small_system import SmallSystem, start_small_system
 
 from ashlatch.adapter.notices import decode_notice
 from ashlatch.http.client import Reply
@@ -31,6 +30,7 @@
     RequestArrived,
 )
 from tests.limited import allowed, most_within
+from tests.small_system import SmallSystem, start_small_system
 from tests.test_router import ANSWER, NOW_MS, ORDER, RouterTest, request, table
 
 _HANDLER_MODULES = (notices,)
--- a/tests/test_shed_load.py
+++ b/tests/test_shed_load.py
@@ -1,10 +1,10 @@
 """Simulations of many gateways and endpoints that shed, while others have capacity."""
 
 import testtools
-from tests.shed_simulation import run_shedding
 
 from ashlatch.policy.backoff import Backoff
 from tests.backoff_soak import run_world
+from tests.shed_simulation import run_shedding
 from tests.shedding import WITHIN_BACKOFF_MAX
 
 # The share of refused requests, which occur only until the gateways know all endpoints
--- a/tests/test_soft_state.py
+++ b/tests/test_soft_state.py
@@ -1,6 +1,10 @@
 """Tests of the soft state that core VMs exchange."""
 
 import testtools
+
+from ashlatch.catalog import CoreVm, EndpointList, GatewayVm, SessionHashes
+from ashlatch.fleet.machine import FleetState
+from ashlatch.fleet.protocol import SyncReply, SyncRequest, gateways_digest
 from ashlatch.fleet.soft_state import (
     GATEWAYS_SETTLE_MS,
     PENDING_PREFILLS_MAX,
@@ -8,10 +12,6 @@
 )
 from ashlatch.gateway.prefix_cache import PromptPrefill
 
-from ashlatch.catalog import CoreVm, EndpointList, GatewayVm, SessionHashes
-from ashlatch.fleet.machine import FleetState
-from ashlatch.fleet.protocol import SyncReply, SyncRequest, gateways_digest
-
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
 ONE = GatewayVm("10.0.0.1:7000", "hall-1")
 TWO = GatewayVm("10.0.0.2:7000", "hall-2")
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -8,10 +8,10 @@
 
 import msgspec
 import testtools
-from ashlatch.gateway.timeouts import connect_timeout_s
 
 from ashlatch.catalog import Endpoint, EndpointList, Route
 from ashlatch.gateway.routing import RouteTable
+from ashlatch.gateway.timeouts import connect_timeout_s
 from ashlatch.http.upstream import CONNECT_TIMED_OUT, ConnectFailed, Upstream
 from ashlatch.platform.document import decode_catalog
 from tests import stub_server
