--- a/ashlatch/cmdline/daemon.py
+++ b/ashlatch/cmdline/daemon.py
@@ -37,14 +37,7 @@
     load,
 )
 
-__all__ = [
-    "EXIT_FAILED",
-    "EXIT_SETTINGS",
-    "Daemon",
-    "Ending",
-    "load_or_exit",
-    "run",
-]
+__all__ = ["EXIT_FAILED", "EXIT_SETTINGS", "Daemon", "Ending", "load_or_exit", "run"]
 
 EXIT_FAILED = 1
 EXIT_SETTINGS = 2
--- a/ashlatch/fleet/daemon.py
+++ b/ashlatch/fleet/daemon.py
@@ -68,9 +68,7 @@
 from ashlatch.store.transport import Transport
 from ashlatch.suspension import watch_suspension
 
-__all__ = [
-    "CoreDaemon",
-]
+__all__ = ["CoreDaemon"]
 
 
 log = logging.getLogger("ashlatch.fleet")
--- a/ashlatch/fleet/leader.py
+++ b/ashlatch/fleet/leader.py
@@ -31,10 +31,7 @@
 from ashlatch.gateway.tally import Tally
 from ashlatch.log import emit
 
-__all__ = [
-    "ListPoller",
-    "RolloutController",
-]
+__all__ = ["ListPoller", "RolloutController"]
 
 
 log = logging.getLogger("ashlatch.fleet")
--- a/ashlatch/fleet/leader_link.py
+++ b/ashlatch/fleet/leader_link.py
@@ -26,9 +26,7 @@
 from ashlatch.log import emit
 from ashlatch.raft.group import GroupStatus
 
-__all__ = [
-    "LeaderLink",
-]
+__all__ = ["LeaderLink"]
 
 
 log = logging.getLogger("ashlatch.fleet")
--- a/ashlatch/fleet/prefill_log.py
+++ b/ashlatch/fleet/prefill_log.py
@@ -15,10 +15,7 @@
 
 from ashlatch.gateway.prefix_cache import PromptPrefill
 
-__all__ = [
-    "PrefillLog",
-]
-
+__all__ = ["PrefillLog"]
 
 # The number of prefills retained for gateways that have just started: about 50 KB.
 PREFILLS_MAX = 1024
--- a/ashlatch/fleet/prefix_caches.py
+++ b/ashlatch/fleet/prefix_caches.py
@@ -31,10 +31,7 @@
 )
 from ashlatch.platform.reading import JsonUnreadable
 
-__all__ = [
-    "MemoryUnreadable",
-    "read_prefix_caches",
-]
+__all__ = ["MemoryUnreadable", "read_prefix_caches"]
 
 
 log = logging.getLogger("ashlatch.fleet")
--- a/ashlatch/fleet/soft_state.py
+++ b/ashlatch/fleet/soft_state.py
@@ -23,11 +23,7 @@
 from ashlatch.policy.prefill_rate import PrefillRates
 from ashlatch.policy.quarantine import UnloggedCrashes
 
-__all__ = [
-    "SoftState",
-    "has_updates",
-]
-
+__all__ = ["SoftState", "has_updates"]
 
 # A core VM whose last reply from the leader is older reports this to gateways.
 LEADER_TIMEOUT_MS = 1500.0
--- a/ashlatch/gateway/attempt.py
+++ b/ashlatch/gateway/attempt.py
@@ -24,12 +24,7 @@
 from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
 from ashlatch.platform.headers import decode_answer, endpoint_headers
 
-__all__ = [
-    "Attempt",
-    "AttemptFailed",
-    "FailureKind",
-]
-
+__all__ = ["Attempt", "AttemptFailed", "FailureKind"]
 
 R = TypeVar("R")
 
--- a/ashlatch/gateway/choice.py
+++ b/ashlatch/gateway/choice.py
@@ -32,7 +32,6 @@
     "EscalationDecision",
 ]
 
-
 # An answer with a lower confidence is asked again of the largest model.
 CONFIDENCE_MIN = 50.0
 # Engines serve prompts in classes by their prefill time, bounded by these values,
--- a/ashlatch/gateway/chooser.py
+++ b/ashlatch/gateway/chooser.py
@@ -22,10 +22,7 @@
 from ashlatch.gateway.versions import AllowedEndpoints
 from ashlatch.policy.permission import DenialReason
 
-__all__ = [
-    "EndpointChooser",
-]
-
+__all__ = ["EndpointChooser"]
 
 # The retry time when only endpoints in evacuated halls are left. Operators end an
 # evacuation after seconds to hours, and a caller with seconds left should try once
--- a/ashlatch/gateway/crash_detector.py
+++ b/ashlatch/gateway/crash_detector.py
@@ -29,11 +29,7 @@
 from ashlatch.log import emit
 from ashlatch.policy.quarantine import CrashRecord
 
-__all__ = [
-    "CrashDetector",
-    "apply_peer_crashes",
-    "record_refusal",
-]
+__all__ = ["CrashDetector", "apply_peer_crashes", "record_refusal"]
 
 
 log = logging.getLogger("ashlatch.gateway")
--- a/ashlatch/gateway/daemon.py
+++ b/ashlatch/gateway/daemon.py
@@ -46,9 +46,7 @@
 from ashlatch.settings import GatewaySettings
 from ashlatch.suspension import watch_suspension
 
-__all__ = [
-    "GatewayDaemon",
-]
+__all__ = ["GatewayDaemon"]
 
 
 log = logging.getLogger("ashlatch.gateway")
--- a/ashlatch/gateway/exchange.py
+++ b/ashlatch/gateway/exchange.py
@@ -42,10 +42,7 @@
 )
 from ashlatch.http.connection import CallerGone, Headers, Responder
 
-__all__ = [
-    "Exchange",
-]
-
+__all__ = ["Exchange"]
 
 # Endpoints that cannot be reached, or that have gone from their address, have not run
 # the request, so they do not count as attempts. The limit keeps a request from trying
--- a/ashlatch/gateway/latency_model.py
+++ b/ashlatch/gateway/latency_model.py
@@ -16,10 +16,7 @@
 
 from ashlatch.policy.prefill_rate import PrefillRate, PrefillRates
 
-__all__ = [
-    "LatencyModel",
-]
-
+__all__ = ["LatencyModel"]
 
 # The weight of each answer in the moving estimate of the wait.
 GAIN = 0.15
--- a/ashlatch/gateway/notices.py
+++ b/ashlatch/gateway/notices.py
@@ -18,10 +18,7 @@
 from ashlatch.gateway.updates import BackoffRequested, EndpointLeaving
 from ashlatch.log import emit
 
-__all__ = [
-    "apply_notice",
-    "mark_leaving",
-]
+__all__ = ["apply_notice", "mark_leaving"]
 
 
 log = logging.getLogger("ashlatch.gateway")
--- a/ashlatch/gateway/peer_updates.py
+++ b/ashlatch/gateway/peer_updates.py
@@ -39,10 +39,7 @@
 from ashlatch.policy.load_advertisement import load_level
 from ashlatch.registry import Handlers
 
-__all__ = [
-    "PEER_HANDLERS",
-    "Sender",
-]
+__all__ = ["PEER_HANDLERS", "Sender"]
 
 
 log = logging.getLogger("ashlatch.gateway")
--- a/ashlatch/gateway/peers.py
+++ b/ashlatch/gateway/peers.py
@@ -47,9 +47,7 @@
 from ashlatch.policy.load_advertisement import load_level
 from ashlatch.rpc import Address
 
-__all__ = [
-    "PeerProtocol",
-]
+__all__ = ["PeerProtocol"]
 
 
 log = logging.getLogger("ashlatch.gateway")
--- a/ashlatch/gateway/permission.py
+++ b/ashlatch/gateway/permission.py
@@ -16,9 +16,7 @@
 from ashlatch.gateway.limits import limit_wait_ms
 from ashlatch.policy.permission import ALLOWED, DenialReason, Permission, combine
 
-__all__ = [
-    "send_permission",
-]
+__all__ = ["send_permission"]
 
 
 def send_permission(
--- a/ashlatch/gateway/reports.py
+++ b/ashlatch/gateway/reports.py
@@ -15,9 +15,7 @@
 from ashlatch.gateway.updates import LoadReported
 from ashlatch.policy.load_advertisement import load_level
 
-__all__ = [
-    "broadcast_load",
-]
+__all__ = ["broadcast_load"]
 
 
 def broadcast_load(
--- a/ashlatch/gateway/retry_time.py
+++ b/ashlatch/gateway/retry_time.py
@@ -18,11 +18,7 @@
 from ashlatch.gateway.permission import send_permission
 from ashlatch.policy.permission import DenialReason
 
-__all__ = [
-    "RetryTime",
-    "find_retry_time",
-]
-
+__all__ = ["RetryTime", "find_retry_time"]
 
 SECOND_MS = 1000.0
 # A caller should try again after this time at the latest.
--- a/ashlatch/gateway/sync.py
+++ b/ashlatch/gateway/sync.py
@@ -40,9 +40,7 @@
 from ashlatch.policy.prefill_rate import PrefillRate
 from ashlatch.policy.quarantine import CrashRecord
 
-__all__ = [
-    "CoreSync",
-]
+__all__ = ["CoreSync"]
 
 
 log = logging.getLogger("ashlatch.gateway")
--- a/ashlatch/router/admission.py
+++ b/ashlatch/router/admission.py
@@ -36,7 +36,6 @@
 
 __all__ = []
 
-
 CLAIM_RETRY_MS = 100.0
 NO_STATE_RETRY_MS = 1000.0
 DRAIN_RETRY_MS = 1000.0
--- a/ashlatch/router/attempt.py
+++ b/ashlatch/router/attempt.py
@@ -47,7 +47,6 @@
 
 __all__ = []
 
-
 ANSWER_RETRY_MS = 100.0
 RESUME_MAX = 2
 NO_STATE_RETRY_MS = 1000.0
--- a/ashlatch/router/attempt_results.py
+++ b/ashlatch/router/attempt_results.py
@@ -14,10 +14,7 @@
 from ashlatch.router.event import Answered, AttemptResult, Broken, Rejected
 from ashlatch.router.quarantine import record_completion, record_crash
 
-__all__ = [
-    "record_result",
-]
-
+__all__ = ["record_result"]
 
 DEADLINE_TOLERANCE_MS = 10.0
 
--- a/ashlatch/router/daemon.py
+++ b/ashlatch/router/daemon.py
@@ -58,10 +58,7 @@
 from ashlatch.settings import RouterSettings
 from ashlatch.store.protocol import RouterPoll, RouterReply, VersionReport
 
-__all__ = [
-    "RouterDaemon",
-    "configuration_changed",
-]
+__all__ = ["RouterDaemon", "configuration_changed"]
 
 
 log = logging.getLogger("ashlatch.router")
--- a/ashlatch/router/plan.py
+++ b/ashlatch/router/plan.py
@@ -26,11 +26,7 @@
 from ashlatch.router.rollouts import apply_rollouts, has_suspected_successor
 from ashlatch.settings import PolicySettings
 
-__all__ = [
-    "Planner",
-    "ReadyEndpoint",
-]
-
+__all__ = ["Planner", "ReadyEndpoint"]
 
 OTHER_HALL_LATENCY_MS = 2.0
 EXPECTED_OUTPUT_TOKENS = 200
