--- a/ashlatch/client.py
+++ b/ashlatch/client.py
@@ -22,7 +22,7 @@
 from ashlatch.store import protocol
 from ashlatch.store.command import Command, Outcome
 from ashlatch.store.slots import FIRST_GROUP, slot_of
-from ashlatch.store.status import merged
+from ashlatch.store.status import merge_statuses
 
 __all__ = ["StateClient"]
 
@@ -103,7 +103,7 @@
     async def _status(self) -> protocol.StateStatus:
         first = await self._group_status(FIRST_GROUP)
         others = [self._group_status(group) for group in range(1, first.groups)]
-        return merged(first, await asyncio.gather(*others))
+        return merge_statuses(first, await asyncio.gather(*others))
 
     async def _group_status(self, group: int) -> protocol.StateStatus:
         request = protocol.ReadRequest("-", status=True, group=group)
--- a/ashlatch/fleet/daemon.py
+++ b/ashlatch/fleet/daemon.py
@@ -106,7 +106,7 @@
         self._transport = Transport(
             self.rpc, self.member, lambda message: self.group.post(Received(message))
         )
-        self.group.deliver = self._transport.send
+        self.group.send_messages = self._transport.send
         self._peers = PeerConnections()
         self._commands = CommandClient(
             settings.losses_max, self._peers, lambda: self.group, lambda: self.machine
@@ -151,15 +151,15 @@
                 election_min_ms=settings.election_min_ms,
                 election_max_ms=settings.election_max_ms,
                 clock_drift_ratio=settings.clock_drift_ratio,
-                fresh_ask_ms=settings.heartbeat_ms,
+                fresh_start_poll_ms=settings.heartbeat_ms,
             ),
             storage,
             self.member.member_id,
             self.machine,
             settings.snapshot_every_records,
         )
-        self.group.changed = lambda: self.rpc.post(self._on_group_changed)
-        self.group.failed = self._on_group_failed
+        self.group.on_change = lambda: self.rpc.post(self._on_group_changed)
+        self.group.on_failure = self._on_group_failed
 
     def _on_group_failed(self, error: BaseException) -> None:
         """Called on the group's thread when the group cannot go on."""
@@ -189,7 +189,7 @@
                 refused = DiskReopenFailed(self.member.member_id, str(reopen_error))
                 emit(log, refused, logging.DEBUG)
                 continue
-            self.group.deliver = self._transport.send
+            self.group.send_messages = self._transport.send
             self.group.start()
             away_ms = int(monotonic_ms() - failed_ms)
             emit(log, DiskReopened(self.member.member_id, away_ms))
@@ -214,7 +214,7 @@
 
     async def _start(self) -> None:
         service = RpcService()
-        service.add(store_protocol.DELIVER, self._transport.take)
+        service.add(store_protocol.DELIVER, self._transport.receive_batch)
         service.add(SYNC, self._handle_sync)
         service.add(JOIN, self._handle_join)
         service.add(COMMAND, self._commands.handle_command)
@@ -396,7 +396,7 @@
             return tuple(self.machine.state.rollouts.values())
 
     def _member_addresses(self) -> tuple[str, ...]:
-        return tuple(m.address for m in self.group.status.members.everyone())
+        return tuple(m.address for m in self.group.status.members.all_members())
 
     def _join_addresses(self) -> tuple[str, ...]:
         """Returns the addresses to ask for the leader: the members and the seeds."""
--- a/ashlatch/fleet/machine.py
+++ b/ashlatch/fleet/machine.py
@@ -123,7 +123,7 @@
 
 
 class FleetMachine:
-    """Applies commands to a `FleetState`; the `Replica` of the core's group."""
+    """Applies commands to a `FleetState`; the `StateMachine` of the core's group."""
 
     def __init__(self) -> None:
         self.state = FleetState()
--- a/ashlatch/fleet/membership.py
+++ b/ashlatch/fleet/membership.py
@@ -52,11 +52,11 @@
     """
     spare_voters = len(status.members.voters) - (2 * losses_max + 1)
     unresponsive: tuple[Member, float] | None = None
-    for member in status.members.everyone():
+    for member in status.members.all_members():
         # A member that never answered counts from when it was added or the leader
         # began.
         answered_ms = max(
-            status.answered_ms.get(member.member_id, 0.0),
+            status.acked_ms.get(member.member_id, 0.0),
             status.added_ms.get(member.member_id, status.leading_since_ms),
         )
         unresponsive_ms = now_ms - answered_ms
--- a/ashlatch/raft/core.py
+++ b/ashlatch/raft/core.py
@@ -21,10 +21,10 @@
 from ashlatch.raft.effect import (
     AppendLog,
     Apply,
-    Boot,
     Effect,
     Event,
     LeadershipChanged,
+    PersistentState,
     SaveVote,
     Send,
 )
@@ -61,7 +61,7 @@
     clock_drift_ratio: float = 0.05
     message_bytes: int = 262_144
     seed: int = 0
-    fresh_ask_ms: float = 0.0
+    fresh_start_poll_ms: float = 0.0
 
 
 @dataclass
@@ -85,14 +85,14 @@
     """One member. Call `step` with every event, in order, from one thread."""
 
     config: RaftConfig
-    boot: Boot
+    initial_state: PersistentState
     now_ms: float
 
     role: Role = Role.FOLLOWER
     leader_id: str = ""
     commit_index: int = 0
     votes: set[str] = field(default_factory=set)
-    fresh_votes: set[str] = field(default_factory=set)
+    fresh_start_votes: set[str] = field(default_factory=set)
     progress: dict[str, Progress] = field(default_factory=dict)
     effects: list[Effect] = field(default_factory=list)
     snapshot_parts: list[bytes] = field(default_factory=list)
@@ -101,7 +101,7 @@
     leading_since_ms: float = 0.0
 
     def __post_init__(self) -> None:
-        boot = self.boot
+        boot = self.initial_state
         self.member_id = boot.member_id
         self.term = boot.term
         self.voted_for = boot.voted_for
@@ -113,11 +113,11 @@
         self.random = random.Random(f"{self.config.seed}/{self.member_id}")
         # A member that has just started may have acknowledged a leader right
         # before; it keeps its vote for as long as that leader's lease can run.
-        self.leader_heard_ms = self.now_ms
+        self.leader_contact_ms = self.now_ms
         # Until it hears or becomes one, it has known no leader in this life.
-        self.fresh = True
+        self.fresh_start = True
         self.reset_election_timer()
-        self.reset_fresh_timer()
+        self.reset_fresh_start_timer()
 
     def step(self, now_ms: float, event: Event) -> list[Effect]:
         """Handle one event and return what must be done, in order."""
@@ -172,7 +172,7 @@
 
     # Shared steps of the handlers.
 
-    def peer(self, member_id: str) -> Member:
+    def reply_target(self, member_id: str) -> Member:
         """Where to answer a sender, also one that the log does not name yet.
 
         The host knows the address that such a sender gave with its message.
@@ -197,12 +197,14 @@
         )
         self.election_due_ms = self.now_ms + wait_ms
 
-    def reset_fresh_timer(self) -> None:
+    def reset_fresh_start_timer(self) -> None:
         """Draw when to ask next whether all members have just started."""
-        every_ms = self.config.fresh_ask_ms
-        self.fresh_due_ms = float("inf")
+        every_ms = self.config.fresh_start_poll_ms
+        self.fresh_start_due_ms = float("inf")
         if every_ms > 0:
-            self.fresh_due_ms = self.now_ms + every_ms * self.random.uniform(0.5, 1.5)
+            self.fresh_start_due_ms = self.now_ms + every_ms * self.random.uniform(
+                0.5, 1.5
+            )
 
     def save_vote(self, term: int, voted_for: str) -> None:
         """Enter a term, or vote in it, durably."""
@@ -224,7 +226,7 @@
         if was != (self.role, self.leader_id, self.term):
             self.effects.append(LeadershipChanged(self.term, False, self.leader))
 
-    def append_own(self, command: bytes, members: Members | None = None) -> Entry:
+    def append_as_leader(self, command: bytes, members: Members | None = None) -> Entry:
         """As the leader, put one entry at the end of the log."""
         entry = Entry(self.log.last_index + 1, self.term, command, members)
         self.append((entry,))
--- a/ashlatch/raft/effect.py
+++ b/ashlatch/raft/effect.py
@@ -16,14 +16,14 @@
     "AddLearner",
     "AppendLog",
     "Apply",
-    "Boot",
     "Effect",
     "Event",
     "Flush",
     "InstallSnapshot",
     "LeadershipChanged",
-    "Propose",
+    "PersistentState",
     "ProposalRefused",
+    "Propose",
     "Proposed",
     "Received",
     "RemoveMember",
@@ -52,7 +52,7 @@
 class Propose:
     """A client's command; `ticket` names the proposal in the effects."""
 
-    ticket: int
+    proposal_id: int
     command: bytes
 
 
@@ -154,7 +154,7 @@
 class Proposed:
     """The proposal took this place in the log; not committed yet."""
 
-    ticket: int
+    proposal_id: int
     index: int
     term: int
 
@@ -163,7 +163,7 @@
 class ProposalRefused:
     """The proposal was not taken, because this member does not lead."""
 
-    ticket: int
+    proposal_id: int
 
 
 @dataclass(frozen=True)
@@ -189,7 +189,7 @@
 
 
 @dataclass(frozen=True)
-class Boot:
+class PersistentState:
     """What a data folder holds when the process starts.
 
     The snapshot's members are empty for a folder that belongs to no group
--- a/ashlatch/raft/election.py
+++ b/ashlatch/raft/election.py
@@ -15,7 +15,7 @@
 from ashlatch.raft.effect import LeadershipChanged, Received, Tick
 from ashlatch.raft.membership import advance_repair
 from ashlatch.raft.message import VoteReply, VoteRequest
-from ashlatch.raft.replication import broadcast, receive_replication
+from ashlatch.raft.replication import broadcast, handle_replication
 from ashlatch.registry import Handlers
 
 __all__ = ["receive", "tick"]
@@ -29,7 +29,7 @@
     if core.leading:
         _lead(core)
         return
-    if core.fresh and core.now_ms >= core.fresh_due_ms:
+    if core.fresh_start and core.now_ms >= core.fresh_start_due_ms:
         _ask_whether_fresh(core)
     if core.now_ms < core.election_due_ms:
         return
@@ -50,7 +50,7 @@
     if type(message) in _MESSAGES.types():
         _MESSAGES.call(core, message)
     else:
-        receive_replication(core, message)
+        handle_replication(core, message)
 
 
 def _lead(core: RaftCore) -> None:
@@ -72,11 +72,11 @@
     voter that has not started again since; if all voters have just started,
     there is none.
     """
-    core.reset_fresh_timer()
+    core.reset_fresh_start_timer()
     idle = core.role in (Role.FOLLOWER, Role.PRE_CANDIDATE)
     if not idle or core.member_id not in core.members.voter_ids():
         return
-    core.fresh_votes = {core.member_id}
+    core.fresh_start_votes = {core.member_id}
     request = VoteRequest(
         core.config.group,
         core.member_id,
@@ -84,7 +84,7 @@
         core.log.last_index,
         core.log.last_term,
         pre=True,
-        fresh=True,
+        fresh_start=True,
     )
     for voter in core.members.voters:
         if voter.member_id != core.member_id:
@@ -92,10 +92,10 @@
 
 
 def _fresh_vote_answered(core: RaftCore, reply: VoteReply) -> None:
-    if not core.fresh or reply.term != core.term + 1:
+    if not core.fresh_start or reply.term != core.term + 1:
         return
-    core.fresh_votes.add(reply.sender)
-    if core.fresh_votes >= core.members.voter_ids():
+    core.fresh_start_votes.add(reply.sender)
+    if core.fresh_start_votes >= core.members.voter_ids():
         core.reset_election_timer()
         _ask_votes(core, pre=False, fresh=True)
 
@@ -136,26 +136,26 @@
 
 def _become_leader(core: RaftCore) -> None:
     core.role = Role.LEADER
-    core.fresh = False
+    core.fresh_start = False
     core.leader_id = core.member_id
     core.heartbeat_due_ms = core.now_ms
     core.progress = {}
-    for member in core.members.everyone():
+    for member in core.members.all_members():
         core.progress[member.member_id] = Progress(core.now_ms, core.log.last_index + 1)
     core.leading_since_ms = core.now_ms
     core.effects.append(LeadershipChanged(core.term, True, core.leader))
-    core.append_own(b"")
+    core.append_as_leader(b"")
     broadcast(core, heartbeat=True)
 
 
 def _leader_is_alive(core: RaftCore) -> bool:
-    heard_for_ms = core.now_ms - core.leader_heard_ms
+    heard_for_ms = core.now_ms - core.leader_contact_ms
     return core.leading or heard_for_ms < core.config.election_min_ms
 
 
 @_MESSAGES.on(VoteRequest)
 def _vote_requested(core: RaftCore, request: VoteRequest) -> None:
-    fresh = core.fresh and request.fresh
+    fresh = core.fresh_start and request.fresh_start
     free = fresh or not _leader_is_alive(core)
     if request.term > core.term and not request.pre and free:
         core.become_follower(request.term)
@@ -172,7 +172,7 @@
         core.term,
         granted and fresh and request.pre,
     )
-    core.send(core.peer(request.sender), reply, after_sync=True)
+    core.send(core.reply_target(request.sender), reply, after_sync=True)
 
 
 def _would_vote(core: RaftCore, request: VoteRequest) -> bool:
@@ -193,7 +193,7 @@
         # never be given a pre-vote.
         core.become_follower(reply.voter_term)
         return
-    if reply.fresh:
+    if reply.fresh_start:
         _fresh_vote_answered(core, reply)
         return
     expected = {
--- a/ashlatch/raft/group.py
+++ b/ashlatch/raft/group.py
@@ -43,7 +43,7 @@
 from ashlatch.raft.message import Entry, Member, Members, Message
 from ashlatch.raft.storage import GroupStorage
 
-__all__ = ["Group", "GroupStatus", "NotLeading", "Replica"]
+__all__ = ["Group", "GroupStatus", "NotLeading", "StateMachine"]
 
 TICK_MS = 20.0
 MAX_BATCH = 512
@@ -65,7 +65,7 @@
     lost: bool
 
 
-class Replica(Protocol):
+class StateMachine(Protocol):
     """The state machine that a group drives."""
 
     def apply(self, command: bytes) -> Any:
@@ -94,7 +94,7 @@
     members: Members
     members_committed: bool
     match_index: dict[str, int]
-    answered_ms: dict[str, float]
+    acked_ms: dict[str, float]
     added_ms: dict[str, float]
 
     def may_read(self, now_ms: float) -> bool:
@@ -121,16 +121,18 @@
         config: RaftConfig,
         storage: GroupStorage,
         member_id: str,
-        replica: Replica,
+        state_machine: StateMachine,
         snapshot_every: int,
     ) -> None:
         boot = storage.load(member_id)
         self.config = config
-        self.replica = replica
+        self.state_machine = state_machine
         self.lock = threading.Lock()
-        self.deliver: Callable[[list[tuple[Member, Message]]], None] = lambda sent: None
-        self.changed: Callable[[], None] = lambda: None
-        self.failed: Callable[[BaseException], None] = lambda error: None
+        self.send_messages: Callable[[list[tuple[Member, Message]]], None] = (
+            lambda sent: None
+        )
+        self.on_change: Callable[[], None] = lambda: None
+        self.on_failure: Callable[[BaseException], None] = lambda error: None
         self._storage = storage
         self._snapshot_every = snapshot_every
         self._inbox: queue.SimpleQueue[Event | None] = queue.SimpleQueue()
@@ -138,7 +140,7 @@
         self._waiting: dict[int, _Waiting] = {}
         self._next_ticket = 0
         self._ticket_lock = threading.Lock()
-        replica.restore(boot.snapshot_data)
+        state_machine.restore(boot.snapshot_data)
         self.applied_index = boot.snapshot.index
         self._core = RaftCore(config, boot, monotonic_ms())
         self.status = self._describe()
@@ -186,7 +188,7 @@
                 self.status, leading=False, readable=False, leader_address=""
             )
             self._storage.close()
-            self.failed(error)
+            self.on_failure(error)
             self._fail_all(lost=True)
 
     def _round(self) -> bool:
@@ -203,7 +205,7 @@
         applied = self._perform_all(effects)
         self.status = self._describe()
         if applied:
-            self.changed()
+            self.on_change()
         return True
 
     def _next_batch(self) -> list[Event | None]:
@@ -236,9 +238,9 @@
         # A new term must be on the disk before anything is said in it.
         early = [] if votes else [send for send in sends if not send.after_sync]
         late = sends if votes else [send for send in sends if send.after_sync]
-        self.deliver([(send.to, send.message) for send in early])
+        self.send_messages([(send.to, send.message) for send in early])
         last = self._write(effects)
-        self.deliver([(send.to, send.message) for send in late])
+        self.send_messages([(send.to, send.message) for send in late])
         for effect in effects:
             self._take(effect)
         return last
@@ -265,7 +267,7 @@
                 self._apply(entries)
             case InstallSnapshot(meta, data):
                 with self.lock:
-                    self.replica.restore(data)
+                    self.state_machine.restore(data)
                 self.applied_index = meta.index
             case Proposed(ticket, index, term):
                 self._waiting[index] = _Waiting(term, self._proposals.pop(ticket))
@@ -281,7 +283,7 @@
             outcome = None
             if entry.command:
                 with self.lock:
-                    outcome = self.replica.apply(entry.command)
+                    outcome = self.state_machine.apply(entry.command)
             self.applied_index = entry.index
             waiting = self._waiting.pop(entry.index, None)
             if waiting is None:
@@ -296,7 +298,7 @@
         if self.applied_index - self._core.log.snapshot.index < self._snapshot_every:
             return []
         with self.lock:
-            data = self.replica.snapshot()
+            data = self.state_machine.snapshot()
         return self._core.step(monotonic_ms(), SnapshotTaken(self.applied_index, data))
 
     def _fail_waiting(self) -> None:
--- a/ashlatch/raft/log.py
+++ b/ashlatch/raft/log.py
@@ -77,7 +77,7 @@
                 return entry.members
         return self.snapshot.members
 
-    def first_of_term(self, index: int) -> int:
+    def first_index_of_term(self, index: int) -> int:
         """The first entry of the run of equal terms that ends at `index`."""
         term = self.term_at(index)
         while index > self.snapshot.index + 1 and self.term_at(index - 1) == term:
--- a/ashlatch/raft/membership.py
+++ b/ashlatch/raft/membership.py
@@ -52,7 +52,7 @@
     newest = {voter.vm: voter.member_id for voter in members.voters}
     return tuple(
         member
-        for member in members.everyone()
+        for member in members.all_members()
         if newest.get(member.vm, member.member_id) != member.member_id
         and member in members.voters
     )
@@ -86,9 +86,9 @@
 
 
 def _change(core: RaftCore, members: Members) -> None:
-    core.append_own(b"", members)
-    for member in members.everyone():
+    core.append_as_leader(b"", members)
+    for member in members.all_members():
         added = Progress(core.now_ms, core.log.last_index)
         core.progress.setdefault(member.member_id, added)
-    known = {member.member_id for member in members.everyone()}
+    known = {member.member_id for member in members.all_members()}
     core.progress = {key: p for key, p in core.progress.items() if key in known}
--- a/ashlatch/raft/message.py
+++ b/ashlatch/raft/message.py
@@ -43,13 +43,13 @@
         """The ids of all voters."""
         return frozenset(member.member_id for member in self.voters)
 
-    def everyone(self) -> tuple[Member, ...]:
+    def all_members(self) -> tuple[Member, ...]:
         """Voters and learners."""
         return self.voters + self.learners
 
     def find(self, member_id: str) -> Member | None:
         """The member of this id, if there is one."""
-        return next((m for m in self.everyone() if m.member_id == member_id), None)
+        return next((m for m in self.all_members() if m.member_id == member_id), None)
 
     def quorum(self) -> int:
         """How many voters make a majority."""
@@ -106,7 +106,7 @@
     last_index: int
     last_term: int
     pre: bool
-    fresh: bool = False
+    fresh_start: bool = False
 
 
 class VoteReply(msgspec.Struct, frozen=True, array_like=True, tag="vote_reply"):
@@ -123,7 +123,7 @@
     granted: bool
     pre: bool
     voter_term: int = 0
-    fresh: bool = False
+    fresh_start: bool = False
 
 
 class AppendRequest(msgspec.Struct, frozen=True, array_like=True, tag="append_request"):
--- a/ashlatch/raft/replication.py
+++ b/ashlatch/raft/replication.py
@@ -33,14 +33,14 @@
 )
 from ashlatch.registry import Handlers
 
-__all__ = ["broadcast", "receive_replication"]
+__all__ = ["broadcast", "handle_replication"]
 
 _MESSAGES = Handlers("raft replication message")
 
 ENTRY_OVERHEAD_BYTES = 64
 
 
-def receive_replication(core: RaftCore, message: Message) -> None:
+def handle_replication(core: RaftCore, message: Message) -> None:
     """Handle any message that is not about votes."""
     _MESSAGES.call(core, message)
 
@@ -48,10 +48,10 @@
 @HANDLERS.on(Propose)
 def _propose(core: RaftCore, event: Propose) -> None:
     if not core.leading:
-        core.effects.append(ProposalRefused(event.ticket))
+        core.effects.append(ProposalRefused(event.proposal_id))
         return
-    entry = core.append_own(event.command)
-    core.effects.append(Proposed(event.ticket, entry.index, entry.term))
+    entry = core.append_as_leader(event.command)
+    core.effects.append(Proposed(event.proposal_id, entry.index, entry.term))
 
 
 @HANDLERS.on(Flush)
@@ -86,7 +86,7 @@
 
 def broadcast(core: RaftCore, heartbeat: bool) -> None:
     """Send every other member what it lacks; a heartbeat also when nothing."""
-    for member in core.members.everyone():
+    for member in core.members.all_members():
         if member.member_id == core.member_id:
             continue
         progress = core.progress.setdefault(
@@ -160,15 +160,15 @@
         raise InvariantViolated("one-leader", f"term {term}: {leader_id}")
     if (core.role, core.leader_id) != (Role.FOLLOWER, leader_id) or term > core.term:
         core.become_follower(term, leader_id)
-    core.leader_heard_ms = core.now_ms
-    core.fresh = False
+    core.leader_contact_ms = core.now_ms
+    core.fresh_start = False
     core.reset_election_timer()
     return True
 
 
 @_MESSAGES.on(AppendRequest)
 def _append_requested(core: RaftCore, request: AppendRequest) -> None:
-    to = core.peer(request.sender)
+    to = core.reply_target(request.sender)
     if not _follow(core, request.term, request.sender):
         core.send(to, _append_reply(core, request, False, 0), after_sync=True)
         return
@@ -205,7 +205,7 @@
 def _next_to_try(core: RaftCore, previous_index: int) -> int:
     if previous_index > core.log.last_index:
         return core.log.last_index + 1
-    return max(core.log.first_of_term(previous_index), core.commit_index + 1)
+    return max(core.log.first_index_of_term(previous_index), core.commit_index + 1)
 
 
 def _unknown(core: RaftCore, entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
@@ -278,7 +278,7 @@
 
 @_MESSAGES.on(SnapshotChunk)
 def _chunk_received(core: RaftCore, chunk: SnapshotChunk) -> None:
-    to = core.peer(chunk.sender)
+    to = core.reply_target(chunk.sender)
     if not _follow(core, chunk.term, chunk.sender):
         core.send(to, _snapshot_reply(core, chunk, 0, 0), after_sync=True)
         return
--- a/ashlatch/raft/storage.py
+++ b/ashlatch/raft/storage.py
@@ -25,7 +25,7 @@
 
 from ashlatch.codec import decode, encode
 from ashlatch.errors import AshlatchError
-from ashlatch.raft.effect import Boot
+from ashlatch.raft.effect import PersistentState
 from ashlatch.raft.message import Entry, Members, SnapshotMeta
 
 __all__ = [
@@ -232,7 +232,7 @@
         self.disk.sync_folder(self.folder.parent)
         self._write_snapshot(SnapshotFile(SnapshotMeta(0, 0, members), b""))
 
-    def load(self, member_id: str) -> Boot:
+    def load(self, member_id: str) -> PersistentState:
         """Read everything back and open the log for appending."""
         for part in self.folder.glob("*" + _PART_SUFFIX):
             part.unlink()
@@ -243,7 +243,7 @@
         self._open_segment(int(segments[-1].stem) if segments else 1)
         entries = _behind(snapshot.meta, self._entries)
         self._entries = []
-        return Boot(
+        return PersistentState(
             member_id,
             self._vote.term,
             self._vote.voted_for,
--- a/ashlatch/router/admission.py
+++ b/ashlatch/router/admission.py
@@ -30,7 +30,7 @@
     ClaimClosed,
     ClaimGranted,
     ClaimRunning,
-    Close,
+    CloseAttempt,
     VersionCandidate,
 )
 
@@ -172,7 +172,7 @@
     outcome = event.outcome
     if active is None or active.responded:
         if isinstance(outcome, ClaimGranted):
-            close = Close(event.claim.key, outcome.attempt, not_run=True)
+            close = CloseAttempt(event.claim.key, outcome.attempt, not_run=True)
             core.effects.append(ProposeClose(close))
         elif outcome is None:
             # The claim may have been granted although no outcome arrived, and only
--- a/ashlatch/router/completion.py
+++ b/ashlatch/router/completion.py
@@ -24,7 +24,7 @@
     WriteLog,
 )
 from ashlatch.router.event import Request
-from ashlatch.store.command import Close, StoredAnswer
+from ashlatch.store.command import CloseAttempt, StoredAnswer
 
 __all__ = [
     "RequestEnded",
@@ -120,7 +120,7 @@
 def close_claim(core: RouterCore, active: ActiveRequest) -> None:
     """Closes the claim in the ledger: its attempt ended without an answer."""
     if active.attempt_number:
-        close = Close(
+        close = CloseAttempt(
             active.request.ledger_key,
             active.attempt_number,
             not_run=not active.maybe_ran,
--- a/ashlatch/router/daemon.py
+++ b/ashlatch/router/daemon.py
@@ -208,7 +208,7 @@
     def _heartbeat(self) -> RouterPoll:
         core = self.host.core
         reports = tuple(
-            VersionReport.of(version, tally, core.planner.is_suspended(version))
+            VersionReport.from_tally(version, tally, core.planner.is_suspended(version))
             for version, tally in list(core.tallies.items())
         )
         wait_ms = self.settings.poll_wait_ms
--- a/ashlatch/router/effect.py
+++ b/ashlatch/router/effect.py
@@ -14,7 +14,7 @@
 from ashlatch.http.problem import Problem
 from ashlatch.log import LogEvent
 from ashlatch.router.event import Request
-from ashlatch.store.command import Claim, Close, RecordAnswer, StoredAnswer
+from ashlatch.store.command import Claim, CloseAttempt, RecordAnswer, StoredAnswer
 
 __all__ = [
     "CancelAttempt",
@@ -61,7 +61,7 @@
 class ProposeClose:
     """Commits that an attempt ended without an answer."""
 
-    close: Close
+    close: CloseAttempt
 
 
 @dataclass(frozen=True)
--- a/ashlatch/store/command.py
+++ b/ashlatch/store/command.py
@@ -16,9 +16,11 @@
 from ashlatch.policy.quarantine import CrashRecord
 
 __all__ = [
+    "Acknowledged",
     "AnswerAccepted",
     "AnswerRecorded",
     "AnswerRefused",
+    "AttemptClosed",
     "ChangeAccepted",
     "ChangeIdReused",
     "ChangeOutcome",
@@ -29,17 +31,15 @@
     "ClaimGranted",
     "ClaimOutcome",
     "ClaimRunning",
-    "Close",
-    "Closed",
+    "CloseAttempt",
     "Command",
     "ControlTaken",
     "DeleteResource",
     "Expire",
-    "NoteCrashes",
-    "Noted",
     "Outcome",
     "PutResource",
     "RecordAnswer",
+    "RecordCrashes",
     "Reference",
     "RequestKey",
     "Resource",
@@ -173,7 +173,7 @@
     at_ms: int = 0
 
 
-class Close(msgspec.Struct, frozen=True, tag="close"):
+class CloseAttempt(msgspec.Struct, frozen=True, tag="close"):
     """An attempt has ended without an answer.
 
     `not_run` means that no byte of it was sent; otherwise it may have run.
@@ -207,7 +207,7 @@
     at_ms: int = 0
 
 
-class NoteCrashes(msgspec.Struct, frozen=True, tag="note_crashes"):
+class RecordCrashes(msgspec.Struct, frozen=True, tag="note_crashes"):
     """What routers have found of contents that crash endpoints, or survive it."""
 
     records: tuple[CrashRecord, ...]
@@ -219,11 +219,11 @@
     | DeleteResource
     | Claim
     | RecordAnswer
-    | Close
+    | CloseAttempt
     | RouterGone
     | TakeControl
     | Expire
-    | NoteCrashes
+    | RecordCrashes
 )
 
 
@@ -305,7 +305,7 @@
     """No such attempt is known any more; nothing is billed."""
 
 
-class Closed(msgspec.Struct, frozen=True, tag="closed"):
+class AttemptClosed(msgspec.Struct, frozen=True, tag="closed"):
     """The attempt is noted as ended."""
 
 
@@ -316,7 +316,7 @@
     epoch: int
 
 
-class Noted(msgspec.Struct, frozen=True, tag="noted"):
+class Acknowledged(msgspec.Struct, frozen=True, tag="noted"):
     """Done; there is nothing to tell."""
 
 
@@ -334,7 +334,7 @@
     | AnswerAccepted
     | AnswerRecorded
     | AnswerRefused
-    | Closed
+    | AttemptClosed
     | ControlTaken
-    | Noted
+    | Acknowledged
 )
--- a/ashlatch/store/configuration.py
+++ b/ashlatch/store/configuration.py
@@ -72,7 +72,7 @@
         """Remove, unless something still refers to the resource."""
         return self._once(command, self._delete, epoch)
 
-    def withdrawn(self, version: str) -> bool:
+    def is_withdrawn(self, version: str) -> bool:
         """Whether a version is withdrawn."""
         return ResourceId(WITHDRAWAL, version) in self.resources
 
@@ -158,6 +158,6 @@
             shown = f"{reference.kind}/{reference.name}"
             if key not in self.resources:
                 return ChangeRefused(reference.field, shown, "must exist")
-            if reference.live and self.withdrawn(reference.name):
+            if reference.live and self.is_withdrawn(reference.name):
                 return ChangeRefused(reference.field, shown, "must not be withdrawn")
         return None
--- a/ashlatch/store/daemon.py
+++ b/ashlatch/store/daemon.py
@@ -26,11 +26,11 @@
 from ashlatch.rpc import Address, Peer, RpcLoop, RpcService
 from ashlatch.settings import StateSettings
 from ashlatch.store import protocol
-from ashlatch.store.command import Expire, NoteCrashes, RouterGone, TakeControl
+from ashlatch.store.command import Expire, RecordCrashes, RouterGone, TakeControl
 from ashlatch.store.lease import LeaseConfig, Leases, RouterLease
 from ashlatch.store.member import GroupMember, GroupsDiffer, open_folder
 from ashlatch.store.slots import FIRST_GROUP, group_of
-from ashlatch.store.status import describe
+from ashlatch.store.status import build_status
 from ashlatch.store.transport import Transport
 
 __all__ = ["StateDaemon"]
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class RouterLapsed(LogEvent):
+class RouterLeaseExpired(LogEvent):
     """A router has not renewed its lease; its attempts are ended."""
 
     event: ClassVar[str] = "router_lapsed"
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True)
-class CrashesUnnoted(LogEvent):
+class CrashesUncommitted(LogEvent):
     """Requests under which endpoints have crashed were not committed; told again."""
 
     event: ClassVar[str] = "router_crashes_unnoted"
@@ -69,7 +69,7 @@
     """
 
     def __init__(
-        self, settings: StateSettings, failed: Callable[[BaseException], None]
+        self, settings: StateSettings, on_failure: Callable[[BaseException], None]
     ) -> None:
         self.settings = settings
         self.identity, storages = open_folder(settings)
@@ -78,7 +78,7 @@
             GroupMember(number, settings, storage, self.member)
             for number, storage in enumerate(storages)
         ]
-        self.first = self.groups[FIRST_GROUP]
+        self.first_group = self.groups[FIRST_GROUP]
         self.lease_config = LeaseConfig(
             settings.router_lease_ms,
             settings.control_lease_ms,
@@ -88,10 +88,10 @@
         self.rpc = RpcLoop()
         self.transport = Transport(self.rpc, self.member, self._received)
         for member in self.groups:
-            member.group.deliver = self.transport.send
-            member.group.changed = self._group_changed
-            member.group.failed = failed
-        self._failed = failed
+            member.group.send_messages = self.transport.send
+            member.group.on_change = self._group_changed
+            member.group.on_failure = on_failure
+        self._failed = on_failure
         self._changed = asyncio.Event()
         self._told: tuple[object, ...] = ()
         self._first_leader: Peer | None = None
@@ -100,7 +100,7 @@
     def start(self) -> None:
         """Listen, and take part in the group."""
         service = RpcService()
-        service.add(protocol.DELIVER, self.transport.take)
+        service.add(protocol.DELIVER, self.transport.receive_batch)
         service.add(protocol.JOIN, self._join)
         service.add(protocol.PROPOSE, self._propose)
         service.add(protocol.POLL_ROUTER, self._poll_router)
@@ -137,7 +137,7 @@
         Held polls are woken for what concerns them only: with many routers
         and claims, waking all for each claim would cost more than the claims.
         """
-        crashes = self.first.machine.state.crashes.number
+        crashes = self.first_group.machine.state.crashes.number
         leaders = (_leadership(member) for member in self.groups)
         news = (*leaders, self._revision(), crashes)
         if news != self._told:
@@ -145,11 +145,11 @@
             self._changed.set()
             self._changed = asyncio.Event()
         for member in self.groups:
-            member.log_news()
+            member.log_changes()
         self._follow_leadership()
 
     def _follow_leadership(self) -> None:
-        standing = self.first.standing
+        standing = self.first_group.status
         if not standing.leading:
             self.leases = Leases(self.lease_config, float("inf"))
         elif self.leases.leading_since_ms != standing.leading_since_ms:
@@ -157,7 +157,7 @@
 
     def _may_answer(self) -> bool:
         self._follow_leadership()
-        return self.first.standing.may_read(monotonic_ms())
+        return self.first_group.status.may_read(monotonic_ms())
 
     def _received(self, message: Message) -> None:
         if message.group < len(self.groups):
@@ -167,7 +167,7 @@
         if request.groups != len(self.groups):
             return protocol.JoinReply(False, "", len(self.groups))
         member = self.groups[request.group]
-        standing = member.standing
+        standing = member.status
         known = standing.members.find(request.member.member_id) is not None
         if standing.leading and not known:
             member.group.post(AddLearner(request.member))
@@ -183,28 +183,28 @@
     async def _poll_router(self, poll: protocol.RouterPoll) -> protocol.RouterReply:
         deadline_ms = monotonic_ms() + poll.wait_ms
         if self._may_answer():
-            self.leases.router_applied(poll.router, poll.applied_revision)
+            self.leases.record_applied_revision(poll.router, poll.applied_revision)
             await self._note_crashes(poll.crashes)
         while self._may_answer():
             wait_ms = deadline_ms - monotonic_ms()
             newer = self._revision() != poll.applied_revision
-            crashes = self.first.machine.state.crashes
+            crashes = self.first_group.machine.state.crashes
             if newer or crashes.number > poll.crashes_known or wait_ms <= 0:
                 return self._renew(poll)
             await self._wait_change(wait_ms)
-        return protocol.RouterReply(False, self.first.standing.leader_address)
+        return protocol.RouterReply(False, self.first_group.status.leader_address)
 
     async def _note_crashes(self, records: tuple[CrashRecord, ...]) -> None:
         """Commit what a router has found; it tells it again until the log has it."""
         self._crashes.apply(records)
-        with self.first.group.lock:
-            unknown = self._crashes.missing_from(self.first.machine.state.crashes)
+        with self.first_group.group.lock:
+            unknown = self._crashes.missing_from(self.first_group.machine.state.crashes)
         if not unknown:
             return
         try:
-            await self.first.commit(NoteCrashes(unknown))
+            await self.first_group.commit(RecordCrashes(unknown))
         except NotLeading as error:
-            lost = CrashesUnnoted(len(unknown), error.leader_address)
+            lost = CrashesUncommitted(len(unknown), error.leader_address)
             emit(log, lost, logging.WARNING)
 
     def _renew(self, poll: protocol.RouterPoll) -> protocol.RouterReply:
@@ -216,13 +216,13 @@
             monotonic_ms(),
             poll.reports,
         )
-        self.leases.router_polled(lease)
-        with self.first.group.lock:
-            configuration = self.first.machine.state.configuration
-            crashes = self.first.machine.state.crashes
+        self.leases.record_router_poll(lease)
+        with self.first_group.group.lock:
+            configuration = self.first_group.machine.state.configuration
+            crashes = self.first_group.machine.state.crashes
             return protocol.RouterReply(
                 True,
-                self.first.standing.leader_address,
+                self.first_group.status.leader_address,
                 self.lease_config.router_lease_ms,
                 configuration.revision,
                 configuration.changed_after(poll.applied_revision),
@@ -241,27 +241,27 @@
             pass
 
     def _revision(self) -> int:
-        return self.first.machine.state.configuration.revision
+        return self.first_group.machine.state.configuration.revision
 
     async def _poll_control(self, poll: protocol.ControlPoll) -> protocol.ControlReply:
         if not self._may_answer():
-            leader = self.first.standing.leader_address
+            leader = self.first_group.status.leader_address
             return protocol.ControlReply(False, leader)
-        control = self.first.machine.state.control
+        control = self.first_group.machine.state.control
         now_ms = monotonic_ms()
-        if control.holder != poll.holder and self.leases.control_free(now_ms):
+        if control.holder != poll.holder and self.leases.control_lease_expired(now_ms):
             try:
-                await self.first.commit(TakeControl(poll.holder, control.epoch))
+                await self.first_group.commit(TakeControl(poll.holder, control.epoch))
             except NotLeading as error:
                 return protocol.ControlReply(False, error.leader_address)
             if not self._may_answer():
                 return protocol.ControlReply(False, "")
-        control = self.first.machine.state.control
+        control = self.first_group.machine.state.control
         if control.holder == poll.holder:
-            self.leases.control_polled(poll.holder, monotonic_ms())
+            self.leases.record_control_poll(poll.holder, monotonic_ms())
         return protocol.ControlReply(
             True,
-            self.first.standing.leader_address,
+            self.first_group.status.leader_address,
             control.holder,
             control.epoch,
             self.lease_config.control_lease_ms,
@@ -269,8 +269,8 @@
 
     async def _change_member(self, change: protocol.MemberChange) -> protocol.ReadReply:
         member = self.groups[change.group]
-        if not member.standing.may_read(monotonic_ms()):
-            return protocol.ReadReply(False, member.standing.leader_address)
+        if not member.status.may_read(monotonic_ms()):
+            return protocol.ReadReply(False, member.status.leader_address)
         member.group.post(RemoveMember(change.remove))
         await self._wait_change(CHANGE_WAIT_MS)
         request = protocol.ReadRequest(kind="-", status=True, group=change.group)
@@ -281,7 +281,7 @@
             await self._wait_change(request.wait_ms)
         self._follow_leadership()
         member = self.groups[request.group]
-        standing = member.standing
+        standing = member.status
         if not standing.may_read(monotonic_ms()):
             return protocol.ReadReply(False, standing.leader_address)
         with member.group.lock:
@@ -304,10 +304,10 @@
     def _status(self, member: GroupMember) -> protocol.StateStatus:
         """The standing of a group; the routers' leases are the first one's."""
         leases = self.leases
-        if member is not self.first:
+        if member is not self.first_group:
             leases = Leases(self.lease_config, float("inf"))
-        return describe(
-            member.standing,
+        return build_status(
+            member.status,
             member.machine.state,
             leases,
             monotonic_ms(),
@@ -317,7 +317,9 @@
     async def _live_routers(
         self, request: protocol.LiveRoutersRequest
     ) -> protocol.LiveRoutersReply:
-        if not self._may_answer() or not self.leases.settled(monotonic_ms()):
+        if not self._may_answer() or not self.leases.earlier_leases_expired(
+            monotonic_ms()
+        ):
             return protocol.LiveRoutersReply(False)
         return protocol.LiveRoutersReply(True, tuple(self.leases.routers))
 
@@ -332,17 +334,17 @@
                 continue
 
     async def _keep_house(self, member: GroupMember) -> None:
-        if not member.standing.may_read(monotonic_ms()):
+        if not member.status.may_read(monotonic_ms()):
             return
-        if member is self.first:
+        if member is self.first_group:
             gone = self._lapsed_routers()
         else:
             gone = await self._owners_gone(member)
         for router in sorted(gone):
-            emit(log, RouterLapsed(router, member.number))
+            emit(log, RouterLeaseExpired(router, member.number))
             await member.commit(RouterGone(router))
-        if monotonic_s() - member.expired_s > EXPIRE_EVERY_S:
-            member.expired_s = monotonic_s()
+        if monotonic_s() - member.last_expiry_s > EXPIRE_EVERY_S:
+            member.last_expiry_s = monotonic_s()
             before_ms = unix_ms() - self.settings.retention_ms
             await member.commit(Expire(before_ms))
 
@@ -351,9 +353,9 @@
         if not self._may_answer():
             return set()
         now_ms = monotonic_ms()
-        gone = set(self.leases.lapsed(now_ms))
-        if self.leases.settled(now_ms):
-            owners = set(self.first.machine.state.ledger.running)
+        gone = set(self.leases.take_expired(now_ms))
+        if self.leases.earlier_leases_expired(now_ms):
+            owners = set(self.first_group.machine.state.ledger.running)
             gone |= owners - set(self.leases.routers)
         return gone
 
@@ -371,9 +373,9 @@
 
     async def _ask_live_routers(self) -> protocol.LiveRoutersReply:
         request = protocol.LiveRoutersRequest()
-        if self.first.standing.leading:
+        if self.first_group.status.leading:
             return await self._live_routers(request)
-        leader = self.first.standing.leader_address
+        leader = self.first_group.status.leader_address
         if not leader:
             return protocol.LiveRoutersReply(False)
         address = Address.parse(leader)
@@ -388,7 +390,7 @@
         """Ask the peers to be taken in, until this folder has a group."""
         peers = [Peer(Address.parse(text)) for text in self.settings.peers]
         request = protocol.JoinRequest(self.member, member.number, len(self.groups))
-        while not member.standing.members.voters:
+        while not member.status.members.voters:
             for peer in peers:
                 try:
                     reply = await peer.call(protocol.JOIN, request, JOIN_TIMEOUT_S)
@@ -402,5 +404,5 @@
 
 
 def _leadership(member: GroupMember) -> tuple[object, ...]:
-    standing = member.standing
+    standing = member.status
     return standing.term, standing.leading, standing.leader_address, standing.members
--- a/ashlatch/store/lease.py
+++ b/ashlatch/store/lease.py
@@ -54,11 +54,11 @@
     control_holder: str = ""
     control_answered_ms: float = float("-inf")
 
-    def router_polled(self, lease: RouterLease) -> None:
+    def record_router_poll(self, lease: RouterLease) -> None:
         """A router has polled and is about to be answered."""
         self.routers[lease.router] = lease
 
-    def router_applied(self, router: str, revision: int) -> None:
+    def record_applied_revision(self, router: str, revision: int) -> None:
         """A router with a lease has applied a revision; its poll is held yet.
 
         The lease is not longer for it: it is extended with the answer.
@@ -76,12 +76,12 @@
                 sums[report.version] = _added(known, report) if known else report
         return tuple(sums.values())
 
-    def settled(self, now_ms: float) -> bool:
+    def earlier_leases_expired(self, now_ms: float) -> bool:
         """Whether all leases of earlier leaders have run out."""
         wait_ms = self._stretched(self.config.router_lease_ms)
         return now_ms >= self.leading_since_ms + wait_ms
 
-    def lapsed(self, now_ms: float) -> tuple[str, ...]:
+    def take_expired(self, now_ms: float) -> tuple[str, ...]:
         """Routers whose lease has run out; they are forgotten here."""
         wait_ms = self._stretched(self.config.router_lease_ms)
         gone = tuple(
@@ -95,17 +95,17 @@
 
     def in_force_revision(self, now_ms: float, committed: int) -> int:
         """The newest revision that every router with a lease has applied."""
-        if not self.settled(now_ms):
+        if not self.earlier_leases_expired(now_ms):
             return UNKNOWN_REVISION
         self_applied = [lease.applied_revision for lease in self.routers.values()]
         return min(self_applied, default=committed)
 
-    def control_polled(self, holder: str, now_ms: float) -> None:
+    def record_control_poll(self, holder: str, now_ms: float) -> None:
         """The active control process has polled and is about to be answered."""
         self.control_holder = holder
         self.control_answered_ms = now_ms
 
-    def control_free(self, now_ms: float) -> bool:
+    def control_lease_expired(self, now_ms: float) -> bool:
         """Whether no control process can still believe that it is active."""
         last_ms = max(self.control_answered_ms, self.leading_since_ms)
         return now_ms >= last_ms + self._stretched(self.config.control_lease_ms)
@@ -116,4 +116,4 @@
 
 def _added(one: VersionReport, other: VersionReport) -> VersionReport:
     suspended = one.suspended or other.suspended
-    return VersionReport.of(one.version, one.tally.plus(other.tally), suspended)
+    return VersionReport.from_tally(one.version, one.tally.plus(other.tally), suspended)
--- a/ashlatch/store/ledger.py
+++ b/ashlatch/store/ledger.py
@@ -15,18 +15,18 @@
 
 from ashlatch.errors import InvariantViolated
 from ashlatch.store.command import (
+    Acknowledged,
     AnswerAccepted,
     AnswerRecorded,
     AnswerRefused,
+    AttemptClosed,
     Claim,
     ClaimAnswered,
     ClaimClosed,
     ClaimGranted,
     ClaimOutcome,
     ClaimRunning,
-    Close,
-    Closed,
-    Noted,
+    CloseAttempt,
     RecordAnswer,
     RequestKey,
     RouterGone,
@@ -34,7 +34,7 @@
     Usage,
 )
 
-__all__ = ["Account", "Ledger", "Pin", "Record", "RequestState", "SessionKey"]
+__all__ = ["Account", "Ledger", "LedgerRecord", "Pin", "RequestState", "SessionKey"]
 
 
 def _by_text(key: RequestKey) -> tuple[str, str]:
@@ -54,7 +54,7 @@
     ANSWERED = "answered"
 
 
-class Record(msgspec.Struct):
+class LedgerRecord(msgspec.Struct):
     """One request. `attempts` is the number of the newest attempt."""
 
     state: RequestState
@@ -99,18 +99,20 @@
     `running` is an index: the requests that each router has running.
     """
 
-    records: dict[RequestKey, Record] = {}
+    records: dict[RequestKey, LedgerRecord] = {}
     pins: dict[SessionKey, Pin] = {}
     accounts: dict[str, Account] = {}
     running: dict[str, set[RequestKey]] = {}
     bills: int = 0
     expired_before_ms: int = 0
 
-    def claim(self, command: Claim, withdrawn: Callable[[str], bool]) -> ClaimOutcome:
+    def claim(
+        self, command: Claim, is_withdrawn: Callable[[str], bool]
+    ) -> ClaimOutcome:
         """Let a router run a request, or say why it need not or may not."""
         record = self.records.get(command.key)
         if record is None:
-            return self._grant(command, None, withdrawn)
+            return self._grant(command, None, is_withdrawn)
         if record.body_digest != command.body_digest:
             return ClaimClosed("body_differs")
         if record.state is RequestState.ANSWERED:
@@ -120,7 +122,7 @@
         if record.state is RequestState.UNKNOWN:
             return ClaimClosed("unknown")
         if record.state is RequestState.OPEN:
-            return self._grant(command, record, withdrawn)
+            return self._grant(command, record, is_withdrawn)
         if record.claim_id == command.claim_id:
             return ClaimGranted(record.attempts, record.version)
         return ClaimRunning(record.attempts)
@@ -136,22 +138,22 @@
             return AnswerRefused()
         return self._bill(command, record)
 
-    def close(self, command: Close) -> Closed:
+    def close(self, command: CloseAttempt) -> AttemptClosed:
         """Note that the newest attempt ended without an answer."""
         record = self.records.get(command.key)
         newest = record is not None and record.attempts == command.attempt
         if record is None or not newest or record.state is not RequestState.RUNNING:
-            return Closed()
+            return AttemptClosed()
         self._reopen(command.key, record, command.not_run, command.at_ms)
-        return Closed()
+        return AttemptClosed()
 
-    def router_gone(self, command: RouterGone) -> Noted:
+    def router_gone(self, command: RouterGone) -> Acknowledged:
         """End the attempts of a router that will not end them itself."""
         for key in sorted(self.running.get(command.router, ()), key=_by_text):
             self._reopen(key, self.records[key], False, command.at_ms)
-        return Noted()
+        return Acknowledged()
 
-    def expire(self, before_ms: int) -> Noted:
+    def expire(self, before_ms: int) -> Acknowledged:
         """Forget requests that were last changed before a time."""
         self.expired_before_ms = max(self.expired_before_ms, before_ms)
         for key, record in list(self.records.items()):
@@ -161,20 +163,20 @@
         for session, pin in list(self.pins.items()):
             if pin.until_ms < before_ms:
                 del self.pins[session]
-        return Noted()
+        return Acknowledged()
 
     def _grant(
         self,
         command: Claim,
-        earlier: Record | None,
-        withdrawn: Callable[[str], bool],
+        earlier: LedgerRecord | None,
+        is_withdrawn: Callable[[str], bool],
     ) -> ClaimGranted:
-        version, changed = self._pinned(command, withdrawn)
+        version, changed = self._pinned(command, is_withdrawn)
         attempts = earlier.attempts + 1 if earlier else 1
         self.running.setdefault(command.router, set()).add(command.key)
         if earlier and not earlier.repeatable and earlier.state != RequestState.OPEN:
             raise InvariantViolated("R7", f"{command.key} granted again")
-        self.records[command.key] = Record(
+        self.records[command.key] = LedgerRecord(
             RequestState.RUNNING,
             command.claim_id,
             command.body_digest,
@@ -187,7 +189,7 @@
         return ClaimGranted(attempts, version, changed)
 
     def _pinned(
-        self, command: Claim, withdrawn: Callable[[str], bool]
+        self, command: Claim, is_withdrawn: Callable[[str], bool]
     ) -> tuple[str, bool]:
         """The version to run on, and whether the session had to change."""
         candidate = command.candidate
@@ -200,21 +202,21 @@
             pin is not None
             and alive
             and pin.version in candidate.acceptable
-            and not withdrawn(pin.version)
+            and not is_withdrawn(pin.version)
         )
         version = pin.version if pin is not None and kept else candidate.version
         self.pins[key] = Pin(version, command.at_ms + candidate.pin_ms)
         return version, alive and not kept
 
     def _reopen(
-        self, key: RequestKey, record: Record, not_run: bool, at_ms: int
+        self, key: RequestKey, record: LedgerRecord, not_run: bool, at_ms: int
     ) -> None:
         self._not_running(key, record)
         repeat = not_run or record.repeatable
         record.state = RequestState.OPEN if repeat else RequestState.UNKNOWN
         record.changed_at_ms = at_ms
 
-    def _not_running(self, key: RequestKey, record: Record) -> None:
+    def _not_running(self, key: RequestKey, record: LedgerRecord) -> None:
         keys = self.running.get(record.router, set())
         keys.discard(key)
         if not keys:
@@ -224,13 +226,13 @@
         stale = command.started_at_ms < self.expired_before_ms
         if command.attempt != 0 or stale:
             return AnswerRefused()
-        record = Record(
+        record = LedgerRecord(
             RequestState.RUNNING, "", "", "", True, command.version, 0, command.at_ms
         )
         self.records[command.key] = record
         return self._bill(command, record)
 
-    def _bill(self, command: RecordAnswer, record: Record) -> AnswerAccepted:
+    def _bill(self, command: RecordAnswer, record: LedgerRecord) -> AnswerAccepted:
         if record.bill_number:
             raise InvariantViolated("R4", f"{command.key} billed twice")
         self._not_running(command.key, record)
--- a/ashlatch/store/machine.py
+++ b/ashlatch/store/machine.py
@@ -16,24 +16,24 @@
 from ashlatch.policy.quarantine import CrashLog
 from ashlatch.registry import Handlers
 from ashlatch.store.command import (
+    Acknowledged,
     Claim,
-    Close,
+    CloseAttempt,
     Command,
     ControlTaken,
     DeleteResource,
     Expire,
-    NoteCrashes,
-    Noted,
     Outcome,
     PutResource,
     RecordAnswer,
+    RecordCrashes,
     RouterGone,
     TakeControl,
 )
 from ashlatch.store.configuration import Configuration
 from ashlatch.store.ledger import Ledger
 
-__all__ = ["ControlLease", "Machine", "State"]
+__all__ = ["ControlLease", "State", "StoreMachine"]
 
 _HANDLERS = Handlers("store")
 
@@ -55,13 +55,13 @@
     crashes: CrashLog = msgspec.field(default_factory=CrashLog)
 
 
-class Machine:
+class StoreMachine:
     """Applies commands to a `State`.
 
     The same commands in the same order give the same state and outcomes on
     every replica::
 
-        machine = Machine()
+        machine = StoreMachine()
         machine.apply(encode(Expire(before_ms=0)))
     """
 
@@ -100,7 +100,7 @@
 
 @_HANDLERS.on(Claim)
 def _claim(state: State, command: Claim) -> Outcome:
-    return state.ledger.claim(command, state.configuration.withdrawn)
+    return state.ledger.claim(command, state.configuration.is_withdrawn)
 
 
 @_HANDLERS.on(RecordAnswer)
@@ -109,8 +109,8 @@
     return outcome
 
 
-@_HANDLERS.on(Close)
-def _close(state: State, command: Close) -> Outcome:
+@_HANDLERS.on(CloseAttempt)
+def _close(state: State, command: CloseAttempt) -> Outcome:
     return state.ledger.close(command)
 
 
@@ -130,10 +130,10 @@
 def _expire(state: State, command: Expire) -> Outcome:
     state.configuration.expire(command.before_ms)
     state.ledger.expire(command.before_ms)
-    return Noted()
+    return Acknowledged()
 
 
-@_HANDLERS.on(NoteCrashes)
-def _note_crashes(state: State, command: NoteCrashes) -> Outcome:
+@_HANDLERS.on(RecordCrashes)
+def _note_crashes(state: State, command: RecordCrashes) -> Outcome:
     state.crashes.apply(command.records)
-    return Noted()
+    return Acknowledged()
--- a/ashlatch/store/member.py
+++ b/ashlatch/store/member.py
@@ -32,7 +32,7 @@
 )
 from ashlatch.settings import StateSettings
 from ashlatch.store.command import Command, Outcome
-from ashlatch.store.machine import Machine
+from ashlatch.store.machine import StoreMachine
 
 __all__ = [
     "FolderExists",
@@ -130,10 +130,14 @@
     """One group's member in this process; used on the loop but for its group."""
 
     def __init__(
-        self, number: int, settings: StateSettings, storage: GroupStorage, own: Member
+        self,
+        number: int,
+        settings: StateSettings,
+        storage: GroupStorage,
+        local_member: Member,
     ) -> None:
         self.number = number
-        self.machine = Machine()
+        self.machine = StoreMachine()
         self.group = Group(
             RaftConfig(
                 group=number,
@@ -143,17 +147,17 @@
                 clock_drift_ratio=settings.clock_drift_ratio,
             ),
             storage,
-            own.member_id,
+            local_member.member_id,
             self.machine,
             settings.snapshot_every_records,
         )
         self._vm = settings.vm
         self._logged_leader: tuple[int, bool, str] = (-1, False, "")
         self._logged_members = Members()
-        self.expired_s = monotonic_s()
+        self.last_expiry_s = monotonic_s()
 
     @property
-    def standing(self) -> GroupStatus:
+    def status(self) -> GroupStatus:
         """What this member knows of itself and its group."""
         return self.group.status
 
@@ -164,9 +168,9 @@
         outcome: Outcome = await asyncio.wrap_future(future)
         return outcome
 
-    def log_news(self) -> None:
+    def log_changes(self) -> None:
         """Log a new leader, and new members."""
-        standing = self.standing
+        standing = self.status
         leader = (standing.term, standing.leading, standing.leader_address)
         if leader != self._logged_leader:
             self._logged_leader = leader
--- a/ashlatch/store/protocol.py
+++ b/ashlatch/store/protocol.py
@@ -115,7 +115,7 @@
     timed: int = 0
 
     @classmethod
-    def of(
+    def from_tally(
         cls, version: str, tally: VersionTally, suspended: bool = False
     ) -> "VersionReport":
         """A tally as a report."""
--- a/ashlatch/store/slots.py
+++ b/ashlatch/store/slots.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-from ashlatch.store.command import Claim, Close, Command, RecordAnswer
+from ashlatch.store.command import Claim, CloseAttempt, Command, RecordAnswer
 
 __all__ = ["FIRST_GROUP", "SLOTS", "group_of", "slot_of"]
 
@@ -25,9 +25,9 @@
 
     It depends on the organisation alone, never on the number of groups::
 
-        slot_of(Close(RequestKey("nairobi-stockists", "k-1"), 1, True))
+        slot_of(CloseAttempt(RequestKey("nairobi-stockists", "k-1"), 1, True))
     """
-    if not isinstance(command, Claim | RecordAnswer | Close):
+    if not isinstance(command, Claim | RecordAnswer | CloseAttempt):
         return None
     organisation = command.key.organisation
     return int(xxhash.xxh3_64_intdigest(organisation.encode()) % SLOTS)
--- a/ashlatch/store/status.py
+++ b/ashlatch/store/status.py
@@ -16,14 +16,14 @@
 from ashlatch.store.machine import State
 from ashlatch.store.protocol import MemberStatus, RouterStatus, StateStatus
 
-__all__ = ["describe", "losses_survived", "merged"]
+__all__ = ["build_status", "merge_statuses", "tolerated_losses"]
 
 CURRENT_LAG_ENTRIES = 256
 # A member that has not answered for so long does not count as there.
-SILENT_MS = 1500.0
+UNRESPONSIVE_MS = 1500.0
 
 
-def describe(
+def build_status(
     standing: GroupStatus,
     state: State,
     leases: Leases,
@@ -33,7 +33,7 @@
     """The leader's view of its group, the routers and the control lease."""
     members = tuple(
         _member_status(standing, member, now_ms)
-        for member in standing.members.everyone()
+        for member in standing.members.all_members()
     )
     routers = tuple(
         RouterStatus(lease.router, lease.vm, lease.hall, lease.applied_revision)
@@ -43,7 +43,7 @@
         standing.term,
         standing.commit_index,
         members,
-        losses_survived(standing, now_ms),
+        tolerated_losses(standing, now_ms),
         routers,
         leases.in_force_revision(now_ms, state.configuration.revision),
         state.control.holder,
@@ -55,7 +55,7 @@
     )
 
 
-def merged(first: StateStatus, others: list[StateStatus]) -> StateStatus:
+def merge_statuses(first: StateStatus, others: list[StateStatus]) -> StateStatus:
     """The first group's status with the other groups' part of the ledger."""
     every = [first, *others]
     accounts = {name: account for s in every for name, account in s.accounts.items()}
@@ -67,7 +67,7 @@
     )
 
 
-def losses_survived(standing: GroupStatus, now_ms: float) -> int:
+def tolerated_losses(standing: GroupStatus, now_ms: float) -> int:
     """How many answering, current voters may be lost while a quorum stays.
 
     None while a change of members is under way: it may be lost itself, and
@@ -79,7 +79,7 @@
         voter
         for voter in standing.members.voters
         if _lag(standing, voter) <= CURRENT_LAG_ENTRIES
-        and _silent_ms(standing, voter, now_ms) <= SILENT_MS
+        and _silent_ms(standing, voter, now_ms) <= UNRESPONSIVE_MS
     ]
     return len(current) - standing.members.quorum()
 
@@ -92,7 +92,7 @@
 def _silent_ms(standing: GroupStatus, member: Member, now_ms: float) -> float:
     if member.member_id == standing.member_id:
         return 0.0
-    answered_ms = standing.answered_ms.get(member.member_id, standing.leading_since_ms)
+    answered_ms = standing.acked_ms.get(member.member_id, standing.leading_since_ms)
     return now_ms - max(answered_ms, standing.leading_since_ms)
 
 
--- a/ashlatch/store/transport.py
+++ b/ashlatch/store/transport.py
@@ -23,17 +23,17 @@
 from ashlatch.rpc import Address, Peer, RpcLoop
 from ashlatch.store.protocol import DELIVER, Batch, BatchReply
 
-__all__ = ["Addressed", "Transport"]
+__all__ = ["AddressedMessage", "Transport"]
 
 QUEUE_MESSAGES = 256
 CALL_TIMEOUT_S = 1.0
 HOLD_S = 0.02
 
-Addressed = tuple[Member, Message]
+AddressedMessage = tuple[Member, Message]
 
 
 @dataclass(frozen=True)
-class Way:
+class Channel:
     """One group's messages to one member."""
 
     member_id: str
@@ -49,23 +49,23 @@
     """
 
     def __init__(
-        self, rpc: RpcLoop, own: Member, received: Callable[[Message], None]
+        self, rpc: RpcLoop, local_member: Member, on_message: Callable[[Message], None]
     ) -> None:
         self._rpc = rpc
-        self._own = own
-        self._received = received
-        self._queues: dict[Way, deque[Message]] = {}
-        self._wakes: dict[Way, asyncio.Event] = {}
-        self._held: dict[Way, asyncio.Event] = {}
+        self._own = local_member
+        self._received = on_message
+        self._queues: dict[Channel, deque[Message]] = {}
+        self._wakes: dict[Channel, asyncio.Event] = {}
+        self._held: dict[Channel, asyncio.Event] = {}
         self._addresses: dict[str, str] = {}
         self._peers: dict[str, Peer] = {}
 
-    def send(self, messages: list[Addressed]) -> None:
+    def send(self, messages: list[AddressedMessage]) -> None:
         """Queue messages, from any thread."""
         if messages:
             self._rpc.post(self._enqueue, messages)
 
-    async def take(self, batch: Batch) -> BatchReply:
+    async def receive_batch(self, batch: Batch) -> BatchReply:
         """Answer a peer's call; on the loop only."""
         sender = batch.sender
         self._addresses[sender.member_id] = sender.address
@@ -75,10 +75,10 @@
             self._received(message)
         if not any(_carries_entries(message) for message in batch.messages):
             return BatchReply()
-        way = Way(sender.member_id, batch.messages[0].group)
+        way = Channel(sender.member_id, batch.messages[0].group)
         return BatchReply(await self._answers(way))
 
-    async def _answers(self, way: Way) -> tuple[Message, ...]:
+    async def _answers(self, way: Channel) -> tuple[Message, ...]:
         if way in self._held:
             return ()
         ready = self._held[way] = asyncio.Event()
@@ -91,7 +91,7 @@
             del self._held[way]
         return self._drain(way)
 
-    def _drain(self, way: Way) -> tuple[Message, ...]:
+    def _drain(self, way: Channel) -> tuple[Message, ...]:
         queued = self._queues.get(way)
         if queued is None:
             return ()
@@ -99,13 +99,13 @@
         queued.clear()
         return messages
 
-    def _enqueue(self, messages: list[Addressed]) -> None:
+    def _enqueue(self, messages: list[AddressedMessage]) -> None:
         for to, message in messages:
             if to.address:
                 self._addresses[to.member_id] = to.address
             if to.member_id not in self._addresses:
                 continue
-            way = Way(to.member_id, message.group)
+            way = Channel(to.member_id, message.group)
             waiting = self._queues.get(way)
             if waiting is None:
                 waiting = self._open_queue(way)
@@ -113,13 +113,13 @@
             held = self._held.get(way)
             (held or self._wakes[way]).set()
 
-    def _open_queue(self, way: Way) -> deque[Message]:
+    def _open_queue(self, way: Channel) -> deque[Message]:
         waiting = self._queues[way] = deque(maxlen=QUEUE_MESSAGES)
         self._wakes[way] = asyncio.Event()
         self._rpc.loop.create_task(self._pump(way))
         return waiting
 
-    async def _pump(self, way: Way) -> None:
+    async def _pump(self, way: Channel) -> None:
         while True:
             await self._wakes[way].wait()
             self._wakes[way].clear()
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -30,7 +30,7 @@
     Usage,
     VersionCandidate,
 )
-from ashlatch.store.machine import Machine
+from ashlatch.store.machine import StoreMachine
 from ashlatch.store.protocol import RouterPoll, RouterReply, VersionReport
 from bench.router import memory_mb, processor_s
 from bench.table import row, title
@@ -52,7 +52,7 @@
         for count in RECORDS:
             gc.collect()
             tracemalloc.start()
-            machine = Machine()
+            machine = StoreMachine()
             began_s = time.perf_counter()
             for number in range(count):
                 add_record(machine, number, kept)
@@ -70,7 +70,7 @@
             )
 
 
-def add_record(machine: Machine, number: int, kept: bool) -> None:
+def add_record(machine: StoreMachine, number: int, kept: bool) -> None:
     key = RequestKey(f"org-{number % 10}", f"{number:032x}")
     body = b"%08d" % number * (ANSWER_BYTES // 8)
     answer = StoredAnswer(200, "application/json", body) if kept else None
@@ -104,7 +104,7 @@
     title("The configuration and control, by endpoints")
     for count in ENDPOINTS:
         found = resources(count)
-        machine = Machine()
+        machine = StoreMachine()
         for resource in found:
             machine.step(
                 PutResource(
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -144,8 +144,8 @@
     Mutant(
         "vote-right-after-restart",
         "ashlatch/raft/core.py",
-        "        self.leader_heard_ms = self.now_ms\n",
-        '        self.leader_heard_ms = float("-inf")\n',
+        "        self.leader_contact_ms = self.now_ms\n",
+        '        self.leader_contact_ms = float("-inf")\n',
         RAFT,
     ),
     Mutant(
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -17,12 +17,12 @@
     AddLearner,
     AppendLog,
     Apply,
-    Boot,
     Effect,
     Event,
     Flush,
     InstallSnapshot,
     LeadershipChanged,
+    PersistentState,
     Propose,
     Proposed,
     Received,
@@ -36,7 +36,7 @@
 from ashlatch.raft.message import Entry, Member, Members, Message, SnapshotMeta
 from ashlatch.store.command import (
     Claim,
-    Close,
+    CloseAttempt,
     Command,
     Expire,
     PutResource,
@@ -48,7 +48,7 @@
     Usage,
     VersionCandidate,
 )
-from ashlatch.store.machine import Machine
+from ashlatch.store.machine import StoreMachine
 
 _HANDLERS_OF = (election,)
 
@@ -89,8 +89,8 @@
                 self.entries = behind if same else []
                 self.snapshot, self.data = meta, data
 
-    def boot(self) -> Boot:
-        return Boot(
+    def boot(self) -> PersistentState:
+        return PersistentState(
             self.member_id,
             self.term,
             self.voted_for,
@@ -108,7 +108,7 @@
     disk: Disk
     rate: float
     core: RaftCore | None = None
-    machine: Machine = field(default_factory=Machine)
+    machine: StoreMachine = field(default_factory=StoreMachine)
     applied: int = 0
     frozen: bool = False
     suspended_at_ms: float | None = None
@@ -141,7 +141,7 @@
         self.network: list[tuple[str, str, Message]] = []
         self.cut: set[frozenset[str]] = set()
         self.committed: dict[int, Entry] = {}
-        self.naive = Machine()
+        self.naive = StoreMachine()
         self.naive_index = 0
         self.naive_outcomes: dict[int, Any] = {}
         self.acknowledged = 0
@@ -354,14 +354,14 @@
         return member_id.split(".")[0]
 
     def start(self, node: Node) -> None:
-        node.machine = Machine()
+        node.machine = StoreMachine()
         node.machine.restore(node.disk.data)
         node.applied = node.disk.snapshot.index
         seed = self.random.getrandbits(32)
         # Half of the members ask whether all have just started.
         fresh_ask_ms = 100.0 if seed % 2 else 0.0
         node.core = RaftCore(
-            RaftConfig(seed=seed, message_bytes=400, fresh_ask_ms=fresh_ask_ms),
+            RaftConfig(seed=seed, message_bytes=400, fresh_start_poll_ms=fresh_ask_ms),
             node.disk.boot(),
             self.clock(node),
         )
@@ -467,7 +467,7 @@
                 at_ms,
                 at_ms,
             ),
-            Close(key, pick(3), bool(pick(2)), at_ms),
+            CloseAttempt(key, pick(3), bool(pick(2)), at_ms),
             RouterGone(router, at_ms),
             TakeControl(router, pick(4), at_ms),
             Expire(at_ms - 30_000, at_ms),
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -6,7 +6,7 @@
 
 from ashlatch.codec import decode, encode
 from ashlatch.store.command import Claim, Command, RequestKey, VersionCandidate
-from ashlatch.store.machine import Machine, State
+from ashlatch.store.machine import State, StoreMachine
 
 
 class NewClaim(msgspec.Struct, frozen=True, tag="claim"):
@@ -57,7 +57,7 @@
         self.assertEqual(Claim(self.key, "c", "d", "r", True, self.candidate), read)
 
     def test_a_snapshot_with_unknown_fields_is_read(self) -> None:
-        machine = Machine()
+        machine = StoreMachine()
         machine.step(Claim(self.key, "c", "d", "r", True, self.candidate))
         old = machine.state
         new = NewState(
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -154,7 +154,7 @@
         status = dataclasses.replace(
             before,
             members=members,
-            answered_ms={**before.answered_ms, "m9": float("-inf")},
+            acked_ms={**before.acked_ms, "m9": float("-inf")},
             added_ms={"m9": now_ms - 1.0},
         )
         self.assertIsNone(find_unresponsive_member(status, 2, now_ms))
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -11,8 +11,8 @@
 from ashlatch.raft.group import Group
 from ashlatch.raft.message import Member, Members
 from ashlatch.raft.storage import GroupStorage
-from ashlatch.store.command import Expire, Noted
-from ashlatch.store.machine import Machine
+from ashlatch.store.command import Acknowledged, Expire
+from ashlatch.store.machine import StoreMachine
 from tests.system import wait_until
 
 COMMAND = encode(Expire(0))
@@ -27,10 +27,10 @@
         storage = GroupStorage(Path(folder.name) / "group-0")
         storage.create(Members((Member("a", "a", "a"),)))
         config = RaftConfig(election_min_ms=20.0, election_max_ms=40.0)
-        self.group = Group(config, storage, "a", Machine(), snapshot_every=1000)
+        self.group = Group(config, storage, "a", StoreMachine(), snapshot_every=1000)
         self.failed: list[BaseException] = []
         self.ended = threading.Event()
-        self.group.failed = self.fail_with
+        self.group.on_failure = self.fail_with
         self.group.start()
         wait_until(lambda: self.group.status.leading, "it leads")
 
@@ -42,8 +42,8 @@
         """A call that is cancelled must not end the member."""
         left = self.group.propose(COMMAND)
         self.assertFalse(left.cancel())
-        self.assertEqual(Noted(), left.result(WAIT_S))
-        self.assertEqual(Noted(), self.group.propose(COMMAND).result(WAIT_S))
+        self.assertEqual(Acknowledged(), left.result(WAIT_S))
+        self.assertEqual(Acknowledged(), self.group.propose(COMMAND).result(WAIT_S))
         self.group.stop()
         self.assertEqual([], self.failed)
 
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -11,7 +11,7 @@
 
 import testtools
 
-from ashlatch.store.command import Close, RequestKey
+from ashlatch.store.command import CloseAttempt, RequestKey
 from ashlatch.store.slots import group_of
 from tests.chat import chat
 from tests.small_system import (
@@ -31,7 +31,7 @@
 
 
 def group_of_organisation(name: str) -> int:
-    return group_of(Close(RequestKey(name, "k"), 1, True), GROUPS)
+    return group_of(CloseAttempt(RequestKey(name, "k"), 1, True), GROUPS)
 
 
 class LedgerInGroupsTest(testtools.TestCase):
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -8,10 +8,10 @@
     AddLearner,
     AppendLog,
     Apply,
-    Boot,
     Effect,
     Event,
     LeadershipChanged,
+    PersistentState,
     Propose,
     Received,
     SaveVote,
@@ -40,7 +40,7 @@
 
 
 def core(member: Member = A, members: Members = THREE) -> RaftCore:
-    boot = Boot(member.member_id, snapshot=SnapshotMeta(0, 0, members))
+    boot = PersistentState(member.member_id, snapshot=SnapshotMeta(0, 0, members))
     return RaftCore(RaftConfig(), boot, START_MS)
 
 
@@ -78,12 +78,12 @@
 
 
 def fresh_core() -> RaftCore:
-    boot = Boot("a", snapshot=SnapshotMeta(0, 0, THREE))
-    return RaftCore(RaftConfig(fresh_ask_ms=100.0), boot, START_MS)
+    boot = PersistentState("a", snapshot=SnapshotMeta(0, 0, THREE))
+    return RaftCore(RaftConfig(fresh_start_poll_ms=100.0), boot, START_MS)
 
 
 def fresh_vote(sender: str, pre: bool = True) -> Received:
-    return Received(VoteReply(0, sender, 1, True, pre, fresh=pre))
+    return Received(VoteReply(0, sender, 1, True, pre, fresh_start=pre))
 
 
 class AllJustStartedTest(testtools.TestCase):
@@ -97,7 +97,7 @@
     def test_all_voters_have_just_started(self) -> None:
         member = fresh_core()
         requests = self.asked(member, START_MS + 160.0)
-        self.assertEqual([(True, True)] * 2, [(r.pre, r.fresh) for r in requests])
+        self.assertEqual([(True, True)] * 2, [(r.pre, r.fresh_start) for r in requests])
         member.step(START_MS + 161.0, fresh_vote("b"))
         self.assertIs(Role.FOLLOWER, member.role)
         member.step(START_MS + 162.0, fresh_vote("c"))
@@ -109,10 +109,10 @@
         member = fresh_core()
         asked = Received(VoteRequest(0, "c", 1, 0, 0, True, True))
         (reply,) = replies(member.step(START_MS + 10.0, asked))
-        self.assertEqual((True, True), (reply.granted, reply.fresh))
+        self.assertEqual((True, True), (reply.granted, reply.fresh_start))
         member.step(START_MS + 20.0, heartbeat(0))
         (reply,) = replies(member.step(START_MS + 30.0, asked))
-        self.assertEqual((False, False), (reply.granted, reply.fresh))
+        self.assertEqual((False, False), (reply.granted, reply.fresh_start))
 
     def test_who_has_heard_a_leader_asks_no_more(self) -> None:
         member = fresh_core()
@@ -209,7 +209,9 @@
         self.assertTrue(send.after_sync)
 
     def test_an_earlier_terms_entry_is_not_committed_by_counting(self) -> None:
-        boot = Boot("a", 1, "", SnapshotMeta(0, 0, THREE), b"", (Entry(1, 1, b"x"),))
+        boot = PersistentState(
+            "a", 1, "", SnapshotMeta(0, 0, THREE), b"", (Entry(1, 1, b"x"),)
+        )
         member = RaftCore(RaftConfig(), boot, START_MS)
         now_ms = elect(member, START_MS)
         acknowledge(member, now_ms, "b", 1)
--- a/tests/test_router_crashes.py
+++ b/tests/test_router_crashes.py
@@ -24,8 +24,8 @@
     RequestArrived,
 )
 from ashlatch.router.quarantine import request_fingerprint
-from ashlatch.store.command import NoteCrashes
-from ashlatch.store.machine import Machine
+from ashlatch.store.command import RecordCrashes
+from ashlatch.store.machine import StoreMachine
 from tests.deployment import KENYA, wait_for_endpoints
 from tests.small_system import SmallSystem, start_small_system
 from tests.system import HOST, Fake, wait_until
@@ -182,18 +182,18 @@
         return quarantine.unconfirmed()
 
     def test_records_are_in_the_snapshot(self) -> None:
-        machine = Machine()
-        machine.step(NoteCrashes(self.records()))
-        restored = Machine()
+        machine = StoreMachine()
+        machine.step(RecordCrashes(self.records()))
+        restored = StoreMachine()
         restored.restore(machine.snapshot())
         self.assertEqual(machine.state, restored.state)
         self.assertEqual(2, restored.state.crashes.number)
         self.assertEqual(1, len(restored.state.crashes.since(1)))
 
     def test_repeated_records_are_no_change(self) -> None:
-        machine = Machine()
+        machine = StoreMachine()
         for _ in range(2):
-            machine.step(NoteCrashes(self.records()))
+            machine.step(RecordCrashes(self.records()))
         self.assertEqual(2, machine.state.crashes.number)
 
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -4,7 +4,7 @@
 
 from ashlatch.store.command import (
     Claim,
-    Close,
+    CloseAttempt,
     Command,
     DeleteResource,
     Expire,
@@ -26,7 +26,7 @@
     return (
         Claim(request, "c", "d", "r", True, CANDIDATE, session=key),
         RecordAnswer(request, 1, "v", Usage(1, 1, 1), None, 0),
-        Close(request, 1, not_run=True),
+        CloseAttempt(request, 1, not_run=True),
     )
 
 
--- a/tests/traffic.py
+++ b/tests/traffic.py
@@ -69,7 +69,7 @@
 )
 from ashlatch.store.configuration import ResourceId
 from ashlatch.store.lease import LeaseConfig, Leases, RouterLease
-from ashlatch.store.machine import Machine
+from ashlatch.store.machine import StoreMachine
 from ashlatch.store.protocol import RouterReply
 
 _HANDLER_MODULES = (admission, attempt, hedge, updates)
@@ -180,7 +180,7 @@
         self.random = random.Random(seed)
         self.counts_suspension = counts_suspension
         self.now_ms = 100_000.0
-        self.machine = Machine()
+        self.machine = StoreMachine()
         self.leases = Leases(LeaseConfig(LEASE_MS), -1e9)
         self.start_count = 0
         self.change_count = 0
@@ -319,7 +319,7 @@
         configuration = self.machine.state.configuration
         after = sim.builder.revision
         sent_ms = self.clock(sim)
-        self.leases.router_polled(
+        self.leases.record_router_poll(
             RouterLease(sim.router, name, "logan", after, self.now_ms)
         )
         self.now_ms += self.random.choice((0.0, 1.0, 50.0))
@@ -378,7 +378,7 @@
 
     def pass_time(self, ms: float) -> None:
         self.now_ms += ms
-        gone = set(self.leases.lapsed(self.now_ms))
+        gone = set(self.leases.take_expired(self.now_ms))
         gone |= set(self.machine.state.ledger.running) - set(self.leases.routers)
         for router in sorted(gone):
             self.commit(RouterGone(router))
