--- a/ashlatch/fleet/daemon.py
+++ b/ashlatch/fleet/daemon.py
@@ -18,14 +18,17 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from ashlatch.catalog import CoreVm, Endpoint, Rollout, Service
-from ashlatch.clock import monotonic_ms
 from ashlatch.fleet.bootstrap import open_member
 from ashlatch.fleet.command_client import CommandClient
+from ashlatch.fleet.leader_link import LeaderLink
+from ashlatch.fleet.prefix_caches import read_prefix_caches
+from ashlatch.fleet.soft_state import SoftState, has_updates
+
+from ashlatch.catalog import CoreVm, Endpoint, Rollout, Service
+from ashlatch.clock import monotonic_ms
 from ashlatch.fleet.discovery import ListReader
 from ashlatch.fleet.exposure import plan_exposure
 from ashlatch.fleet.leader import ListPoller, RolloutController
-from ashlatch.fleet.leader_link import LeaderLink
 from ashlatch.fleet.logs import (
     CrashesCommitted,
     CrashesNotCommitted,
@@ -40,7 +43,6 @@
 from ashlatch.fleet.membership import find_unresponsive_member, join_group
 from ashlatch.fleet.operators import NoQuorum, OperatorApi
 from ashlatch.fleet.peers import PeerConnections
-from ashlatch.fleet.prefix_caches import read_prefix_caches
 from ashlatch.fleet.protocol import (
     COMMAND,
     JOIN,
@@ -52,7 +54,6 @@
     SyncRequest,
 )
 from ashlatch.fleet.seeds import Seeds
-from ashlatch.fleet.soft_state import SoftState, has_updates
 from ashlatch.http.connection import HttpBounds
 from ashlatch.http.listener import HttpListener
 from ashlatch.log import emit
@@ -68,7 +69,9 @@
 from ashlatch.store.transport import Transport
 from ashlatch.suspension import watch_suspension
 
-__all__ = ["CoreDaemon"]
+__all__ = [
+    "CoreDaemon",
+]
 
 
 log = logging.getLogger("ashlatch.fleet")
@@ -104,7 +107,7 @@
         self._transport = Transport(
             self.rpc, self.member, lambda message: self.group.post(Received(message))
         )
-        self.group.deliver = self._transport.send
+        self.group.send_messages = self._transport.send
         self._peers = PeerConnections()
         self._commands = CommandClient(
             settings.losses_max, self._peers, lambda: self.group, lambda: self.machine
@@ -149,15 +152,15 @@
                 election_min_ms=settings.election_min_ms,
                 election_max_ms=settings.election_max_ms,
                 clock_drift_ratio=settings.clock_drift_ratio,
-                fresh_ask_ms=settings.heartbeat_ms,
+                fresh_start_poll_ms=settings.heartbeat_ms,
             ),
             storage,
             self.member.member_id,
             self.machine,
             settings.snapshot_every_records,
         )
-        self.group.changed = lambda: self.rpc.post(self._on_group_changed)
-        self.group.failed = self._on_group_failed
+        self.group.on_change = lambda: self.rpc.post(self._on_group_changed)
+        self.group.on_failure = self._on_group_failed
 
     def _on_group_failed(self, error: BaseException) -> None:
         """Called on the group's thread when the group cannot go on."""
@@ -187,7 +190,7 @@
                 refused = DiskReopenFailed(self.member.member_id, str(reopen_error))
                 emit(log, refused, logging.DEBUG)
                 continue
-            self.group.deliver = self._transport.send
+            self.group.send_messages = self._transport.send
             self.group.start()
             away_ms = int(monotonic_ms() - failed_ms)
             emit(log, DiskReopened(self.member.member_id, away_ms))
@@ -212,7 +215,7 @@
 
     async def _start(self) -> None:
         service = RpcService()
-        service.add(store_protocol.DELIVER, self._transport.take)
+        service.add(store_protocol.DELIVER, self._transport.receive_batch)
         service.add(SYNC, self._handle_sync)
         service.add(JOIN, self._handle_join)
         service.add(COMMAND, self._commands.handle_command)
@@ -394,7 +397,7 @@
             return tuple(self.machine.state.rollouts.values())
 
     def _member_addresses(self) -> tuple[str, ...]:
-        return tuple(m.address for m in self.group.status.members.everyone())
+        return tuple(m.address for m in self.group.status.members.all_members())
 
     def _join_addresses(self) -> tuple[str, ...]:
         """Returns the addresses to ask for the leader: the members and the seeds."""
--- a/ashlatch/router/admission.py
+++ b/ashlatch/router/admission.py
@@ -9,10 +9,12 @@
 :license: MIT, see LICENSE for details.
 """
 
+from ashlatch.router.completion import complete_with_answer, fail_request, send_problem
+from ashlatch.router.planning_result import NoPlan
+
 from ashlatch.http import problem as problems
 from ashlatch.http.problem import Problem
 from ashlatch.policy.limit import Capacity, LimitReason
-from ashlatch.router.completion import complete_with_answer, fail_request, send_problem
 from ashlatch.router.core import HANDLERS, ActiveRequest, CachedPin, RouterCore
 from ashlatch.router.effect import ProposeClaim, ProposeClose, ScheduleClaimRetry
 from ashlatch.router.event import (
@@ -22,7 +24,6 @@
     RequestArrived,
     RequestKind,
 )
-from ashlatch.router.planning_result import NoPlan
 from ashlatch.router.sending import no_plan_problem, plan_attempt, start_attempt
 from ashlatch.store.command import (
     Claim,
@@ -30,12 +31,13 @@
     ClaimClosed,
     ClaimGranted,
     ClaimRunning,
-    Close,
+    CloseAttempt,
     VersionCandidate,
 )
 
 __all__ = []
 
+
 CLAIM_RETRY_MS = 100.0
 NO_STATE_RETRY_MS = 1000.0
 DRAIN_RETRY_MS = 1000.0
@@ -171,7 +173,7 @@
     outcome = event.outcome
     if active is None or active.responded:
         if isinstance(outcome, ClaimGranted):
-            close = Close(event.claim.key, outcome.attempt, not_run=True)
+            close = CloseAttempt(event.claim.key, outcome.attempt, not_run=True)
             core.effects.append(ProposeClose(close))
         elif outcome is None:
             # The claim may have been granted although no outcome arrived, and only
--- a/ashlatch/router/daemon.py
+++ b/ashlatch/router/daemon.py
@@ -20,6 +20,7 @@
 from typing import ClassVar
 
 import msgspec
+from ashlatch.router.responder import Responder
 from werkzeug.wrappers import Request as HttpRequest
 from werkzeug.wrappers import Response
 
@@ -53,12 +54,14 @@
     VersionTotalsReceived,
 )
 from ashlatch.router.host import RouterHost
-from ashlatch.router.responder import Responder
 from ashlatch.rpc import Address
 from ashlatch.settings import RouterSettings
 from ashlatch.store.protocol import RouterPoll, RouterReply, VersionReport
 
-__all__ = ["RouterDaemon", "configuration_changed"]
+__all__ = [
+    "RouterDaemon",
+    "configuration_changed",
+]
 
 
 log = logging.getLogger("ashlatch.router")
@@ -205,7 +208,7 @@
     def _heartbeat(self) -> RouterPoll:
         core = self.host.core
         reports = tuple(
-            VersionReport.of(version, tally, core.planner.is_suspended(version))
+            VersionReport.from_tally(version, tally, core.planner.is_suspended(version))
             for version, tally in list(core.tallies.items())
         )
         wait_ms = self.settings.poll_wait_ms
