--- a/ashlatch/raft/core.py
+++ b/ashlatch/raft/core.py
@@ -2,12 +2,12 @@
 ashlatch.raft.core
 ~~~~~~~~~~~~~~~~~~
 
-The state of one member of one group, and `step`, which takes an event and
-returns effects. No clock, socket, file or thread is used here: times come in
-with the events (milliseconds of any monotonic clock), and randomness from a
-seeded generator.
+The state of one group member, and `step`, which handles an event and returns
+effects. The code is deterministic: it uses no clock, socket, file or thread. Times
+are passed in with the events (milliseconds of any monotonic clock), and random
+numbers come from a seeded generator.
 
-The handlers of the events are in `election`, `replication` and `membership`.
+The event handlers are in `election`, `replication` and `membership`.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -38,7 +38,7 @@
 
 
 class Role(enum.Enum):
-    """What a member is at present."""
+    """The current role of a member."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
@@ -48,10 +48,10 @@
 
 @dataclass(frozen=True)
 class RaftConfig:
-    """Timing and sizes of a group; equal on all its members.
+    """Timing and size limits of a group; they must be equal on all its members.
 
-    A member that has just started asks about each `fresh_ask_ms` whether all
-    others have just started too; 0 for never.
+    A member that has just started asks the other voters about every
+    `fresh_start_poll_ms` whether they have just started too; 0 disables this.
     """
 
     group: int = 0
@@ -66,11 +66,11 @@
 
 @dataclass
 class Progress:
-    """What a leader knows of one other member.
+    """A leader's replication progress for one other member.
 
-    `acked_ms` is the leader's own time at which it sent the newest message
-    that the member has answered, `added_ms` when it began to lead, or the member was
-    added.
+    `acked_ms` is the leader's local time at which it sent the newest message that
+    the member has answered. `added_ms` is when the leader was elected or the member
+    was added.
     """
 
     added_ms: float
@@ -82,7 +82,7 @@
 
 @dataclass
 class RaftCore:
-    """One member. Call `step` with every event, in order, from one thread."""
+    """One group member. Call `step` with every event, in order, from one thread."""
 
     config: RaftConfig
     initial_state: PersistentState
@@ -101,36 +101,37 @@
     leading_since_ms: float = 0.0
 
     def __post_init__(self) -> None:
-        boot = self.initial_state
-        self.member_id = boot.member_id
-        self.term = boot.term
-        self.voted_for = boot.voted_for
-        self.log = Log(boot.snapshot, boot.entries)
-        self.snapshot_data = boot.snapshot_data
-        self.commit_index = boot.snapshot.index
+        stored = self.initial_state
+        self.member_id = stored.member_id
+        self.term = stored.term
+        self.voted_for = stored.voted_for
+        self.log = Log(stored.snapshot, stored.entries)
+        self.snapshot_data = stored.snapshot_data
+        self.commit_index = stored.snapshot.index
         self.synced_index = self.log.last_index
         self.members_index, self.members = self.log.members()
         self.random = random.Random(f"{self.config.seed}/{self.member_id}")
-        # A member that has just started may have acknowledged a leader right
-        # before; it keeps its vote for as long as that leader's lease can run.
+        # The previous incarnation of this member may have acknowledged a leader just
+        # before it ended. No vote is granted for as long as that leader's lease can
+        # run.
         self.leader_contact_ms = self.now_ms
-        # Until it hears or becomes one, it has known no leader in this life.
+        # True until this incarnation receives from a leader or becomes one.
         self.fresh_start = True
         self.reset_election_timer()
         self.reset_fresh_start_timer()
 
     def step(self, now_ms: float, event: Event) -> list[Effect]:
-        """Handle one event and return what must be done, in order."""
+        """Handles one event and returns the effects to perform, in order."""
         self.now_ms = max(self.now_ms, now_ms)
         HANDLERS.call(self, event)
         effects, self.effects = self.effects, []
         return effects
 
-    # What others may ask.
+    # Queries.
 
     @property
     def leading(self) -> bool:
-        """Whether this member leads, by its own knowledge."""
+        """Whether this member considers itself the leader."""
         return self.role is Role.LEADER
 
     @property
@@ -140,18 +141,19 @@
 
     @property
     def members_committed(self) -> bool:
-        """Whether the members that are counted with are agreed upon.
+        """Whether the current membership is committed.
 
-        A change of members counts from when it is appended, but it may still
-        be lost with its leader.
+        A membership change takes effect when it is appended, but until it is
+        committed it can still be lost with its leader.
         """
         return self.commit_index >= self.members_index
 
     def lease_until_ms(self) -> float:
-        """The time until which no other leader can exist.
+        """Returns the time until which no other leader can exist.
 
-        Every voter refuses its vote for `election_min_ms` after it heard of
-        the leader; the quorum that heard it last bounds the lease.
+        Every voter refuses to vote for `election_min_ms` after it received a message
+        of the leader. The lease is bounded by the quorum with the newest
+        acknowledgements.
         """
         if not self.leading:
             return float("-inf")
@@ -163,51 +165,52 @@
         return quorum_acked + window_ms
 
     def may_read(self, now_ms: float) -> bool:
-        """Whether the applied state may be served as the newest there is."""
+        """Returns whether the applied state may be served as the latest state."""
         return (
             self.leading
             and self.log.term_at(self.commit_index) == self.term
             and now_ms < self.lease_until_ms()
         )
 
-    # Shared steps of the handlers.
+    # Shared by the handlers.
 
     def reply_target(self, member_id: str) -> Member:
-        """Where to answer a sender, also one that the log does not name yet.
+        """Returns the member to reply to, even if the log does not name it yet.
 
-        The host knows the address that such a sender gave with its message.
+        The address is left empty then: the host uses the one that the sender gave
+        with its message.
         """
         return self.members.find(member_id) or Member(member_id, "", "")
 
     def acked_ms(self, member_id: str) -> float:
-        """When the member last acknowledged; a leader always hears itself."""
+        """Returns when the member last acknowledged; for this member, now."""
         if member_id == self.member_id:
             return self.now_ms
-        known = self.progress.get(member_id)
-        return known.acked_ms if known else float("-inf")
+        progress = self.progress.get(member_id)
+        return progress.acked_ms if progress else float("-inf")
 
     def send(self, to: Member, message: Message, after_sync: bool = False) -> None:
-        """Queue a message as an effect."""
+        """Queues a message as an effect."""
         self.effects.append(Send(to, message, after_sync))
 
     def reset_election_timer(self) -> None:
-        """Draw a new time at which to stand for election."""
+        """Draws a new random election timeout."""
         wait_ms = self.random.uniform(
             self.config.election_min_ms, self.config.election_max_ms
         )
         self.election_due_ms = self.now_ms + wait_ms
 
     def reset_fresh_start_timer(self) -> None:
-        """Draw when to ask next whether all members have just started."""
-        every_ms = self.config.fresh_start_poll_ms
+        """Draws when to ask next whether all voters have just started."""
+        interval_ms = self.config.fresh_start_poll_ms
         self.fresh_start_due_ms = float("inf")
-        if every_ms > 0:
-            self.fresh_start_due_ms = self.now_ms + every_ms * self.random.uniform(
+        if interval_ms > 0:
+            self.fresh_start_due_ms = self.now_ms + interval_ms * self.random.uniform(
                 0.5, 1.5
             )
 
     def save_vote(self, term: int, voted_for: str) -> None:
-        """Enter a term, or vote in it, durably."""
+        """Enters a term, or votes in it, and makes that durable."""
         if term < self.term:
             raise InvariantViolated("term-order", f"{term} after {self.term}")
         self.term = term
@@ -215,25 +218,25 @@
         self.effects.append(SaveVote(term, voted_for))
 
     def become_follower(self, term: int, leader_id: str = "") -> None:
-        """Follow, in this term or a newer one."""
-        was = (self.role, self.leader_id, self.term)
+        """Becomes a follower, in this term or a newer one."""
+        before = (self.role, self.leader_id, self.term)
         if term > self.term:
             self.save_vote(term, "")
         if self.leading:
             self.reset_election_timer()
         self.role = Role.FOLLOWER
         self.leader_id = leader_id
-        if was != (self.role, self.leader_id, self.term):
+        if before != (self.role, self.leader_id, self.term):
             self.effects.append(LeadershipChanged(self.term, False, self.leader))
 
     def append_as_leader(self, command: bytes, members: Members | None = None) -> Entry:
-        """As the leader, put one entry at the end of the log."""
+        """Appends a new entry to the log, as the leader."""
         entry = Entry(self.log.last_index + 1, self.term, command, members)
         self.append((entry,))
         return entry
 
     def append(self, entries: tuple[Entry, ...]) -> None:
-        """Put entries into the log and onto the disk."""
+        """Appends entries to the log and queues them to be written to disk."""
         if entries[0].index <= self.commit_index:
             raise InvariantViolated(
                 "committed-kept", f"{entries[0].index} <= {self.commit_index}"
@@ -244,7 +247,7 @@
         self.effects.append(AppendLog(entries))
 
     def commit_to(self, index: int) -> None:
-        """Apply all up to an index that is known to be committed."""
+        """Advances the commit index and queues the new entries to be applied."""
         if index <= self.commit_index:
             return
         entries = self.log.between(self.commit_index + 1, index)
--- a/ashlatch/raft/effect.py
+++ b/ashlatch/raft/effect.py
@@ -2,7 +2,7 @@
 ashlatch.raft.effect
 ~~~~~~~~~~~~~~~~~~~~
 
-Events that a `RaftCore` takes and effects that it returns.
+The events that a `RaftCore` handles and the effects that it returns.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -38,19 +38,19 @@
 
 @dataclass(frozen=True)
 class Tick:
-    """Time has passed; sent every few milliseconds."""
+    """Time has passed. The host sends this every few milliseconds."""
 
 
 @dataclass(frozen=True)
 class Received:
-    """A message from another member has come in."""
+    """A message from another member has been received."""
 
     message: Message
 
 
 @dataclass(frozen=True)
 class Propose:
-    """A client's command; `ticket` names the proposal in the effects."""
+    """A client proposes a command; the effects refer to it by `proposal_id`."""
 
     proposal_id: int
     command: bytes
@@ -65,14 +65,14 @@
 
 @dataclass(frozen=True)
 class RemoveMember:
-    """An operator, or a finished repair, takes a member out."""
+    """An operator, or a finished repair, removes a member."""
 
     member_id: str
 
 
 @dataclass(frozen=True)
 class Synced:
-    """The disk holds the log up to this index and term."""
+    """The log is synced to disk up to this index and term."""
 
     index: int
     term: int
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True)
 class SnapshotTaken:
-    """The state machine has written itself down as of `index`."""
+    """The state machine has taken a snapshot of its state as of `index`."""
 
     index: int
     data: bytes
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True)
 class Flush:
-    """The host has handed in a batch of events; send what they left."""
+    """The host has passed in a batch of events; send the entries they appended."""
 
 
 Event = (
@@ -113,14 +113,14 @@
 
 @dataclass(frozen=True)
 class AppendLog:
-    """Make entries durable, after dropping all from the first one's index."""
+    """Make entries durable; they replace all from the index of the first one."""
 
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True)
 class SaveSnapshot:
-    """Make a snapshot durable and drop the log up to its index."""
+    """Make a snapshot durable and truncate the log up to its index."""
 
     meta: SnapshotMeta
     data: bytes
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True)
 class InstallSnapshot:
-    """Replace the state machine by this snapshot."""
+    """Replace the state of the state machine with this snapshot."""
 
     meta: SnapshotMeta
     data: bytes
@@ -136,7 +136,7 @@
 
 @dataclass(frozen=True)
 class Send:
-    """Send a message; `after_sync` ones wait for all earlier disk effects."""
+    """Send a message, after all earlier disk effects if `after_sync` is set."""
 
     to: Member
     message: Message
@@ -145,14 +145,14 @@
 
 @dataclass(frozen=True)
 class Apply:
-    """Entries that are committed, in order."""
+    """Apply these committed entries, in order."""
 
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True)
 class Proposed:
-    """The proposal took this place in the log; not committed yet."""
+    """The proposal was appended at this index; it is not committed yet."""
 
     proposal_id: int
     index: int
@@ -161,14 +161,14 @@
 
 @dataclass(frozen=True)
 class ProposalRefused:
-    """The proposal was not taken, because this member does not lead."""
+    """The proposal was refused because this member is not the leader."""
 
     proposal_id: int
 
 
 @dataclass(frozen=True)
 class LeadershipChanged:
-    """This member began or ceased to lead, or learnt of another leader."""
+    """This member became or ceased to be leader, or follows another leader."""
 
     term: int
     leading: bool
@@ -190,10 +190,9 @@
 
 @dataclass(frozen=True)
 class PersistentState:
-    """What a data folder holds when the process starts.
+    """The state that is read from a data folder when the process starts.
 
-    The snapshot's members are empty for a folder that belongs to no group
-    yet.
+    The snapshot's members are empty while the folder does not belong to a group.
     """
 
     member_id: str
--- a/ashlatch/raft/election.py
+++ b/ashlatch/raft/election.py
@@ -2,10 +2,10 @@
 ashlatch.raft.election
 ~~~~~~~~~~~~~~~~~~~~~~
 
-Terms and votes. A member first asks whether it would be elected (pre-vote)
-and only then begins a term, so that one that was cut off and comes back does
-not depose a working leader. A leader that hears no quorum steps down
-(check-quorum), and voters that hear a leader give no vote against it.
+Leader election. A member first asks whether it would be elected (pre-vote) and only
+then begins a new term, so that a member that returns after a network partition does
+not depose a working leader. A leader without answers of a quorum steps down
+(check-quorum), and a voter that receives from a leader grants no vote to others.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -25,25 +25,26 @@
 
 @HANDLERS.on(Tick)
 def tick(core: RaftCore, event: Tick) -> None:
-    """Stand for election when the leader is silent; lead when leading."""
+    """Starts an election on a timeout, or performs the leader's periodic work."""
     if core.leading:
-        _lead(core)
+        _tick_leader(core)
         return
     if core.fresh_start and core.now_ms >= core.fresh_start_due_ms:
-        _ask_whether_fresh(core)
+        _request_fresh_start_votes(core)
     if core.now_ms < core.election_due_ms:
         return
     core.reset_election_timer()
     if core.member_id in core.members.voter_ids():
-        _ask_votes(core, pre=True)
+        _request_votes(core, pre=True)
     elif core.leader_id:
-        # Who was taken out while it stood still has to know, to ask to be let in.
+        # A member that was removed while it did not run receives no more messages.
+        # It must notice that it has no leader, so that it asks to join again.
         core.become_follower(core.term)
 
 
 @HANDLERS.on(Received)
 def receive(core: RaftCore, event: Received) -> None:
-    """Hand a message of another member to its handler."""
+    """Passes a message of another member to its handler."""
     message = event.message
     if message.group != core.config.group:
         return
@@ -53,9 +54,9 @@
         handle_replication(core, message)
 
 
-def _lead(core: RaftCore) -> None:
-    heard_ms = max(core.lease_until_ms(), core.leading_since_ms)
-    if core.now_ms > heard_ms + core.config.election_max_ms:
+def _tick_leader(core: RaftCore) -> None:
+    contact_ms = max(core.lease_until_ms(), core.leading_since_ms)
+    if core.now_ms > contact_ms + core.config.election_max_ms:
         core.become_follower(core.term)
         return
     if core.now_ms >= core.heartbeat_due_ms:
@@ -64,13 +65,13 @@
     advance_repair(core)
 
 
-def _ask_whether_fresh(core: RaftCore) -> None:
-    """Ask for votes that need not wait for the lease of an earlier leader.
+def _request_fresh_start_votes(core: RaftCore) -> None:
+    """Asks for votes that need not wait until an earlier leader's lease has expired.
 
-    A member that has just started keeps its vote, since it may have
-    acknowledged a leader right before. But a leader that holds a lease is a
-    voter that has not started again since; if all voters have just started,
-    there is none.
+    A member that has just started does not vote, since it may have acknowledged a
+    leader just before. But a leader that holds a lease is a voter that has not
+    restarted since it got the lease. If all voters have just started, there is no
+    such leader.
     """
     core.reset_fresh_start_timer()
     idle = core.role in (Role.FOLLOWER, Role.PRE_CANDIDATE)
@@ -91,16 +92,16 @@
             core.send(voter, request, after_sync=False)
 
 
-def _fresh_vote_answered(core: RaftCore, reply: VoteReply) -> None:
+def _fresh_start_vote_answered(core: RaftCore, reply: VoteReply) -> None:
     if not core.fresh_start or reply.term != core.term + 1:
         return
     core.fresh_start_votes.add(reply.sender)
     if core.fresh_start_votes >= core.members.voter_ids():
         core.reset_election_timer()
-        _ask_votes(core, pre=False, fresh=True)
+        _request_votes(core, pre=False, fresh_start=True)
 
 
-def _ask_votes(core: RaftCore, pre: bool, fresh: bool = False) -> None:
+def _request_votes(core: RaftCore, pre: bool, fresh_start: bool = False) -> None:
     if pre:
         core.role = Role.PRE_CANDIDATE
         term = core.term + 1
@@ -117,7 +118,7 @@
         core.log.last_index,
         core.log.last_term,
         pre,
-        fresh,
+        fresh_start,
     )
     for voter in core.members.voters:
         if voter.member_id != core.member_id:
@@ -129,7 +130,7 @@
     if len(core.votes & core.members.voter_ids()) < core.members.quorum():
         return
     if core.role is Role.PRE_CANDIDATE:
-        _ask_votes(core, pre=False)
+        _request_votes(core, pre=False)
     elif core.role is Role.CANDIDATE:
         _become_leader(core)
 
@@ -148,18 +149,18 @@
     broadcast(core, heartbeat=True)
 
 
-def _leader_is_alive(core: RaftCore) -> bool:
-    heard_for_ms = core.now_ms - core.leader_contact_ms
-    return core.leading or heard_for_ms < core.config.election_min_ms
+def _has_live_leader(core: RaftCore) -> bool:
+    since_contact_ms = core.now_ms - core.leader_contact_ms
+    return core.leading or since_contact_ms < core.config.election_min_ms
 
 
 @_MESSAGES.on(VoteRequest)
 def _vote_requested(core: RaftCore, request: VoteRequest) -> None:
-    fresh = core.fresh_start and request.fresh_start
-    free = fresh or not _leader_is_alive(core)
-    if request.term > core.term and not request.pre and free:
+    fresh_start = core.fresh_start and request.fresh_start
+    may_vote = fresh_start or not _has_live_leader(core)
+    if request.term > core.term and not request.pre and may_vote:
         core.become_follower(request.term)
-    granted = free and _would_vote(core, request)
+    granted = may_vote and _would_vote(core, request)
     if granted and not request.pre:
         core.save_vote(core.term, request.sender)
         core.reset_election_timer()
@@ -170,7 +171,7 @@
         granted,
         request.pre,
         core.term,
-        granted and fresh and request.pre,
+        granted and fresh_start and request.pre,
     )
     core.send(core.reply_target(request.sender), reply, after_sync=True)
 
@@ -182,19 +183,19 @@
     )
     if request.pre:
         return up_to_date and request.term > core.term
-    free = core.voted_for in ("", request.sender)
-    return up_to_date and request.term == core.term and free
+    vote_available = core.voted_for in ("", request.sender)
+    return up_to_date and request.term == core.term and vote_available
 
 
 @_MESSAGES.on(VoteReply)
 def _vote_answered(core: RaftCore, reply: VoteReply) -> None:
     if not reply.granted and reply.voter_term > core.term and not core.leading:
-        # Without this a member with the newest log but an old term would
-        # never be given a pre-vote.
+        # Adopts the voter's newer term. Otherwise a member with the newest log but an
+        # old term would never be granted a pre-vote.
         core.become_follower(reply.voter_term)
         return
     if reply.fresh_start:
-        _fresh_vote_answered(core, reply)
+        _fresh_start_vote_answered(core, reply)
         return
     expected = {
         Role.PRE_CANDIDATE: (core.term + 1, True),
--- a/ashlatch/raft/group.py
+++ b/ashlatch/raft/group.py
@@ -2,9 +2,9 @@
 ashlatch.raft.group
 ~~~~~~~~~~~~~~~~~~~
 
-Runs one `RaftCore` on a thread of its own, with its disk and its state
-machine. Events that come in while the disk is syncing are handled together
-and share the next sync (group commit).
+Runs one `RaftCore` on its own thread, with its storage and its state machine.
+Events that arrive while the disk is syncing are handled as one batch and share the
+next sync (group commit).
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -47,18 +47,18 @@
 
 TICK_MS = 20.0
 MAX_BATCH = 512
-# A disk that hangs may hold the thread; the process then ends without it.
+# A hung disk can block the thread; the process then ends without waiting for it.
 STOP_TIMEOUT_S = 2.0
 
 # Importing the module registers its handlers.
-_HANDLERS_OF = (election,)
+_HANDLER_MODULES = (election,)
 
 
 @dataclass
 class NotLeading(AshlatchError):
-    """The proposal was not taken here, or it is not known what became of it.
+    """The proposal was refused by this member, or its outcome is unknown.
 
-    `lost` is true when it may still be committed by another leader.
+    `lost` is set if another leader may still commit it.
     """
 
     leader_address: str
@@ -66,21 +66,21 @@
 
 
 class StateMachine(Protocol):
-    """The state machine that a group drives."""
+    """The state machine that a group applies committed commands to."""
 
     def apply(self, command: bytes) -> Any:
-        """Apply a committed command and return its outcome."""
+        """Applies a committed command and returns its outcome."""
 
     def snapshot(self) -> bytes:
-        """The whole state as bytes."""
+        """Returns the whole state as bytes."""
 
     def restore(self, data: bytes) -> None:
-        """Replace the state."""
+        """Replaces the state with a snapshot."""
 
 
 @dataclass(frozen=True)
 class GroupStatus:
-    """What a group's member knew of itself after its last batch of events."""
+    """The status of a group member after its last batch of events."""
 
     member_id: str
     term: int
@@ -98,22 +98,22 @@
     added_ms: dict[str, float]
 
     def may_read(self, now_ms: float) -> bool:
-        """Whether the applied state is the newest there is."""
+        """Returns whether the applied state is the latest state."""
         return self.readable and now_ms < self.lease_until_ms
 
 
 @dataclass
-class _Waiting:
+class _PendingProposal:
     term: int
     future: "Future[Any]"
 
 
 class Group:
-    """One member of one group, running.
+    """A running member of one group.
 
-    `deliver` sends messages to members; `changed` is called, on the
-    group's thread, after each batch that applied entries or changed the
-    leader; `failed` is called once with the error that stopped the group.
+    `send_messages` sends messages to other members. `on_change` is called on the
+    group's thread after each batch that applied entries or changed the leader.
+    `on_failure` is called once with the error that stopped the group.
     """
 
     def __init__(
@@ -137,51 +137,51 @@
         self._snapshot_every = snapshot_every
         self._inbox: queue.SimpleQueue[Event | None] = queue.SimpleQueue()
         self._proposals: dict[int, Future[Any]] = {}
-        self._waiting: dict[int, _Waiting] = {}
-        self._next_ticket = 0
-        self._ticket_lock = threading.Lock()
+        self._pending: dict[int, _PendingProposal] = {}
+        self._next_proposal_id = 0
+        self._proposal_lock = threading.Lock()
         state_machine.restore(boot.snapshot_data)
         self.applied_index = boot.snapshot.index
         self._core = RaftCore(config, boot, monotonic_ms())
-        self.status = self._describe()
+        self.status = self._build_status()
         self._thread = threading.Thread(
             target=self._run, name=f"group-{config.group}", daemon=True
         )
 
     def start(self) -> None:
-        """Begin to take part."""
+        """Starts the group's thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Take no further part; waits for the thread."""
+        """Stops the group's thread, waits for it and closes the storage."""
         self._inbox.put(None)
         self._thread.join(timeout=STOP_TIMEOUT_S)
         self._storage.close()
 
     def post(self, event: Event) -> None:
-        """Hand in an event from any thread."""
+        """Queues an event; may be called from any thread."""
         self._inbox.put(event)
 
     def propose(self, command: bytes) -> "Future[Any]":
-        """Propose a command; the future gives its outcome once applied.
+        """Proposes a command; the future returns its outcome once it is applied.
 
-        It fails with `NotLeading` when this member does not lead, or has
-        ceased to before the command was known to be committed.
+        The future fails with `NotLeading` if this member is not the leader, or
+        ceases to be before the command is known to be committed.
         """
         future: Future[Any] = Future()
-        # A running future cannot be cancelled: who asked may leave, and the
-        # group must still be able to settle it.
+        # A running future cannot be cancelled: the caller may stop waiting, and the
+        # group must still be able to set the result.
         future.set_running_or_notify_cancel()
-        with self._ticket_lock:
-            self._next_ticket += 1
-            ticket = self._next_ticket
-            self._proposals[ticket] = future
-        self._inbox.put(Propose(ticket, command))
+        with self._proposal_lock:
+            self._next_proposal_id += 1
+            proposal_id = self._next_proposal_id
+            self._proposals[proposal_id] = future
+        self._inbox.put(Propose(proposal_id, command))
         return future
 
     def _run(self) -> None:
         try:
-            while self._round():
+            while self._run_batch():
                 pass
         except BaseException as error:
             self.status = dataclasses.replace(
@@ -191,7 +191,7 @@
             self.on_failure(error)
             self._fail_all(lost=True)
 
-    def _round(self) -> bool:
+    def _run_batch(self) -> bool:
         batch = self._next_batch()
         now_ms = monotonic_ms()
         effects: list[Effect] = []
@@ -203,7 +203,7 @@
         effects += self._core.step(now_ms, Tick())
         effects += self._core.step(now_ms, Flush())
         applied = self._perform_all(effects)
-        self.status = self._describe()
+        self.status = self._build_status()
         if applied:
             self.on_change()
         return True
@@ -219,7 +219,7 @@
         return batch
 
     def _perform_all(self, effects: list[Effect]) -> bool:
-        """Perform effects and those that follow from them."""
+        """Performs effects and the effects that result from them."""
         applied = False
         while effects:
             applied |= any(isinstance(e, Apply | LeadershipChanged) for e in effects)
@@ -232,17 +232,25 @@
         return applied
 
     def _perform(self, effects: list[Effect]) -> Entry | None:
-        """Disk first, then all that waits for it; the last entry synced."""
-        votes = any(isinstance(effect, SaveVote) for effect in effects)
+        """Writes to disk, then performs all other effects.
+
+        Messages that need not wait for the disk are sent before the write. Returns
+        the last entry that was synced.
+        """
+        saves_vote = any(isinstance(effect, SaveVote) for effect in effects)
         sends = [effect for effect in effects if isinstance(effect, Send)]
-        # A new term must be on the disk before anything is said in it.
-        early = [] if votes else [send for send in sends if not send.after_sync]
-        late = sends if votes else [send for send in sends if send.after_sync]
-        self.send_messages([(send.to, send.message) for send in early])
+        # A new term must be on disk before any message of that term is sent.
+        before_sync = (
+            [] if saves_vote else [send for send in sends if not send.after_sync]
+        )
+        after_sync_sends = (
+            sends if saves_vote else [send for send in sends if send.after_sync]
+        )
+        self.send_messages([(send.to, send.message) for send in before_sync])
         last = self._write(effects)
-        self.send_messages([(send.to, send.message) for send in late])
+        self.send_messages([(send.to, send.message) for send in after_sync_sends])
         for effect in effects:
-            self._take(effect)
+            self._finish(effect)
         return last
 
     def _write(self, effects: list[Effect]) -> Entry | None:
@@ -261,7 +269,7 @@
         self._storage.sync()
         return last
 
-    def _take(self, effect: Effect) -> None:
+    def _finish(self, effect: Effect) -> None:
         match effect:
             case Apply(entries):
                 self._apply(entries)
@@ -269,14 +277,16 @@
                 with self.lock:
                     self.state_machine.restore(data)
                 self.applied_index = meta.index
-            case Proposed(ticket, index, term):
-                self._waiting[index] = _Waiting(term, self._proposals.pop(ticket))
-            case ProposalRefused(ticket):
+            case Proposed(proposal_id, index, term):
+                self._pending[index] = _PendingProposal(
+                    term, self._proposals.pop(proposal_id)
+                )
+            case ProposalRefused(proposal_id):
                 error = NotLeading(self._leader_address(), lost=False)
-                self._proposals.pop(ticket).set_exception(error)
+                self._proposals.pop(proposal_id).set_exception(error)
             case LeadershipChanged(_, leading, _):
                 if not leading:
-                    self._fail_waiting()
+                    self._fail_pending()
 
     def _apply(self, entries: tuple[Entry, ...]) -> None:
         for entry in entries:
@@ -285,14 +295,14 @@
                 with self.lock:
                     outcome = self.state_machine.apply(entry.command)
             self.applied_index = entry.index
-            waiting = self._waiting.pop(entry.index, None)
-            if waiting is None:
+            proposal = self._pending.pop(entry.index, None)
+            if proposal is None:
                 continue
-            if waiting.term == entry.term:
-                waiting.future.set_result(outcome)
+            if proposal.term == entry.term:
+                proposal.future.set_result(outcome)
             else:
                 error = NotLeading(self._leader_address(), lost=True)
-                waiting.future.set_exception(error)
+                proposal.future.set_exception(error)
 
     def _snapshot_if_due(self) -> list[Effect]:
         if self.applied_index - self._core.log.snapshot.index < self._snapshot_every:
@@ -301,14 +311,14 @@
             data = self.state_machine.snapshot()
         return self._core.step(monotonic_ms(), SnapshotTaken(self.applied_index, data))
 
-    def _fail_waiting(self) -> None:
-        waiting, self._waiting = self._waiting, {}
-        for entry in waiting.values():
-            entry.future.set_exception(NotLeading(self._leader_address(), lost=True))
+    def _fail_pending(self) -> None:
+        pending, self._pending = self._pending, {}
+        for proposal in pending.values():
+            proposal.future.set_exception(NotLeading(self._leader_address(), lost=True))
 
     def _fail_all(self, lost: bool) -> None:
-        self._fail_waiting()
-        with self._ticket_lock:
+        self._fail_pending()
+        with self._proposal_lock:
             proposals, self._proposals = self._proposals, {}
         for future in proposals.values():
             future.set_exception(NotLeading("", lost))
@@ -317,12 +327,12 @@
         leader = self._core.leader
         return leader.address if leader else ""
 
-    def _describe(self) -> GroupStatus:
+    def _build_status(self) -> GroupStatus:
         core = self._core
-        matches = {key: p.match_index for key, p in core.progress.items()}
-        matches[core.member_id] = core.synced_index
-        answered = {key: core.acked_ms(key) for key in matches}
-        added = {key: p.added_ms for key, p in core.progress.items()}
+        match_index = {key: p.match_index for key, p in core.progress.items()}
+        match_index[core.member_id] = core.synced_index
+        acked_ms = {key: core.acked_ms(key) for key in match_index}
+        added_ms = {key: p.added_ms for key, p in core.progress.items()}
         return GroupStatus(
             core.member_id,
             core.term,
@@ -335,7 +345,7 @@
             core.log.snapshot.index,
             core.members,
             core.members_committed,
-            matches if core.leading else {},
-            answered if core.leading else {},
-            added if core.leading else {},
+            match_index if core.leading else {},
+            acked_ms if core.leading else {},
+            added_ms if core.leading else {},
         )
--- a/ashlatch/raft/membership.py
+++ b/ashlatch/raft/membership.py
@@ -2,10 +2,10 @@
 ashlatch.raft.membership
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-Changes of members, one at a time, each begun only after the last one is
-committed. A new data folder joins as a learner, becomes a voter once it has
-synced all that is committed, and only then is the member that it replaces on
-its VM taken out.
+Membership changes. They are made one at a time; each starts only after the last one
+is committed. A new data folder joins as a learner and becomes a voter once it has
+synced all committed entries. Only then is the member that it replaces on its VM
+removed.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -21,7 +21,7 @@
 @HANDLERS.on(AddLearner)
 def _add_learner(core: RaftCore, event: AddLearner) -> None:
     if _may_change(core) and core.members.find(event.member.member_id) is None:
-        _change(core, core.members.with_learner(event.member))
+        _append_change(core, core.members.with_learner(event.member))
 
 
 @HANDLERS.on(RemoveMember)
@@ -29,26 +29,26 @@
     if not _may_change(core) or core.members.find(event.member_id) is None:
         return
     remaining = core.members.without(event.member_id)
-    if remaining.voters and _quorum_answers(core, remaining):
-        _change(core, remaining)
+    if remaining.voters and _quorum_caught_up(core, remaining):
+        _append_change(core, remaining)
 
 
 def advance_repair(core: RaftCore) -> None:
-    """As the leader, take the next step of an unfinished repair, if any."""
+    """Performs the next step of an unfinished repair, if any, as the leader."""
     if not _may_change(core):
         return
     for learner in core.members.learners:
         if _caught_up(core, learner):
-            _change(core, core.members.with_voter(learner))
+            _append_change(core, core.members.with_voter(learner))
             return
     for member in replaced_members(core.members):
-        if _quorum_answers(core, core.members.without(member.member_id)):
-            _change(core, core.members.without(member.member_id))
+        if _quorum_caught_up(core, core.members.without(member.member_id)):
+            _append_change(core, core.members.without(member.member_id))
             return
 
 
 def replaced_members(members: Members) -> tuple[Member, ...]:
-    """Members whose VM has a newer voter with another data folder."""
+    """Returns the voters whose VM has a newer voter with another data folder."""
     newest = {voter.vm: voter.member_id for voter in members.voters}
     return tuple(
         member
@@ -59,13 +59,14 @@
 
 
 def _may_change(core: RaftCore) -> bool:
-    """Whether the last change is committed, and an entry of this term too.
+    """Returns whether a membership change may start now.
 
-    The second point closes the hole in single-server changes that Ongaro
-    described on raft-dev in 2015.
+    The last change must be committed, and so must an entry of the current term. The
+    second condition fixes the safety bug in single-server changes that Ongaro
+    reported on raft-dev in 2015.
     """
-    own_term_committed = core.log.term_at(core.commit_index) == core.term
-    return core.leading and own_term_committed and core.members_committed
+    current_term_committed = core.log.term_at(core.commit_index) == core.term
+    return core.leading and current_term_committed and core.members_committed
 
 
 def _caught_up(core: RaftCore, member: Member) -> bool:
@@ -74,21 +75,21 @@
     progress = core.progress.get(member.member_id)
     if progress is None:
         return False
-    silent_ms = core.now_ms - progress.acked_ms
-    recent = silent_ms < core.config.election_min_ms
+    since_ack_ms = core.now_ms - progress.acked_ms
+    recent = since_ack_ms < core.config.election_min_ms
     return recent and progress.match_index >= core.commit_index
 
 
-def _quorum_answers(core: RaftCore, members: Members) -> bool:
-    """Whether a quorum of these voters has synced all that is committed."""
-    current = [voter for voter in members.voters if _caught_up(core, voter)]
-    return len(current) >= members.quorum()
+def _quorum_caught_up(core: RaftCore, members: Members) -> bool:
+    """Returns whether a quorum of these voters has synced all committed entries."""
+    caught_up = [voter for voter in members.voters if _caught_up(core, voter)]
+    return len(caught_up) >= members.quorum()
 
 
-def _change(core: RaftCore, members: Members) -> None:
+def _append_change(core: RaftCore, members: Members) -> None:
     core.append_as_leader(b"", members)
     for member in members.all_members():
-        added = Progress(core.now_ms, core.log.last_index)
-        core.progress.setdefault(member.member_id, added)
-    known = {member.member_id for member in members.all_members()}
-    core.progress = {key: p for key, p in core.progress.items() if key in known}
+        progress = Progress(core.now_ms, core.log.last_index)
+        core.progress.setdefault(member.member_id, progress)
+    current_ids = {member.member_id for member in members.all_members()}
+    core.progress = {key: p for key, p in core.progress.items() if key in current_ids}
--- a/ashlatch/raft/message.py
+++ b/ashlatch/raft/message.py
@@ -2,7 +2,7 @@
 ashlatch.raft.message
 ~~~~~~~~~~~~~~~~~~~~~
 
-Log entries, group members, and the messages that members send each other.
+Log entries, group members, and the messages between members.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -26,7 +26,7 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """One replica. `member_id` belongs to a data folder, not to a VM."""
+    """One replica. `member_id` identifies a data folder, not a VM."""
 
     member_id: str
     vm: str
@@ -34,38 +34,38 @@
 
 
 class Members(msgspec.Struct, frozen=True):
-    """The replicas of a group: those that vote and those that only learn."""
+    """The replicas of a group: voters, and learners without a vote."""
 
     voters: tuple[Member, ...] = ()
     learners: tuple[Member, ...] = ()
 
     def voter_ids(self) -> frozenset[str]:
-        """The ids of all voters."""
+        """Returns the ids of all voters."""
         return frozenset(member.member_id for member in self.voters)
 
     def all_members(self) -> tuple[Member, ...]:
-        """Voters and learners."""
+        """Returns voters and learners."""
         return self.voters + self.learners
 
     def find(self, member_id: str) -> Member | None:
-        """The member of this id, if there is one."""
+        """Returns the member with this id, or `None`."""
         return next((m for m in self.all_members() if m.member_id == member_id), None)
 
     def quorum(self) -> int:
-        """How many voters make a majority."""
+        """Returns how many voters make a majority."""
         return len(self.voters) // 2 + 1
 
     def with_learner(self, member: Member) -> "Members":
-        """These members and one learner more."""
+        """Returns these members with one more learner."""
         return Members(self.voters, (*self.learners, member))
 
     def with_voter(self, member: Member) -> "Members":
-        """These members, a learner turned into a voter."""
+        """Returns these members with a learner promoted to voter."""
         learners = tuple(m for m in self.learners if m.member_id != member.member_id)
         return Members((*self.voters, member), learners)
 
     def without(self, member_id: str) -> "Members":
-        """These members less one."""
+        """Returns these members without one of them."""
         return Members(
             tuple(m for m in self.voters if m.member_id != member_id),
             tuple(m for m in self.learners if m.member_id != member_id),
@@ -73,10 +73,10 @@
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """One record of the log.
+    """One log entry.
 
-    `members` is set on a change of members, `command` on a command of the
-    state machine; both are empty on the first entry of a leader.
+    `members` is set for a membership change, `command` for a command to the state
+    machine. Both are empty in the first entry of a leader.
     """
 
     index: int
@@ -86,7 +86,7 @@
 
 
 class SnapshotMeta(msgspec.Struct, frozen=True):
-    """What a snapshot stands for: all entries up to `index`."""
+    """The position of a snapshot in the log: it covers all entries up to `index`."""
 
     index: int = 0
     term: int = 0
@@ -94,10 +94,10 @@
 
 
 class VoteRequest(msgspec.Struct, frozen=True, array_like=True, tag="vote_request"):
-    """Asks for a vote; with `pre` set, asks only whether one would be given.
+    """Requests a vote; with `pre` set, asks only whether it would be granted.
 
-    With `fresh` set, the sender has heard no leader since it started, and, if
-    `pre` is not set, it knows the same of all voters.
+    With `fresh_start` set, the sender has received from no leader since it started.
+    If `pre` is not set, it also knows that this holds for all voters.
     """
 
     group: int
@@ -112,9 +112,9 @@
 class VoteReply(msgspec.Struct, frozen=True, array_like=True, tag="vote_reply"):
     """The answer to a `VoteRequest`.
 
-    `term` is the one that was asked for, `voter_term` the one the voter is in.
-    `fresh` is set when it is granted because the voter has heard no leader
-    since it started.
+    `term` is the term of the request, `voter_term` the current term of the voter.
+    `fresh_start` is set if the vote was granted because the voter has received from
+    no leader since it started.
     """
 
     group: int
@@ -129,8 +129,8 @@
 class AppendRequest(msgspec.Struct, frozen=True, array_like=True, tag="append_request"):
     """Entries after `previous_index`; without entries, a heartbeat.
 
-    `sent_ms` is the leader's own clock, given back in the reply; the
-    leader's lease is counted from it.
+    `sent_ms` is a time of the leader's clock and is returned in the reply. The
+    leader's lease starts at that time.
     """
 
     group: int
@@ -146,8 +146,8 @@
 class AppendReply(msgspec.Struct, frozen=True, array_like=True, tag="append_reply"):
     """The answer to an `AppendRequest`.
 
-    When accepted, `match_index` is the last entry known to be synced and
-    equal to the leader's; when not, the index the leader should try next.
+    If accepted, `match_index` is the last entry that is known to be synced and equal
+    to the leader's. Otherwise it is the index that the leader should try next.
     """
 
     group: int
@@ -159,7 +159,7 @@
 
 
 class SnapshotChunk(msgspec.Struct, frozen=True, array_like=True, tag="snapshot_chunk"):
-    """A part of a snapshot, beginning at byte `offset`."""
+    """A part of a snapshot, starting at byte `offset`."""
 
     group: int
     sender: str
@@ -172,9 +172,9 @@
 
 
 class SnapshotReply(msgspec.Struct, frozen=True, array_like=True, tag="snapshot_reply"):
-    """The answer to a `SnapshotChunk`: the offset that should come next.
+    """The answer to a `SnapshotChunk`, with the offset to send next.
 
-    `done_index` is the snapshot's index once it is synced, else zero.
+    `done_index` is the snapshot's index once it is synced, otherwise zero.
     """
 
     group: int
--- a/ashlatch/raft/replication.py
+++ b/ashlatch/raft/replication.py
@@ -2,8 +2,9 @@
 ashlatch.raft.replication
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Copies the leader's log to the other members, by entries or, where those are
-cut off, by a snapshot in chunks; and commits what a quorum has synced.
+Replicates the leader's log to the other members, and commits the entries that a
+quorum has synced. Members that need entries before the leader's snapshot receive the
+snapshot, in chunks.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -41,7 +42,7 @@
 
 
 def handle_replication(core: RaftCore, message: Message) -> None:
-    """Handle any message that is not about votes."""
+    """Handles any message that is not about votes."""
     _MESSAGES.call(core, message)
 
 
@@ -61,8 +62,8 @@
 
 
 @HANDLERS.on(Synced)
-def _synced(core: RaftCore, event: Synced) -> None:
-    # A report about entries that were replaced meanwhile says nothing.
+def _log_synced(core: RaftCore, event: Synced) -> None:
+    # Ignores the sync of entries that have been replaced in the meantime.
     if core.log.term_at(event.index) != event.term:
         return
     core.synced_index = max(core.synced_index, event.index)
@@ -85,7 +86,10 @@
 
 
 def broadcast(core: RaftCore, heartbeat: bool) -> None:
-    """Send every other member what it lacks; a heartbeat also when nothing."""
+    """Sends every other member the entries or the snapshot that it lacks.
+
+    With `heartbeat` set, members that lack nothing are sent a heartbeat.
+    """
     for member in core.members.all_members():
         if member.member_id == core.member_id:
             continue
@@ -104,7 +108,7 @@
         if heartbeat or progress.snapshot_offset is None:
             _send_chunk(core, member, progress)
         return
-    entries = _fitting(core, progress.next_index)
+    entries = _entries_for_message(core, progress.next_index)
     if not entries and not heartbeat:
         return
     request = AppendRequest(
@@ -121,8 +125,8 @@
     core.send(member, request)
 
 
-def _fitting(core: RaftCore, first: int) -> tuple[Entry, ...]:
-    """Entries from `first` that fit into one message, at least one."""
+def _entries_for_message(core: RaftCore, first: int) -> tuple[Entry, ...]:
+    """Returns the entries from `first` that fit into one message, at least one."""
     size_bytes = 0
     last = first - 1
     while last < core.log.last_index:
@@ -152,8 +156,8 @@
     core.send(member, chunk)
 
 
-def _follow(core: RaftCore, term: int, leader_id: str) -> bool:
-    """Take a leader's message; false when it is of an old term."""
+def _accept_leader(core: RaftCore, term: int, leader_id: str) -> bool:
+    """Follows the leader that sent a message; returns false for an old term."""
     if term < core.term:
         return False
     if core.leading and term == core.term:
@@ -169,19 +173,19 @@
 @_MESSAGES.on(AppendRequest)
 def _append_requested(core: RaftCore, request: AppendRequest) -> None:
     to = core.reply_target(request.sender)
-    if not _follow(core, request.term, request.sender):
+    if not _accept_leader(core, request.term, request.sender):
         core.send(to, _append_reply(core, request, False, 0), after_sync=True)
         return
     if request.previous_index < core.log.snapshot.index:
-        # All up to the snapshot is committed and so equal.
+        # All entries up to the snapshot are committed and therefore equal.
         reply = _append_reply(core, request, True, core.log.snapshot.index)
         core.send(to, reply, after_sync=True)
         return
     if core.log.term_at(request.previous_index) != request.previous_term:
-        hint = _next_to_try(core, request.previous_index)
+        hint = _next_index_hint(core, request.previous_index)
         core.send(to, _append_reply(core, request, False, hint), after_sync=True)
         return
-    new = _unknown(core, request.entries)
+    new = _missing_entries(core, request.entries)
     if new:
         core.append(new)
     match_index = request.previous_index + len(request.entries)
@@ -202,23 +206,23 @@
     )
 
 
-def _next_to_try(core: RaftCore, previous_index: int) -> int:
+def _next_index_hint(core: RaftCore, previous_index: int) -> int:
     if previous_index > core.log.last_index:
         return core.log.last_index + 1
     return max(core.log.first_index_of_term(previous_index), core.commit_index + 1)
 
 
-def _unknown(core: RaftCore, entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
-    """The entries from the first that this log does not have."""
-    for place, entry in enumerate(entries):
+def _missing_entries(core: RaftCore, entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
+    """Returns the entries from the first one that this log does not contain."""
+    for position, entry in enumerate(entries):
         if core.log.term_at(entry.index) != entry.term:
-            return entries[place:]
+            return entries[position:]
     return ()
 
 
 @_MESSAGES.on(AppendReply)
 def _append_answered(core: RaftCore, reply: AppendReply) -> None:
-    progress = _answered(core, reply.sender, reply.term, reply.sent_ms)
+    progress = _update_progress(core, reply.sender, reply.term, reply.sent_ms)
     if progress is None:
         return
     if not reply.accepted:
@@ -233,10 +237,13 @@
         _send_next(core, member, progress, heartbeat=False)
 
 
-def _answered(
+def _update_progress(
     core: RaftCore, sender: str, term: int, sent_ms: float
 ) -> Progress | None:
-    """Note that a member has answered; none when the answer is void."""
+    """Records an answer of a member and returns its progress.
+
+    Returns `None` if the answer is of another term or this member does not lead.
+    """
     if term > core.term:
         core.become_follower(term)
         return None
@@ -255,15 +262,15 @@
         reverse=True,
     )
     index = synced[core.members.quorum() - 1]
-    # Only entries of the own term are committed by counting (section 5.4.2).
+    # Only entries of the current term are committed by counting (section 5.4.2).
     if index > core.commit_index and core.log.term_at(index) == core.term:
         core.commit_to(index)
         if core.member_id not in core.members.voter_ids():
-            _leave(core)
+            _step_down_if_removed(core)
 
 
-def _leave(core: RaftCore) -> None:
-    """Step down after the commit of the change that removed this leader."""
+def _step_down_if_removed(core: RaftCore) -> None:
+    """Steps down once the change that removed this leader is committed."""
     if core.commit_index >= core.members_index:
         broadcast(core, heartbeat=True)
         core.become_follower(core.term)
@@ -279,13 +286,13 @@
 @_MESSAGES.on(SnapshotChunk)
 def _chunk_received(core: RaftCore, chunk: SnapshotChunk) -> None:
     to = core.reply_target(chunk.sender)
-    if not _follow(core, chunk.term, chunk.sender):
+    if not _accept_leader(core, chunk.term, chunk.sender):
         core.send(to, _snapshot_reply(core, chunk, 0, 0), after_sync=True)
         return
     if chunk.meta.index <= core.commit_index:
         core.snapshot_parts = []
-        done = core.commit_index
-        core.send(to, _snapshot_reply(core, chunk, 0, done), after_sync=True)
+        done_index = core.commit_index
+        core.send(to, _snapshot_reply(core, chunk, 0, done_index), after_sync=True)
         return
     if chunk.offset == 0 or chunk.meta != core.snapshot_meta:
         core.snapshot_parts = []
@@ -295,12 +302,12 @@
         core.send(to, _snapshot_reply(core, chunk, expected, 0), after_sync=True)
         return
     core.snapshot_parts.append(chunk.data)
-    done = _install(core, chunk.meta) if chunk.last else 0
-    reply = _snapshot_reply(core, chunk, expected + len(chunk.data), done)
+    done_index = _install_snapshot(core, chunk.meta) if chunk.last else 0
+    reply = _snapshot_reply(core, chunk, expected + len(chunk.data), done_index)
     core.send(to, reply, after_sync=True)
 
 
-def _install(core: RaftCore, meta: SnapshotMeta) -> int:
+def _install_snapshot(core: RaftCore, meta: SnapshotMeta) -> int:
     data = b"".join(core.snapshot_parts)
     core.snapshot_parts = []
     core.snapshot_data = data
@@ -328,7 +335,7 @@
 
 @_MESSAGES.on(SnapshotReply)
 def _chunk_answered(core: RaftCore, reply: SnapshotReply) -> None:
-    progress = _answered(core, reply.sender, reply.term, reply.sent_ms)
+    progress = _update_progress(core, reply.sender, reply.term, reply.sent_ms)
     member = core.members.find(reply.sender)
     if progress is None or member is None:
         return
--- a/ashlatch/raft/storage.py
+++ b/ashlatch/raft/storage.py
@@ -2,13 +2,13 @@
 ashlatch.raft.storage
 ~~~~~~~~~~~~~~~~~~~~~
 
-The data folder of one group: a log of checksummed records in segments, and
-snapshots. A record is `MAGIC`, the length and the CRC-32 of its payload
-(4 bytes each, little endian), then the payload.
+The data folder of one group: a log of checksummed records in segment files, and
+snapshots. A record consists of `MAGIC`, the length and the CRC-32 of its payload
+(4 bytes each, little endian), and the payload.
 
-A tail that was torn by a crash is cut off at the last whole record. A bad
-record with a whole one behind it is damage, and raises `LogDamaged`: a
-synced record may be missing, so the member must not go on.
+A partial record that a crash left at the end is truncated. A bad record that is
+followed by an intact one is corruption and raises `LogDamaged`: a synced record may
+be missing, so the member must not continue.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -42,16 +42,16 @@
 _HEADER = struct.Struct("<4sII")
 _SEGMENT_SUFFIX = ".log"
 _SNAPSHOT_SUFFIX = ".snapshot"
-_PART_SUFFIX = ".part"
-_IDENTITY = "identity"
+_PARTIAL_SUFFIX = ".part"
+_IDENTITY_NAME = "identity"
 _PROBE_NAME = "probe"
-# A page: what a disk that has room for nothing else refuses.
+# One page. A disk without any free space refuses to write it.
 PROBE_BYTES = 4096
 
 
 @dataclass
 class LogDamaged(AshlatchError):
-    """A record at `offset` of the file is bad and a later one is whole."""
+    """A record at `offset` of a file is bad, and is not merely a partial write."""
 
     path: str
     offset: int
@@ -59,29 +59,29 @@
 
 @dataclass
 class DiskFailed(AshlatchError):
-    """The disk refused a write or a sync; nothing after it may be promised."""
+    """The disk failed a write or a sync; no later entry may be acknowledged."""
 
     path: str
     reason: str
 
 
 class Disk:
-    """The calls to the operating system, in one place so that tests can fail
+    """The calls to the operating system, in one position so that tests can fail
     them. Every method raises `OSError` as the system does.
     """
 
     def write(self, descriptor: int, data: bytes) -> None:
-        """Write all of the data at the end of an open file."""
+        """Writes all of the data to an open file."""
         view = memoryview(data)
         while view:
             view = view[os.write(descriptor, view) :]
 
     def sync(self, descriptor: int) -> None:
-        """Wait until the file's data is on the disk."""
+        """Waits until the file's data is on disk."""
         os.fdatasync(descriptor)
 
     def sync_folder(self, path: Path) -> None:
-        """Wait until the names in a folder are on the disk."""
+        """Waits until the directory entries of a folder are on disk."""
         descriptor = os.open(path, os.O_RDONLY)
         try:
             os.fsync(descriptor)
@@ -89,8 +89,8 @@
             os.close(descriptor)
 
     def replace_file(self, path: Path, data: bytes) -> None:
-        """Write a file whole or not at all."""
-        part = path.with_name(path.name + _PART_SUFFIX)
+        """Writes a file atomically."""
+        part = path.with_name(path.name + _PARTIAL_SUFFIX)
         descriptor = os.open(part, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         try:
             self.write(descriptor, data)
@@ -101,10 +101,10 @@
         self.sync_folder(path.parent)
 
     def probe(self, folder: Path) -> None:
-        """Write and sync a small file in a folder, and remove it again.
+        """Writes and syncs a small file in a folder, and removes it again.
 
-        To open a folder writes nothing, so that alone does not show that the
-        disk takes writes.
+        Opening a data folder writes nothing, so that alone does not show that the
+        disk accepts writes.
         """
         path = folder / _PROBE_NAME
         self.replace_file(path, bytes(PROBE_BYTES))
@@ -112,27 +112,27 @@
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """Whose data folder this is. Made once, together with the folder."""
+    """The owner of a data folder. Written once, when the folder is created."""
 
     member_id: str
     vm: str
 
 
 class VoteRecord(msgspec.Struct, frozen=True, tag="vote"):
-    """The newest term and whom this member voted for in it."""
+    """The newest term, and the candidate that this member voted for in it."""
 
     term: int
     voted_for: str
 
 
 class EntryRecord(msgspec.Struct, frozen=True, tag="entries"):
-    """Entries; all earlier ones from the first index on are void."""
+    """Log entries; they replace all earlier ones from the first index on."""
 
     entries: tuple[Entry, ...]
 
 
 class SnapshotFile(msgspec.Struct, frozen=True):
-    """A snapshot with what it stands for."""
+    """A snapshot and its position in the log."""
 
     meta: SnapshotMeta
     data: bytes
@@ -142,8 +142,8 @@
 
 
 def read_identity(folder: Path) -> Identity | None:
-    """The identity in a data folder, or none in an empty one."""
-    path = folder / _IDENTITY
+    """Returns the identity in a data folder, or `None` if the folder has none."""
+    path = folder / _IDENTITY_NAME
     if not path.exists():
         return None
     identity: Identity = decode(_unframe(path, path.read_bytes()), Identity)
@@ -153,16 +153,16 @@
 def create_identity(
     folder: Path, vm: str, disk: Disk | None = None, member_id: str = ""
 ) -> Identity:
-    """Make a data folder with a new identity.
+    """Creates a data folder with a new identity.
 
-    A `member_id` is given only by the founders of a group, who must know each
-    other's before any of them runs; else one is drawn.
+    `member_id` is given only when a group is bootstrapped: its first members must
+    know each other's ids before any of them runs. Otherwise it is random.
     """
     disk = disk or Disk()
     folder.mkdir(parents=True, exist_ok=True)
     identity = Identity(member_id or f"{vm}.{uuid.uuid4().hex[:12]}", vm)
     disk.sync_folder(folder.parent)
-    disk.replace_file(folder / _IDENTITY, _frame(encode(identity)))
+    disk.replace_file(folder / _IDENTITY_NAME, _frame(encode(identity)))
     return identity
 
 
@@ -178,42 +178,42 @@
 
 
 def _record_at(data: bytes, offset: int) -> bytes | None:
-    """The payload of the record at an offset, or none if it is not whole."""
+    """Returns the payload of the record at an offset, or `None` if it is not intact."""
     start = offset + _HEADER.size
     if start > len(data):
         return None
     magic, length, checksum = _HEADER.unpack_from(data, offset)
     payload = data[start : start + length]
-    whole = magic == MAGIC and len(payload) == length
-    return payload if whole and zlib.crc32(payload) == checksum else None
+    complete = magic == MAGIC and len(payload) == length
+    return payload if complete and zlib.crc32(payload) == checksum else None
 
 
 def _has_record_after(data: bytes, offset: int) -> bool:
-    place = data.find(MAGIC, offset + 1)
-    while place >= 0:
-        if _record_at(data, place) is not None:
+    position = data.find(MAGIC, offset + 1)
+    while position >= 0:
+        if _record_at(data, position) is not None:
             return True
-        place = data.find(MAGIC, place + 1)
+        position = data.find(MAGIC, position + 1)
     return False
 
 
-def _behind(meta: SnapshotMeta, entries: list[Entry]) -> tuple[Entry, ...]:
-    """The entries behind a snapshot, if they belong to the same history.
+def _entries_after(meta: SnapshotMeta, entries: list[Entry]) -> tuple[Entry, ...]:
+    """Returns the entries after a snapshot, if they belong to the same history.
 
-    A crash while a leader's snapshot was installed leaves the old segments,
+    A crash during the installation of a leader's snapshot leaves the old segments,
     whose entries may never have been committed.
     """
-    kept = tuple(entry for entry in entries if entry.index > meta.index)
+    later = tuple(entry for entry in entries if entry.index > meta.index)
     at_snapshot = next((e for e in entries if e.index == meta.index), None)
     if at_snapshot is not None:
-        return kept if at_snapshot.term == meta.term else ()
-    return kept if kept and kept[0].index == meta.index + 1 else ()
+        return later if at_snapshot.term == meta.term else ()
+    return later if later and later[0].index == meta.index + 1 else ()
 
 
 class GroupStorage:
-    """Reads a group's folder at the start and appends to it from then on.
+    """Reads a group's folder at startup and then appends to it.
 
-    Writes collect until `sync`, which is one write and one `fdatasync` for
+    Writes are buffered until `sync`, which makes one write and one `fdatasync` for
     all of them (group commit). After a `DiskFailed` the object is unusable.
     """
 
@@ -227,21 +227,21 @@
         self._segment = 0
 
     def create(self, members: Members) -> None:
-        """Make the folder of a group; `members` is empty for one that joins."""
+        """Creates the folder of a group; `members` is empty for a joining member."""
         self.folder.mkdir(parents=True)
         self.disk.sync_folder(self.folder.parent)
         self._write_snapshot(SnapshotFile(SnapshotMeta(0, 0, members), b""))
 
     def load(self, member_id: str) -> PersistentState:
-        """Read everything back and open the log for appending."""
-        for part in self.folder.glob("*" + _PART_SUFFIX):
+        """Reads the stored state and opens the log for appending."""
+        for part in self.folder.glob("*" + _PARTIAL_SUFFIX):
             part.unlink()
         snapshot = self._read_snapshot()
         segments = sorted(self.folder.glob("*" + _SEGMENT_SUFFIX))
         for path in segments:
             self._replay(path, last=path == segments[-1])
         self._open_segment(int(segments[-1].stem) if segments else 1)
-        entries = _behind(snapshot.meta, self._entries)
+        entries = _entries_after(snapshot.meta, self._entries)
         self._entries = []
         return PersistentState(
             member_id,
@@ -253,16 +253,16 @@
         )
 
     def save_vote(self, term: int, voted_for: str) -> None:
-        """Queue a term and vote."""
+        """Queues a term and a vote."""
         self._vote = VoteRecord(term, voted_for)
         self._pending.append(_frame(encode(self._vote)))
 
     def append(self, entries: tuple[Entry, ...]) -> None:
-        """Queue entries."""
+        """Queues entries."""
         self._pending.append(_frame(encode(EntryRecord(entries))))
 
     def sync(self) -> None:
-        """Make all that was queued durable; does nothing when nothing was."""
+        """Makes all queued records durable; does nothing if there are none."""
         if not self._pending:
             return
         data = b"".join(self._pending)
@@ -276,10 +276,10 @@
     def save_snapshot(
         self, meta: SnapshotMeta, data: bytes, tail: tuple[Entry, ...]
     ) -> None:
-        """Make a snapshot durable and begin a new segment with the tail.
+        """Makes a snapshot durable and starts a new segment with the tail.
 
-        `tail` is the log behind the snapshot. The old segments go only when
-        the snapshot and the new segment are on the disk.
+        `tail` holds the log entries after the snapshot. The old segments are deleted
+        only when the snapshot and the new segment are on disk.
         """
         self.sync()
         old = [*self.folder.glob("*" + _SEGMENT_SUFFIX)]
@@ -300,7 +300,7 @@
         self.disk.sync_folder(self.folder)
 
     def close(self) -> None:
-        """Close the log; what was queued and not synced is dropped."""
+        """Closes the log; records that are queued and not synced are dropped."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
@@ -328,7 +328,7 @@
             payload = _record_at(data, offset)
             if payload is None:
                 break
-            self._take(decode(payload, _Record))
+            self._apply_record(decode(payload, _Record))
             offset += _HEADER.size + len(payload)
         if offset == len(data):
             return
@@ -336,7 +336,7 @@
             raise LogDamaged(str(path), offset)
         os.truncate(path, offset)
 
-    def _take(self, record: _Record) -> None:
+    def _apply_record(self, record: _Record) -> None:
         if isinstance(record, VoteRecord):
             self._vote = record
             return
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -137,7 +137,7 @@
     Mutant(
         "vote-against-live-leader",
         "ashlatch/raft/election.py",
-        "    return core.leading or heard_for_ms < core.config.election_min_ms",
+        "    return core.leading or since_contact_ms < core.config.election_min_ms",
         "    return core.leading",
         RAFT,
     ),
@@ -151,8 +151,8 @@
     Mutant(
         "vote-before-sync",
         "ashlatch/raft/election.py",
-        "    core.send(core.peer(request.sender), reply, after_sync=True)",
-        "    core.send(core.peer(request.sender), reply, after_sync=False)",
+        "    core.send(core.reply_target(request.sender), reply, after_sync=True)",
+        "    core.send(core.reply_target(request.sender), reply, after_sync=False)",
         RAFT,
     ),
     Mutant(
