--- a/ashlatch/raft/storage.py
+++ b/ashlatch/raft/storage.py
@@ -51,7 +51,7 @@
 
 @dataclass
 class LogDamaged(AshlatchError):
-    """A record at `offset` of a file is bad, and is not merely a partial write."""
+    """A record at `offset` of a file is bad, and it is no partial write at the end."""
 
     path: str
     offset: int
@@ -66,8 +66,9 @@
 
 
 class Disk:
-    """The calls to the operating system, in one position so that tests can fail
-    them. Every method raises `OSError` as the system does.
+    """The file operations of the storage, which tests can override to fail.
+
+    Every method raises `OSError` as the operating system does.
     """
 
     def write(self, descriptor: int, data: bytes) -> None:
--- a/ashlatch/store/command.py
+++ b/ashlatch/store/command.py
@@ -2,8 +2,8 @@
 ashlatch.store.command
 ~~~~~~~~~~~~~~~~~~~~~~
 
-Commands to the replicated state and their outcomes. Every command may be sent
-again after a lost answer: the outcome is the same and nothing is done twice.
+Commands to the replicated state and their outcomes. Commands are idempotent: each may
+be sent again after a lost answer, with the same outcome and no second effect.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -53,9 +53,9 @@
 
 
 class Reference(msgspec.Struct, frozen=True):
-    """A resource names another, which must exist.
+    """A reference from one resource to another, which must exist.
 
-    With `live`, it must not be withdrawn either when the change is made.
+    With `live` set, the other must not be withdrawn when the change is made.
     """
 
     kind: str
@@ -65,7 +65,7 @@
 
 
 class Resource(msgspec.Struct, frozen=True):
-    """One configured thing, as of one revision. `spec` is JSON."""
+    """A configured resource as of one revision. `spec` is JSON."""
 
     kind: str
     name: str
@@ -77,7 +77,7 @@
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """What one answer took; the cost is in millionths of a US dollar."""
+    """The tokens and cost of one answer; the cost is in millionths of a US dollar."""
 
     input_tokens: int
     output_tokens: int
@@ -85,7 +85,7 @@
 
 
 class StoredAnswer(msgspec.Struct, frozen=True):
-    """A whole answer, kept for callers that ask again."""
+    """A complete answer, stored for callers that repeat the request."""
 
     status: int
     content_type: str
@@ -93,7 +93,7 @@
 
 
 class RequestKey(msgspec.Struct, frozen=True):
-    """What makes a request one: its organisation and its idempotency key."""
+    """The identity of a request: its organisation and its idempotency key."""
 
     organisation: str
     key: str
@@ -102,8 +102,8 @@
 class VersionCandidate(msgspec.Struct, frozen=True):
     """The version that a router would use, and how long a pin to it lasts.
 
-    `acceptable` are all versions that the organisation may use on the route;
-    a pin to another one is not kept.
+    `acceptable` lists the versions that the organisation may use on the route. A pin
+    to any other version is replaced.
     """
 
     version: str
@@ -112,9 +112,9 @@
 
 
 class PutResource(msgspec.Struct, frozen=True, tag="put_resource"):
-    """Create (`if_revision` 0) or replace a resource.
+    """Creates (`if_revision` 0) or replaces a resource.
 
-    `epoch` is zero for an operator's change; else it must be the epoch of the
+    `epoch` is zero for an operator's change. Otherwise it must be the epoch of the
     active control process.
     """
 
@@ -130,7 +130,7 @@
 
 
 class DeleteResource(msgspec.Struct, frozen=True, tag="delete_resource"):
-    """Remove a resource that nothing refers to; `epoch` as in a put."""
+    """Deletes a resource without references to it; `epoch` is as in `PutResource`."""
 
     change_id: str
     operator: str
@@ -142,10 +142,10 @@
 
 
 class Claim(msgspec.Struct, frozen=True, tag="claim"):
-    """A router asks to run a request.
+    """A router asks for permission to run a request.
 
-    `claim_id` is new for each time a router asks on behalf of a caller, and
-    equal when it sends the same claim again.
+    `claim_id` is new for each call of a caller, and the same when the router sends the
+    claim again.
     """
 
     key: RequestKey
@@ -159,9 +159,9 @@
 
 
 class RecordAnswer(msgspec.Struct, frozen=True, tag="record_answer"):
-    """A request has been answered whole; this makes its bill.
+    """Records the complete answer of a request, and bills it.
 
-    `attempt` 0 stands for a request that was run without a claim.
+    `attempt` is 0 for a request that was run without a claim.
     """
 
     key: RequestKey
@@ -174,9 +174,9 @@
 
 
 class CloseAttempt(msgspec.Struct, frozen=True, tag="close"):
-    """An attempt has ended without an answer.
+    """Ends an attempt that has no answer.
 
-    `not_run` means that no byte of it was sent; otherwise it may have run.
+    `not_run` means that no byte of the request was sent; otherwise it may have run.
     """
 
     key: RequestKey
@@ -186,14 +186,14 @@
 
 
 class RouterGone(msgspec.Struct, frozen=True, tag="router_gone"):
-    """The leader has not heard from this start of a router for its lease."""
+    """Ends the attempts of a router incarnation whose lease has expired."""
 
     router: str
     at_ms: int = 0
 
 
 class TakeControl(msgspec.Struct, frozen=True, tag="take_control"):
-    """A control process asks to be the active one."""
+    """A control process asks to become the active one."""
 
     holder: str
     after_epoch: int
@@ -201,14 +201,14 @@
 
 
 class Expire(msgspec.Struct, frozen=True, tag="expire"):
-    """Forget what was finished before this time."""
+    """Deletes the records of requests and changes that ended before this time."""
 
     before_ms: int
     at_ms: int = 0
 
 
 class RecordCrashes(msgspec.Struct, frozen=True, tag="note_crashes"):
-    """What routers have found of contents that crash endpoints, or survive it."""
+    """Records the request fingerprints that crashed endpoints, or completed without."""
 
     records: tuple[CrashRecord, ...]
     at_ms: int = 0
@@ -228,7 +228,7 @@
 
 
 class ChangeAccepted(msgspec.Struct, frozen=True, tag="change_accepted"):
-    """The change is committed as `revision`; not in force everywhere yet."""
+    """The change is committed as `revision`, but not in force everywhere yet."""
 
     revision: int
 
@@ -240,7 +240,7 @@
 
 
 class ChangeIdReused(msgspec.Struct, frozen=True, tag="change_id_reused"):
-    """The change id belongs to another change."""
+    """The change id was already used for another change."""
 
     change_id: str
 
@@ -254,10 +254,10 @@
 
 
 class ClaimGranted(msgspec.Struct, frozen=True, tag="claim_granted"):
-    """Run the request, as this attempt and on this version.
+    """The router may run the request, as this attempt and on this version.
 
-    `version_changed` tells that the session was pinned to a version that has
-    since been withdrawn.
+    `version_changed` is set if the session was pinned to another version that it can
+    no longer use.
     """
 
     attempt: int
@@ -266,14 +266,14 @@
 
 
 class ClaimAnswered(msgspec.Struct, frozen=True, tag="claim_answered"):
-    """The request was answered before; this is the answer."""
+    """The request has already been answered; this is the stored answer."""
 
     version: str
     answer: StoredAnswer
 
 
 class ClaimRunning(msgspec.Struct, frozen=True, tag="claim_running"):
-    """Another attempt is running."""
+    """Another attempt of the request is running."""
 
     attempt: int
 
@@ -281,43 +281,43 @@
 class ClaimClosed(msgspec.Struct, frozen=True, tag="claim_closed"):
     """The request will not be run again.
 
-    `reason` is `unknown` when it may have run and may not be repeated,
-    `body_differs` when the key belongs to another request.
+    `reason` is `unknown` if the request may have run and is not repeatable, and
+    `body_differs` if the key belongs to another request.
     """
 
     reason: Literal["unknown", "body_differs"]
 
 
 class AnswerAccepted(msgspec.Struct, frozen=True, tag="answer_accepted"):
-    """The answer is the request's one answer and is billed."""
+    """The answer is recorded as the only answer of the request, and is billed."""
 
     bill_number: int
 
 
 class AnswerRecorded(msgspec.Struct, frozen=True, tag="answer_recorded"):
-    """Another answer came first; give the caller that one."""
+    """Another answer was recorded first; the caller must be sent that one."""
 
     version: str
     answer: StoredAnswer | None
 
 
 class AnswerRefused(msgspec.Struct, frozen=True, tag="answer_refused"):
-    """No such attempt is known any more; nothing is billed."""
+    """The attempt does not exist or has expired; nothing is billed."""
 
 
 class AttemptClosed(msgspec.Struct, frozen=True, tag="closed"):
-    """The attempt is noted as ended."""
+    """The attempt has ended."""
 
 
 class ControlTaken(msgspec.Struct, frozen=True, tag="control_taken"):
-    """Who is the active control process now, and under which epoch."""
+    """The active control process and its epoch."""
 
     holder: str
     epoch: int
 
 
 class Acknowledged(msgspec.Struct, frozen=True, tag="noted"):
-    """Done; there is nothing to tell."""
+    """The command was applied and has no result."""
 
 
 ChangeOutcome = ChangeAccepted | RevisionConflict | ChangeIdReused | ChangeRefused
--- a/ashlatch/store/configuration.py
+++ b/ashlatch/store/configuration.py
@@ -2,7 +2,7 @@
 ashlatch.store.configuration
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-The configured resources and the record of changes to them.
+The configured resources and the changes made to them.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -42,7 +42,7 @@
 
 
 class ChangeRecord(msgspec.Struct, frozen=True):
-    """A change id, what it was for, and how it ended."""
+    """The digest and the outcome of the change that was made under a change id."""
 
     change_digest: str
     outcome: ChangeOutcome
@@ -50,10 +50,10 @@
 
 
 class Configuration(msgspec.Struct):
-    """All resources by id. `revision` counts accepted changes and only grows.
+    """All resources by id. `revision` counts accepted changes and never decreases.
 
-    `deleted` maps the id of a removed resource to the revision of its removal,
-    so that a watcher learns of it.
+    `deleted` maps the id of a deleted resource to the revision of its deletion, so
+    that watchers receive deletions.
     """
 
     revision: int = 0
@@ -62,46 +62,46 @@
     changes: dict[str, ChangeRecord] = {}
 
     def put(self, command: PutResource, epoch: int) -> ChangeOutcome:
-        """Create or replace, unless a check refuses it.
+        """Creates or replaces a resource, unless a check refuses the change.
 
         `epoch` is that of the active control process.
         """
-        return self._once(command, self._put, epoch)
+        return self._apply_once(command, self._put, epoch)
 
     def delete(self, command: DeleteResource, epoch: int) -> ChangeOutcome:
-        """Remove, unless something still refers to the resource."""
-        return self._once(command, self._delete, epoch)
+        """Deletes a resource, unless another resource still refers to it."""
+        return self._apply_once(command, self._delete, epoch)
 
     def is_withdrawn(self, version: str) -> bool:
-        """Whether a version is withdrawn."""
+        """Returns whether a version is withdrawn."""
         return ResourceId(WITHDRAWAL, version) in self.resources
 
     def changed_after(self, revision: int) -> tuple[Resource, ...]:
-        """Resources with a newer revision, oldest first."""
+        """Returns the resources with a newer revision, oldest first."""
         newer = [r for r in self.resources.values() if r.revision > revision]
         return tuple(sorted(newer, key=lambda resource: resource.revision))
 
     def deleted_after(self, revision: int) -> tuple[ResourceId, ...]:
-        """Ids that were removed by a newer revision."""
+        """Returns the ids that were deleted after a revision."""
         return tuple(key for key, at in self.deleted.items() if at > revision)
 
     def expire(self, before_ms: int) -> None:
-        """Forget change ids that were used before a time."""
+        """Deletes the records of changes that were made before a time."""
         for change_id, record in list(self.changes.items()):
             if record.at_ms < before_ms:
                 del self.changes[change_id]
 
-    def _once(
+    def _apply_once(
         self, command: C, apply: Callable[[C], ChangeOutcome], epoch: int
     ) -> ChangeOutcome:
         change_digest = digest(encode(msgspec.structs.replace(command, at_ms=0)))
-        known = self.changes.get(command.change_id)
-        if known is not None:
-            if known.change_digest != change_digest:
+        earlier = self.changes.get(command.change_id)
+        if earlier is not None:
+            if earlier.change_digest != change_digest:
                 return ChangeIdReused(command.change_id)
-            return known.outcome
+            return earlier.outcome
         if command.epoch not in (0, epoch):
-            # Not kept: the same change may come again from the active one.
+            # Not recorded: the active control process may send the same change.
             return ChangeRefused("epoch", str(command.epoch), f"must be {epoch}")
         outcome = apply(command)
         record = ChangeRecord(change_digest, outcome, command.at_ms)
@@ -137,8 +137,8 @@
         for other in self.resources.values():
             for reference in other.references:
                 if (reference.kind, reference.name) == (key.kind, key.name):
-                    user = f"{other.kind}/{other.name}"
-                    return ChangeRefused("name", command.name, f"is used by {user}")
+                    referrer = f"{other.kind}/{other.name}"
+                    return ChangeRefused("name", command.name, f"is used by {referrer}")
         revision = self._next_revision(current)
         del self.resources[key]
         self.deleted[key] = revision
@@ -155,9 +155,11 @@
     ) -> ChangeRefused | None:
         for reference in references:
             key = ResourceId(reference.kind, reference.name)
-            shown = f"{reference.kind}/{reference.name}"
+            reference_id = f"{reference.kind}/{reference.name}"
             if key not in self.resources:
-                return ChangeRefused(reference.field, shown, "must exist")
+                return ChangeRefused(reference.field, reference_id, "must exist")
             if reference.live and self.is_withdrawn(reference.name):
-                return ChangeRefused(reference.field, shown, "must not be withdrawn")
+                return ChangeRefused(
+                    reference.field, reference_id, "must not be withdrawn"
+                )
         return None
--- a/ashlatch/store/daemon.py
+++ b/ashlatch/store/daemon.py
@@ -2,9 +2,9 @@
 ashlatch.store.daemon
 ~~~~~~~~~~~~~~~~~~~~~
 
-The process of one VM of the replicated state: runs its member of each group
-and answers the calls of `ashlatch.store.protocol`. Leases are the business of
-the first group's leader.
+The state daemon: runs one member of each group of the replicated state, and answers
+the calls of `ashlatch.store.protocol`. Leases are granted by the leader of the first
+group.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class RouterLeaseExpired(LogEvent):
-    """A router has not renewed its lease; its attempts are ended."""
+    """A router's lease has expired; its attempts are ended."""
 
     event: ClassVar[str] = "router_lapsed"
     router: str
@@ -55,7 +55,10 @@
 
 @dataclass(frozen=True)
 class CrashesUncommitted(LogEvent):
-    """Requests under which endpoints have crashed were not committed; told again."""
+    """Records of requests that crashed endpoints were not committed.
+
+    The routers report them again.
+    """
 
     event: ClassVar[str] = "router_crashes_unnoted"
     contents: int
@@ -63,9 +66,9 @@
 
 
 class StateDaemon:
-    """One member. `start` it once; `stop` ends it in order.
+    """The daemon of one member. Call `start` once; `stop` shuts it down cleanly.
 
-    `failed` is called with the error when the member must not go on.
+    `on_failure` is called with the error if the member must not continue.
     """
 
     def __init__(
@@ -86,19 +89,19 @@
         )
         self.leases = Leases(self.lease_config, float("inf"))
         self.rpc = RpcLoop()
-        self.transport = Transport(self.rpc, self.member, self._received)
+        self.transport = Transport(self.rpc, self.member, self._message_received)
         for member in self.groups:
             member.group.send_messages = self.transport.send
             member.group.on_change = self._group_changed
             member.group.on_failure = on_failure
-        self._failed = on_failure
+        self._on_failure = on_failure
         self._changed = asyncio.Event()
-        self._told: tuple[object, ...] = ()
-        self._first_leader: Peer | None = None
+        self._notified_state: tuple[object, ...] = ()
+        self._first_group_leader: Peer | None = None
         self._crashes = UnloggedCrashes()
 
     def start(self) -> None:
-        """Listen, and take part in the group."""
+        """Starts listening, and runs the groups."""
         service = RpcService()
         service.add(protocol.DELIVER, self.transport.receive_batch)
         service.add(protocol.JOIN, self._join)
@@ -114,52 +117,53 @@
         address = Address.parse(self.settings.listen)
         self.rpc.submit(service.start(address)).result(timeout=10.0)
         for member in self.groups:
-            self.rpc.keep(self._housekeep(member), self._failed)
-            self.rpc.keep(self._join_peers(member), self._failed)
+            self.rpc.keep(self._housekeeping_loop(member), self._on_failure)
+            self.rpc.keep(self._join_peers(member), self._on_failure)
 
     def stop(self) -> None:
-        """Stop answering, then stop the group; nothing synced is lost."""
+        """Stops answering calls, then stops the groups; nothing synced is lost."""
         self.rpc.submit(self.service.stop()).result(timeout=10.0)
         for member in self.groups:
             member.group.stop()
         self.rpc.stop()
 
-    # Called on the groups' threads.
+    # Called on the threads of the groups.
 
     def _group_changed(self) -> None:
-        self.rpc.post(self._wake)
+        self.rpc.post(self._notify_waiters)
 
-    # All below runs on the loop.
+    # Everything below runs on the loop.
 
-    def _wake(self) -> None:
-        """Something was applied, or the leader or the members changed.
+    def _notify_waiters(self) -> None:
+        """Wakes the waiting polls after a change that concerns them.
 
-        Held polls are woken for what concerns them only: with many routers
-        and claims, waking all for each claim would cost more than the claims.
+        Called when entries were applied, or the leader or the members changed. Polls
+        are not woken for claims: with many routers and claims, waking all polls for
+        each claim would cost more than the claims themselves.
         """
         crashes = self.first_group.machine.state.crashes.number
         leaders = (_leadership(member) for member in self.groups)
-        news = (*leaders, self._revision(), crashes)
-        if news != self._told:
-            self._told = news
+        current = (*leaders, self._revision(), crashes)
+        if current != self._notified_state:
+            self._notified_state = current
             self._changed.set()
             self._changed = asyncio.Event()
         for member in self.groups:
             member.log_changes()
-        self._follow_leadership()
+        self._update_leases()
 
-    def _follow_leadership(self) -> None:
-        standing = self.first_group.status
-        if not standing.leading:
+    def _update_leases(self) -> None:
+        status = self.first_group.status
+        if not status.leading:
             self.leases = Leases(self.lease_config, float("inf"))
-        elif self.leases.leading_since_ms != standing.leading_since_ms:
-            self.leases = Leases(self.lease_config, standing.leading_since_ms)
+        elif self.leases.leading_since_ms != status.leading_since_ms:
+            self.leases = Leases(self.lease_config, status.leading_since_ms)
 
     def _may_answer(self) -> bool:
-        self._follow_leadership()
+        self._update_leases()
         return self.first_group.status.may_read(monotonic_ms())
 
-    def _received(self, message: Message) -> None:
+    def _message_received(self, message: Message) -> None:
         if message.group < len(self.groups):
             self.groups[message.group].group.post(Received(message))
 
@@ -167,11 +171,11 @@
         if request.groups != len(self.groups):
             return protocol.JoinReply(False, "", len(self.groups))
         member = self.groups[request.group]
-        standing = member.status
-        known = standing.members.find(request.member.member_id) is not None
-        if standing.leading and not known:
+        status = member.status
+        is_member = status.members.find(request.member.member_id) is not None
+        if status.leading and not is_member:
             member.group.post(AddLearner(request.member))
-        return protocol.JoinReply(known, standing.leader_address, len(self.groups))
+        return protocol.JoinReply(is_member, status.leader_address, len(self.groups))
 
     async def _propose(self, request: protocol.ProposeRequest) -> protocol.ProposeReply:
         member = self.groups[group_of(request.command, len(self.groups))]
@@ -184,30 +188,35 @@
         deadline_ms = monotonic_ms() + poll.wait_ms
         if self._may_answer():
             self.leases.record_applied_revision(poll.router, poll.applied_revision)
-            await self._note_crashes(poll.crashes)
+            await self._commit_crashes(poll.crashes)
         while self._may_answer():
             wait_ms = deadline_ms - monotonic_ms()
             newer = self._revision() != poll.applied_revision
             crashes = self.first_group.machine.state.crashes
             if newer or crashes.number > poll.crashes_known or wait_ms <= 0:
-                return self._renew(poll)
+                return self._renew_lease(poll)
             await self._wait_change(wait_ms)
         return protocol.RouterReply(False, self.first_group.status.leader_address)
 
-    async def _note_crashes(self, records: tuple[CrashRecord, ...]) -> None:
-        """Commit what a router has found; it tells it again until the log has it."""
+    async def _commit_crashes(self, records: tuple[CrashRecord, ...]) -> None:
+        """Commits the crash records of a router.
+
+        The router reports them again until they are in the log.
+        """
         self._crashes.apply(records)
         with self.first_group.group.lock:
-            unknown = self._crashes.missing_from(self.first_group.machine.state.crashes)
-        if not unknown:
+            uncommitted = self._crashes.missing_from(
+                self.first_group.machine.state.crashes
+            )
+        if not uncommitted:
             return
         try:
-            await self.first_group.commit(RecordCrashes(unknown))
+            await self.first_group.commit(RecordCrashes(uncommitted))
         except NotLeading as error:
-            lost = CrashesUncommitted(len(unknown), error.leader_address)
-            emit(log, lost, logging.WARNING)
+            failure = CrashesUncommitted(len(uncommitted), error.leader_address)
+            emit(log, failure, logging.WARNING)
 
-    def _renew(self, poll: protocol.RouterPoll) -> protocol.RouterReply:
+    def _renew_lease(self, poll: protocol.RouterPoll) -> protocol.RouterReply:
         lease = RouterLease(
             poll.router,
             poll.vm,
@@ -279,11 +288,11 @@
     async def _read(self, request: protocol.ReadRequest) -> protocol.ReadReply:
         if request.wait_ms and request.after_revision >= self._revision():
             await self._wait_change(request.wait_ms)
-        self._follow_leadership()
+        self._update_leases()
         member = self.groups[request.group]
-        standing = member.status
-        if not standing.may_read(monotonic_ms()):
-            return protocol.ReadReply(False, standing.leader_address)
+        status = member.status
+        if not status.may_read(monotonic_ms()):
+            return protocol.ReadReply(False, status.leader_address)
         with member.group.lock:
             configuration = member.machine.state.configuration
             found = tuple(
@@ -294,7 +303,7 @@
             )
             return protocol.ReadReply(
                 True,
-                standing.leader_address,
+                status.leader_address,
                 configuration.revision,
                 found,
                 configuration.deleted_after(request.after_revision),
@@ -302,7 +311,7 @@
             )
 
     def _status(self, member: GroupMember) -> protocol.StateStatus:
-        """The standing of a group; the routers' leases are the first one's."""
+        """Returns the status of a group; only the first group has router leases."""
         leases = self.leases
         if member is not self.first_group:
             leases = Leases(self.lease_config, float("inf"))
@@ -323,24 +332,24 @@
             return protocol.LiveRoutersReply(False)
         return protocol.LiveRoutersReply(True, tuple(self.leases.routers))
 
-    # What a leader does by itself.
+    # Periodic work of a leader.
 
-    async def _housekeep(self, member: GroupMember) -> None:
+    async def _housekeeping_loop(self, member: GroupMember) -> None:
         while True:
             await asyncio.sleep(HOUSEKEEPING_S)
             try:
-                await self._keep_house(member)
+                await self._run_housekeeping(member)
             except (NotLeading, TransportError):
                 continue
 
-    async def _keep_house(self, member: GroupMember) -> None:
+    async def _run_housekeeping(self, member: GroupMember) -> None:
         if not member.status.may_read(monotonic_ms()):
             return
         if member is self.first_group:
-            gone = self._lapsed_routers()
+            expired = self._expired_routers()
         else:
-            gone = await self._owners_gone(member)
-        for router in sorted(gone):
+            expired = await self._owners_without_lease(member)
+        for router in sorted(expired):
             emit(log, RouterLeaseExpired(router, member.number))
             await member.commit(RouterGone(router))
         if monotonic_s() - member.last_expiry_s > EXPIRE_EVERY_S:
@@ -348,30 +357,30 @@
             before_ms = unix_ms() - self.settings.retention_ms
             await member.commit(Expire(before_ms))
 
-    def _lapsed_routers(self) -> set[str]:
-        """By the leases that this process has given, as the first group's leader."""
+    def _expired_routers(self) -> set[str]:
+        """Returns the routers without a lease, as the leader of the first group."""
         if not self._may_answer():
             return set()
         now_ms = monotonic_ms()
-        gone = set(self.leases.take_expired(now_ms))
+        expired = set(self.leases.take_expired(now_ms))
         if self.leases.earlier_leases_expired(now_ms):
             owners = set(self.first_group.machine.state.ledger.running)
-            gone |= owners - set(self.leases.routers)
-        return gone
+            expired |= owners - set(self.leases.routers)
+        return expired
 
-    async def _owners_gone(self, member: GroupMember) -> set[str]:
-        """Routers with running requests in another group, and no lease.
+    async def _owners_without_lease(self, member: GroupMember) -> set[str]:
+        """Returns the routers with running requests in another group and no lease.
 
-        The owners are read before the leases: who claimed by then had a lease,
-        so who has none afterwards has lost it.
+        The owners are read before the leases. A router that had claimed by then had a
+        lease, so a router without one afterwards has lost it.
         """
         owners = set(member.machine.state.ledger.running)
         if not owners:
             return set()
-        reply = await self._ask_live_routers()
+        reply = await self._fetch_live_routers()
         return owners - set(reply.routers) if reply.known else set()
 
-    async def _ask_live_routers(self) -> protocol.LiveRoutersReply:
+    async def _fetch_live_routers(self) -> protocol.LiveRoutersReply:
         request = protocol.LiveRoutersRequest()
         if self.first_group.status.leading:
             return await self._live_routers(request)
@@ -379,15 +388,18 @@
         if not leader:
             return protocol.LiveRoutersReply(False)
         address = Address.parse(leader)
-        if self._first_leader is None or self._first_leader.address != address:
-            self._first_leader = Peer(address)
-        reply: protocol.LiveRoutersReply = await self._first_leader.call(
+        if (
+            self._first_group_leader is None
+            or self._first_group_leader.address != address
+        ):
+            self._first_group_leader = Peer(address)
+        reply: protocol.LiveRoutersReply = await self._first_group_leader.call(
             protocol.LIVE_ROUTERS, request, JOIN_TIMEOUT_S
         )
         return reply
 
     async def _join_peers(self, member: GroupMember) -> None:
-        """Ask the peers to be taken in, until this folder has a group."""
+        """Asks the peers to add this member, until its folder belongs to a group."""
         peers = [Peer(Address.parse(text)) for text in self.settings.peers]
         request = protocol.JoinRequest(self.member, member.number, len(self.groups))
         while not member.status.members.voters:
@@ -404,5 +416,5 @@
 
 
 def _leadership(member: GroupMember) -> tuple[object, ...]:
-    standing = member.status
-    return standing.term, standing.leading, standing.leader_address, standing.members
+    status = member.status
+    return status.term, status.leading, status.leader_address, status.members
--- a/ashlatch/store/lease.py
+++ b/ashlatch/store/lease.py
@@ -2,13 +2,13 @@
 ashlatch.store.lease
 ~~~~~~~~~~~~~~~~~~~~
 
-The leases that the leader has given to routers and to the active control
-process. They live in the leader's memory only: a new leader waits for the
-longest lease that the last one can have given before it draws conclusions.
+The leases that the leader has granted to routers and to the active control process.
+They are in the leader's memory only: a new leader waits for the longest lease that the
+previous one can have granted before it treats any lease as expired.
 
-A holder counts its lease from when it sent its poll, the leader from when it
-answered it, so the holder's ends first; the drift ratio covers clocks that
-run at unlike speeds.
+A holder counts its lease from when it sent its poll, the leader from when it answered
+the poll, so the holder's lease ends first. The drift ratio allows for clocks that run
+at different speeds.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class LeaseConfig:
-    """Lengths of the leases; equal on all members."""
+    """Durations of the leases; they must be equal on all members."""
 
     router_lease_ms: float = 2000.0
     control_lease_ms: float = 3000.0
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class RouterLease:
-    """What one start of one router last said of itself."""
+    """The lease of one router incarnation, with the contents of its last poll."""
 
     router: str
     vm: str
@@ -46,7 +46,7 @@
 
 @dataclass
 class Leases:
-    """All leases given by this leader since it began to lead."""
+    """All leases granted by this leader since it was elected."""
 
     config: LeaseConfig
     leading_since_ms: float
@@ -55,65 +55,66 @@
     control_answered_ms: float = float("-inf")
 
     def record_router_poll(self, lease: RouterLease) -> None:
-        """A router has polled and is about to be answered."""
+        """Records the poll of a router that is about to be answered."""
         self.routers[lease.router] = lease
 
     def record_applied_revision(self, router: str, revision: int) -> None:
-        """A router with a lease has applied a revision; its poll is held yet.
+        """Records the revision that a router with a lease has applied.
 
-        The lease is not longer for it: it is extended with the answer.
+        The poll that reported the revision is not answered yet. This does not extend
+        the lease: the answer does.
         """
         lease = self.routers.get(router)
         if lease is not None:
             self.routers[router] = replace(lease, applied_revision=revision)
 
     def totals(self) -> tuple[VersionReport, ...]:
-        """What all routers with a lease have seen of each version."""
-        sums: dict[str, VersionReport] = {}
+        """Returns the reports of all routers with a lease, summed for each version."""
+        totals: dict[str, VersionReport] = {}
         for lease in self.routers.values():
             for report in lease.reports:
-                known = sums.get(report.version)
-                sums[report.version] = _added(known, report) if known else report
-        return tuple(sums.values())
+                total = totals.get(report.version)
+                totals[report.version] = _sum(total, report) if total else report
+        return tuple(totals.values())
 
     def earlier_leases_expired(self, now_ms: float) -> bool:
-        """Whether all leases of earlier leaders have run out."""
-        wait_ms = self._stretched(self.config.router_lease_ms)
+        """Returns whether all leases of earlier leaders have expired."""
+        wait_ms = self._with_drift_margin(self.config.router_lease_ms)
         return now_ms >= self.leading_since_ms + wait_ms
 
     def take_expired(self, now_ms: float) -> tuple[str, ...]:
-        """Routers whose lease has run out; they are forgotten here."""
-        wait_ms = self._stretched(self.config.router_lease_ms)
-        gone = tuple(
+        """Removes the expired router leases and returns their routers."""
+        wait_ms = self._with_drift_margin(self.config.router_lease_ms)
+        expired = tuple(
             lease.router
             for lease in self.routers.values()
             if now_ms >= lease.answered_ms + wait_ms
         )
-        for router in gone:
+        for router in expired:
             del self.routers[router]
-        return gone
+        return expired
 
     def in_force_revision(self, now_ms: float, committed: int) -> int:
-        """The newest revision that every router with a lease has applied."""
+        """Returns the newest revision that every router with a lease has applied."""
         if not self.earlier_leases_expired(now_ms):
             return UNKNOWN_REVISION
-        self_applied = [lease.applied_revision for lease in self.routers.values()]
-        return min(self_applied, default=committed)
+        applied_revisions = [lease.applied_revision for lease in self.routers.values()]
+        return min(applied_revisions, default=committed)
 
     def record_control_poll(self, holder: str, now_ms: float) -> None:
-        """The active control process has polled and is about to be answered."""
+        """Records the poll of the active control process, about to be answered."""
         self.control_holder = holder
         self.control_answered_ms = now_ms
 
     def control_lease_expired(self, now_ms: float) -> bool:
-        """Whether no control process can still believe that it is active."""
+        """Returns whether no control process can still consider itself active."""
         last_ms = max(self.control_answered_ms, self.leading_since_ms)
-        return now_ms >= last_ms + self._stretched(self.config.control_lease_ms)
+        return now_ms >= last_ms + self._with_drift_margin(self.config.control_lease_ms)
 
-    def _stretched(self, lease_ms: float) -> float:
+    def _with_drift_margin(self, lease_ms: float) -> float:
         return lease_ms * (1 + self.config.clock_drift_ratio)
 
 
-def _added(one: VersionReport, other: VersionReport) -> VersionReport:
+def _sum(one: VersionReport, other: VersionReport) -> VersionReport:
     suspended = one.suspended or other.suspended
     return VersionReport.from_tally(one.version, one.tally.plus(other.tally), suspended)
--- a/ashlatch/store/ledger.py
+++ b/ashlatch/store/ledger.py
@@ -2,7 +2,8 @@
 ashlatch.store.ledger
 ~~~~~~~~~~~~~~~~~~~~~
 
-One record for each request: who may run it, its one answer, its one bill.
+The ledger of requests. Each request has one record, with the router that may run it,
+at most one answer and at most one bill.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -37,15 +38,15 @@
 __all__ = ["Account", "Ledger", "LedgerRecord", "Pin", "RequestState", "SessionKey"]
 
 
-def _by_text(key: RequestKey) -> tuple[str, str]:
+def _sort_key(key: RequestKey) -> tuple[str, str]:
     return key.organisation, key.key
 
 
 class RequestState(enum.Enum):
-    """How far a request has come.
+    """The state of a request.
 
-    `OPEN` may be claimed (again), `RUNNING` has an attempt, `UNKNOWN` may
-    have run and may not be repeated, `ANSWERED` is final.
+    `OPEN` may be claimed (again), `RUNNING` has a running attempt, `UNKNOWN` may have
+    run and may not be repeated, `ANSWERED` is final.
     """
 
     OPEN = "open"
@@ -55,7 +56,7 @@
 
 
 class LedgerRecord(msgspec.Struct):
-    """One request. `attempts` is the number of the newest attempt."""
+    """The record of one request. `attempts` is the number of the newest attempt."""
 
     state: RequestState
     claim_id: str
@@ -71,21 +72,21 @@
 
 
 class SessionKey(msgspec.Struct, frozen=True):
-    """A session belongs to one organisation."""
+    """The identity of a session, which belongs to one organisation."""
 
     organisation: str
     session: str
 
 
 class Pin(msgspec.Struct, frozen=True):
-    """The version that a session keeps, until the time it goes unused."""
+    """The version that a session is pinned to, and when the unused pin expires."""
 
     version: str
     until_ms: int
 
 
 class Account(msgspec.Struct):
-    """What an organisation owes since the group was made."""
+    """The bills of an organisation, summed since the group was created."""
 
     bills: int = 0
     input_tokens: int = 0
@@ -94,9 +95,9 @@
 
 
 class Ledger(msgspec.Struct):
-    """All records that are still kept, the pins and the accounts.
+    """All records that have not expired, the session pins and the accounts.
 
-    `running` is an index: the requests that each router has running.
+    `running` is an index of the running requests of each router.
     """
 
     records: dict[RequestKey, LedgerRecord] = {}
@@ -109,7 +110,7 @@
     def claim(
         self, command: Claim, is_withdrawn: Callable[[str], bool]
     ) -> ClaimOutcome:
-        """Let a router run a request, or say why it need not or may not."""
+        """Lets a router run a request, or returns why it need not or may not."""
         record = self.records.get(command.key)
         if record is None:
             return self._grant(command, None, is_withdrawn)
@@ -128,7 +129,7 @@
         return ClaimRunning(record.attempts)
 
     def answer(self, command: RecordAnswer) -> object:
-        """Take the first answer of a request and bill it."""
+        """Records and bills the first answer of a request."""
         record = self.records.get(command.key)
         if record is None:
             return self._answer_unclaimed(command)
@@ -139,22 +140,25 @@
         return self._bill(command, record)
 
     def close(self, command: CloseAttempt) -> AttemptClosed:
-        """Note that the newest attempt ended without an answer."""
+        """Records that the newest attempt has ended without an answer."""
         record = self.records.get(command.key)
         newest = record is not None and record.attempts == command.attempt
         if record is None or not newest or record.state is not RequestState.RUNNING:
             return AttemptClosed()
-        self._reopen(command.key, record, command.not_run, command.at_ms)
+        self._end_attempt(command.key, record, command.not_run, command.at_ms)
         return AttemptClosed()
 
     def router_gone(self, command: RouterGone) -> Acknowledged:
-        """End the attempts of a router that will not end them itself."""
-        for key in sorted(self.running.get(command.router, ()), key=_by_text):
-            self._reopen(key, self.records[key], False, command.at_ms)
+        """Ends the attempts of a router whose lease has expired."""
+        for key in sorted(self.running.get(command.router, ()), key=_sort_key):
+            self._end_attempt(key, self.records[key], False, command.at_ms)
         return Acknowledged()
 
     def expire(self, before_ms: int) -> Acknowledged:
-        """Forget requests that were last changed before a time."""
+        """Deletes records last changed, and pins that expired, before a time.
+
+        Records of running requests are kept.
+        """
         self.expired_before_ms = max(self.expired_before_ms, before_ms)
         for key, record in list(self.records.items()):
             running = record.state is RequestState.RUNNING
@@ -171,7 +175,7 @@
         earlier: LedgerRecord | None,
         is_withdrawn: Callable[[str], bool],
     ) -> ClaimGranted:
-        version, changed = self._pinned(command, is_withdrawn)
+        version, changed = self._select_version(command, is_withdrawn)
         attempts = earlier.attempts + 1 if earlier else 1
         self.running.setdefault(command.router, set()).add(command.key)
         if earlier and not earlier.repeatable and earlier.state != RequestState.OPEN:
@@ -188,35 +192,35 @@
         )
         return ClaimGranted(attempts, version, changed)
 
-    def _pinned(
+    def _select_version(
         self, command: Claim, is_withdrawn: Callable[[str], bool]
     ) -> tuple[str, bool]:
-        """The version to run on, and whether the session had to change."""
+        """Returns the version to run on, and whether the session had to change."""
         candidate = command.candidate
         if not command.session:
             return candidate.version, False
         key = SessionKey(command.key.organisation, command.session)
         pin = self.pins.get(key)
-        alive = pin is not None and pin.until_ms >= command.at_ms
-        kept = (
+        unexpired = pin is not None and pin.until_ms >= command.at_ms
+        reuse_pin = (
             pin is not None
-            and alive
+            and unexpired
             and pin.version in candidate.acceptable
             and not is_withdrawn(pin.version)
         )
-        version = pin.version if pin is not None and kept else candidate.version
+        version = pin.version if pin is not None and reuse_pin else candidate.version
         self.pins[key] = Pin(version, command.at_ms + candidate.pin_ms)
-        return version, alive and not kept
+        return version, unexpired and not reuse_pin
 
-    def _reopen(
+    def _end_attempt(
         self, key: RequestKey, record: LedgerRecord, not_run: bool, at_ms: int
     ) -> None:
-        self._not_running(key, record)
-        repeat = not_run or record.repeatable
-        record.state = RequestState.OPEN if repeat else RequestState.UNKNOWN
+        self._remove_running(key, record)
+        may_repeat = not_run or record.repeatable
+        record.state = RequestState.OPEN if may_repeat else RequestState.UNKNOWN
         record.changed_at_ms = at_ms
 
-    def _not_running(self, key: RequestKey, record: LedgerRecord) -> None:
+    def _remove_running(self, key: RequestKey, record: LedgerRecord) -> None:
         keys = self.running.get(record.router, set())
         keys.discard(key)
         if not keys:
@@ -235,7 +239,7 @@
     def _bill(self, command: RecordAnswer, record: LedgerRecord) -> AnswerAccepted:
         if record.bill_number:
             raise InvariantViolated("R4", f"{command.key} billed twice")
-        self._not_running(command.key, record)
+        self._remove_running(command.key, record)
         self.bills += 1
         record.state = RequestState.ANSWERED
         record.version = command.version
--- a/ashlatch/store/machine.py
+++ b/ashlatch/store/machine.py
@@ -2,8 +2,8 @@
 ashlatch.store.machine
 ~~~~~~~~~~~~~~~~~~~~~~
 
-The reducer that every replica runs: a command in, an outcome out. It has no
-clock of its own; the leader stamps each command with `at_ms`, the wall-clock
+The state machine that every replica runs. It applies a command and returns the
+outcome. It uses no clock: the leader stamps each command with `at_ms`, the wall-clock
 time in milliseconds.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
@@ -39,14 +39,14 @@
 
 
 class ControlLease(msgspec.Struct, frozen=True):
-    """The active control process. Its epoch fences its orders."""
+    """The active control process. Its epoch fences the commands that it sends."""
 
     holder: str = ""
     epoch: int = 0
 
 
 class State(msgspec.Struct):
-    """Everything that is replicated; a snapshot is this, encoded."""
+    """The whole replicated state; a snapshot is its encoded form."""
 
     now_ms: int = 0
     configuration: Configuration = msgspec.field(default_factory=Configuration)
@@ -58,8 +58,8 @@
 class StoreMachine:
     """Applies commands to a `State`.
 
-    The same commands in the same order give the same state and outcomes on
-    every replica::
+    The same commands in the same order produce the same state and outcomes on every
+    replica::
 
         machine = StoreMachine()
         machine.apply(encode(Expire(before_ms=0)))
@@ -69,22 +69,22 @@
         self.state = State()
 
     def apply(self, command: bytes) -> Outcome:
-        """Apply one encoded command."""
+        """Applies one encoded command."""
         return self.step(decode(command, Command))
 
     def step(self, command: Command) -> Outcome:
-        """Apply one command; its time never runs backwards."""
+        """Applies one command, at a time that never goes backwards."""
         self.state.now_ms = max(self.state.now_ms, command.at_ms)
-        timed = msgspec.structs.replace(command, at_ms=self.state.now_ms)
-        outcome: Outcome = _HANDLERS.call(self.state, timed)
+        stamped = msgspec.structs.replace(command, at_ms=self.state.now_ms)
+        outcome: Outcome = _HANDLERS.call(self.state, stamped)
         return outcome
 
     def snapshot(self) -> bytes:
-        """The whole state as bytes."""
+        """Returns the whole state as bytes."""
         return encode(self.state)
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by a snapshot; empty bytes are the empty state."""
+        """Replaces the state with a snapshot; empty bytes are the empty state."""
         self.state = decode(data, State) if data else State()
 
 
@@ -134,6 +134,6 @@
 
 
 @_HANDLERS.on(RecordCrashes)
-def _note_crashes(state: State, command: RecordCrashes) -> Outcome:
+def _record_crashes(state: State, command: RecordCrashes) -> Outcome:
     state.crashes.apply(command.records)
     return Acknowledged()
--- a/ashlatch/store/member.py
+++ b/ashlatch/store/member.py
@@ -2,8 +2,8 @@
 ashlatch.store.member
 ~~~~~~~~~~~~~~~~~~~~~
 
-This process's member of each group: its folder, its replica of the state, and
-what it logs. All groups of a process share its identity and its transport.
+The members that this process runs, one of each group: their folders, replicas of the
+state, and log events. All groups of a process share its identity and its transport.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -49,16 +49,16 @@
 
 @dataclass
 class FolderExists(AshlatchError):
-    """A new group would overwrite a data folder that is in use."""
+    """The data folder is in use; a new group would overwrite it."""
 
     data_folder: str
 
 
 @dataclass
 class GroupsDiffer(AshlatchError):
-    """The folder, or its peers, have another number of groups than the settings.
+    """The data folder or a peer has a different number of groups than the settings.
 
-    Slots would be looked for in the wrong group.
+    Records of a slot would be looked up in the wrong group.
     """
 
     wanted: int
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True)
 class LeaderChanged(LogEvent):
-    """This member learnt of a new term or leader of a group."""
+    """A group has a new term or leader."""
 
     event: ClassVar[str] = "leader_changed"
     vm: str
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True)
 class MembersChanged(LogEvent):
-    """The members of a group are others now."""
+    """The membership of a group has changed."""
 
     event: ClassVar[str] = "members_changed"
     vm: str
@@ -90,10 +90,10 @@
 
 
 def initialise(settings: StateSettings) -> Identity:
-    """Make the data folder of the first member of new groups.
+    """Creates the data folder of the first member of new groups.
 
-    Done once, by an operator. A member with an empty folder that is started
-    without this joins the groups of its peers instead, under a new id.
+    An operator does this once. A member that is started with an empty folder joins the
+    groups of its peers instead, with a new id.
     """
     folder = Path(settings.data_folder)
     if read_identity(folder) is not None:
@@ -106,7 +106,10 @@
 
 
 def open_folder(settings: StateSettings) -> tuple[Identity, list[GroupStorage]]:
-    """The identity and the groups of a data folder, made if it is empty."""
+    """Opens a data folder, creating it if it is empty.
+
+    Returns the identity and the storage of each group.
+    """
     folder = Path(settings.data_folder)
     identity = read_identity(folder)
     if identity is None:
@@ -127,7 +130,10 @@
 
 
 class GroupMember:
-    """One group's member in this process; used on the loop but for its group."""
+    """The member of one group in this process.
+
+    Everything but `group` is used on the loop only.
+    """
 
     def __init__(
         self,
@@ -158,26 +164,29 @@
 
     @property
     def status(self) -> GroupStatus:
-        """What this member knows of itself and its group."""
+        """The group status as this member sees it."""
         return self.group.status
 
     async def commit(self, command: Command) -> Outcome:
-        """Stamp a command, and wait until it is applied; fails as `propose`."""
-        timed = msgspec.structs.replace(command, at_ms=unix_ms())
-        future = self.group.propose(encode(timed))
+        """Stamps a command with the time and waits until it is applied.
+
+        Fails as `Group.propose` does.
+        """
+        stamped = msgspec.structs.replace(command, at_ms=unix_ms())
+        future = self.group.propose(encode(stamped))
         outcome: Outcome = await asyncio.wrap_future(future)
         return outcome
 
     def log_changes(self) -> None:
-        """Log a new leader, and new members."""
-        standing = self.status
-        leader = (standing.term, standing.leading, standing.leader_address)
+        """Logs a changed leader and changed members."""
+        status = self.status
+        leader = (status.term, status.leading, status.leader_address)
         if leader != self._logged_leader:
             self._logged_leader = leader
-            changed = LeaderChanged(self._vm, self.number, standing.member_id, *leader)
+            changed = LeaderChanged(self._vm, self.number, status.member_id, *leader)
             emit(log, changed)
-        if standing.members != self._logged_members:
-            self._logged_members = standing.members
-            voters = ",".join(m.member_id for m in standing.members.voters)
-            learners = ",".join(m.member_id for m in standing.members.learners)
+        if status.members != self._logged_members:
+            self._logged_members = status.members
+            voters = ",".join(m.member_id for m in status.members.voters)
+            learners = ",".join(m.member_id for m in status.members.learners)
             emit(log, MembersChanged(self._vm, self.number, voters, learners))
--- a/ashlatch/store/protocol.py
+++ b/ashlatch/store/protocol.py
@@ -2,7 +2,7 @@
 ashlatch.store.protocol
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-The calls that a state daemon answers.
+The RPC calls that a state daemon answers.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -50,7 +50,10 @@
 
 
 class Batch(msgspec.Struct, frozen=True, array_like=True):
-    """Messages from one member to another; not for any other data folder."""
+    """Messages from one member to another.
+
+    A recipient with another data folder, and so another id, ignores them.
+    """
 
     sender: Member
     recipient: str
@@ -58,13 +61,13 @@
 
 
 class BatchReply(msgspec.Struct, frozen=True, array_like=True):
-    """Messages back to the sender of a batch, as far as they were ready."""
+    """The messages that were ready to be sent back to the sender of a batch."""
 
     messages: tuple[Message, ...] = ()
 
 
 class JoinRequest(msgspec.Struct, frozen=True):
-    """A member that belongs to no group asks to be taken in."""
+    """A member that belongs to no group asks to be added."""
 
     member: Member
     group: int = 0
@@ -72,9 +75,9 @@
 
 
 class JoinReply(msgspec.Struct, frozen=True):
-    """Whether the leader has it in its members; else who leads.
+    """Whether the sender is a member already, and the address of the leader.
 
-    `groups` is how many there are; a member with another number cannot join.
+    `groups` is the number of groups; a member with another number cannot join.
     """
 
     known: bool
@@ -83,15 +86,15 @@
 
 
 class ProposeRequest(msgspec.Struct, frozen=True):
-    """A command for the replicated state; its slot tells the group."""
+    """A command for the replicated state; its slot determines the group."""
 
     command: Command
 
 
 class ProposeReply(msgspec.Struct, frozen=True):
-    """The outcome, or none and the address of who leads, if known.
+    """The outcome, or `None` and the address of the leader, if known.
 
-    `lost` says that the command may still take effect.
+    `lost` is set if the command may still take effect.
     """
 
     outcome: Outcome | None
@@ -100,11 +103,11 @@
 
 
 class VersionReport(msgspec.Struct, frozen=True):
-    """What came of a version's attempts since a router, or all, started.
+    """The outcomes of a version's attempts, of one router or summed over all.
 
-    `log_latency_sum` adds up the natural logarithms of the milliseconds for
-    each output token of `timed` answers. `suspended` tells that a router
-    takes it for bad.
+    They are counted since the routers started. `log_latency_sum` is the sum of the
+    natural logarithms of the milliseconds for each output token, over `timed` answers.
+    `suspended` is set if a router considers the version bad.
     """
 
     version: str
@@ -118,7 +121,7 @@
     def from_tally(
         cls, version: str, tally: VersionTally, suspended: bool = False
     ) -> "VersionReport":
-        """A tally as a report."""
+        """Returns a report with the counts of a tally."""
         return cls(
             version,
             tally.answers,
@@ -130,16 +133,17 @@
 
     @property
     def tally(self) -> VersionTally:
-        """The counts alone."""
+        """The counts of the report."""
         return VersionTally(self.answers, self.errors, self.timed, self.log_latency_sum)
 
 
 class RouterPoll(msgspec.Struct, frozen=True):
-    """A router's heartbeat: which revision it has applied.
+    """A router's heartbeat, with the revision that it has applied.
 
-    `router` names one start of one router. The call is held for up to
-    `wait_ms` while there is nothing newer. `crashes` is what it has found of requests
-    that crash endpoints, `crashes_known` the newest change of these that it knows.
+    `router` names one incarnation of one router. The answer waits for up to `wait_ms`
+    while there is nothing newer. `crashes` holds the router's records of requests that
+    crash endpoints, `crashes_known` the newest change to such records that it has
+    received.
     """
 
     router: str
@@ -155,10 +159,10 @@
 class RouterReply(msgspec.Struct, frozen=True):
     """All changes after the applied revision, and a lease on the result.
 
-    The lease runs for `lease_ms` from when the router sent the poll.
-    `routers` have a lease now; `totals` is what all of them have seen. `crashes` are
-    the requests under which endpoints have crashed, as far as they have changed, up to
-    the change `crashes_known`.
+    The lease runs for `lease_ms` from when the router sent the poll. `routers` is the
+    number of routers with a lease, `totals` the sum of their reports. `crashes` holds
+    the changed records of requests that crashed endpoints, up to the change
+    `crashes_known`.
     """
 
     granted: bool
@@ -174,13 +178,13 @@
 
 
 class ControlPoll(msgspec.Struct, frozen=True):
-    """A control process asks for, or renews, the control lease."""
+    """A control process requests or renews the control lease."""
 
     holder: str
 
 
 class ControlReply(msgspec.Struct, frozen=True):
-    """Who holds the control lease; `lease_ms` runs from when it was asked."""
+    """The holder of the control lease; `lease_ms` starts when the poll was sent."""
 
     answered: bool
     leader: str
@@ -190,14 +194,14 @@
 
 
 class MemberChange(msgspec.Struct, frozen=True):
-    """Take a member out of a group."""
+    """Removes a member from a group."""
 
     remove: str
     group: int = 0
 
 
 class ReadRequest(msgspec.Struct, frozen=True):
-    """Read the newest state: resources, and the status if asked for.
+    """Reads resources of the latest state, and the status if `status` is set.
 
     Only the first group has resources.
     """
@@ -215,7 +219,7 @@
 
 
 class LiveRoutersReply(msgspec.Struct, frozen=True):
-    """The routers with a lease, if `known`."""
+    """The routers with a lease, which are valid only if `known` is set."""
 
     known: bool
     routers: tuple[str, ...] = ()
@@ -242,11 +246,10 @@
 
 
 class StateStatus(msgspec.Struct, frozen=True):
-    """The standing of the group and of what depends on it.
+    """The status of a group, its routers, the control lease and the ledger.
 
-    `in_force_revision` is -1 while a new leader does not know it yet;
-    `losses_survived` is how many members may be lost now without loss of
-    service.
+    `in_force_revision` is -1 while a new leader does not know it yet.
+    `losses_survived` is how many members may be lost now without loss of service.
     """
 
     term: int
@@ -264,7 +267,7 @@
 
 
 class ReadReply(msgspec.Struct, frozen=True):
-    """What was asked for, as of `revision`, or who leads."""
+    """The state that was read, as of `revision`, or the address of the leader."""
 
     answered: bool
     leader: str
--- a/ashlatch/store/slots.py
+++ b/ashlatch/store/slots.py
@@ -2,8 +2,8 @@
 ashlatch.store.slots
 ~~~~~~~~~~~~~~~~~~~~
 
-Where a command belongs. The ledger is cut into slots by organisation, so that
-all records, sessions and the account of one organisation are in one group; the
+The group of a command. The ledger is partitioned into slots by organisation, so that
+all records, sessions and the account of one organisation are in one group. The
 configuration and the control lease are in the first group.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
@@ -21,9 +21,9 @@
 
 
 def slot_of(command: Command) -> int | None:
-    """The slot of a command on the ledger; none for any other.
+    """Returns the slot of a ledger command, or `None` for any other command.
 
-    It depends on the organisation alone, never on the number of groups::
+    The slot depends on the organisation only, not on the number of groups::
 
         slot_of(CloseAttempt(RequestKey("nairobi-stockists", "k-1"), 1, True))
     """
@@ -34,6 +34,6 @@
 
 
 def group_of(command: Command, groups: int) -> int:
-    """The group that takes a command, out of so many."""
+    """Returns which of a number of groups handles a command."""
     slot = slot_of(command)
     return FIRST_GROUP if slot is None else slot % groups
--- a/ashlatch/store/status.py
+++ b/ashlatch/store/status.py
@@ -2,7 +2,7 @@
 ashlatch.store.status
 ~~~~~~~~~~~~~~~~~~~~~
 
-What operators see of the replicated state.
+The status of the replicated state, as it is shown to operators.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -19,31 +19,31 @@
 __all__ = ["build_status", "merge_statuses", "tolerated_losses"]
 
 CURRENT_LAG_ENTRIES = 256
-# A member that has not answered for so long does not count as there.
+# A member that has not answered for longer counts as unavailable.
 UNRESPONSIVE_MS = 1500.0
 
 
 def build_status(
-    standing: GroupStatus,
+    group_status: GroupStatus,
     state: State,
     leases: Leases,
     now_ms: float,
     groups: int = 1,
 ) -> StateStatus:
-    """The leader's view of its group, the routers and the control lease."""
+    """Returns the leader's view of its group, the routers and the control lease."""
     members = tuple(
-        _member_status(standing, member, now_ms)
-        for member in standing.members.all_members()
+        _member_status(group_status, member, now_ms)
+        for member in group_status.members.all_members()
     )
     routers = tuple(
         RouterStatus(lease.router, lease.vm, lease.hall, lease.applied_revision)
         for lease in leases.routers.values()
     )
     return StateStatus(
-        standing.term,
-        standing.commit_index,
+        group_status.term,
+        group_status.commit_index,
         members,
-        tolerated_losses(standing, now_ms),
+        tolerated_losses(group_status, now_ms),
         routers,
         leases.in_force_revision(now_ms, state.configuration.revision),
         state.control.holder,
@@ -56,58 +56,63 @@
 
 
 def merge_statuses(first: StateStatus, others: list[StateStatus]) -> StateStatus:
-    """The first group's status with the other groups' part of the ledger."""
-    every = [first, *others]
-    accounts = {name: account for s in every for name, account in s.accounts.items()}
+    """Returns the first group's status, extended to all groups.
+
+    It has the ledger totals of all groups and the fewest losses that any tolerates.
+    """
+    statuses = [first, *others]
+    accounts = {name: account for s in statuses for name, account in s.accounts.items()}
     return msgspec.structs.replace(
         first,
-        losses_survived=min(status.losses_survived for status in every),
-        bills=sum(status.bills for status in every),
+        losses_survived=min(status.losses_survived for status in statuses),
+        bills=sum(status.bills for status in statuses),
         accounts=accounts,
     )
 
 
-def tolerated_losses(standing: GroupStatus, now_ms: float) -> int:
-    """How many answering, current voters may be lost while a quorum stays.
+def tolerated_losses(group_status: GroupStatus, now_ms: float) -> int:
+    """Returns how many responsive, up-to-date voters exceed the quorum.
 
-    None while a change of members is under way: it may be lost itself, and
-    the quorum is then another one.
+    That is how many may be lost without loss of service. It is zero during a
+    membership change: the change may be lost too, and then another quorum applies.
     """
-    if not standing.members_committed:
+    if not group_status.members_committed:
         return 0
-    current = [
+    caught_up = [
         voter
-        for voter in standing.members.voters
-        if _lag(standing, voter) <= CURRENT_LAG_ENTRIES
-        and _silent_ms(standing, voter, now_ms) <= UNRESPONSIVE_MS
+        for voter in group_status.members.voters
+        if _lag(group_status, voter) <= CURRENT_LAG_ENTRIES
+        and _unresponsive_ms(group_status, voter, now_ms) <= UNRESPONSIVE_MS
     ]
-    return len(current) - standing.members.quorum()
+    return len(caught_up) - group_status.members.quorum()
 
 
-def _lag(standing: GroupStatus, member: Member) -> int:
-    match_index = standing.match_index.get(member.member_id, 0)
-    return max(0, standing.commit_index - match_index)
+def _lag(group_status: GroupStatus, member: Member) -> int:
+    match_index = group_status.match_index.get(member.member_id, 0)
+    return max(0, group_status.commit_index - match_index)
 
 
-def _silent_ms(standing: GroupStatus, member: Member, now_ms: float) -> float:
-    if member.member_id == standing.member_id:
+def _unresponsive_ms(group_status: GroupStatus, member: Member, now_ms: float) -> float:
+    if member.member_id == group_status.member_id:
         return 0.0
-    answered_ms = standing.acked_ms.get(member.member_id, standing.leading_since_ms)
-    return now_ms - max(answered_ms, standing.leading_since_ms)
+    acked_ms = group_status.acked_ms.get(
+        member.member_id, group_status.leading_since_ms
+    )
+    return now_ms - max(acked_ms, group_status.leading_since_ms)
 
 
 def _member_status(
-    standing: GroupStatus, member: Member, now_ms: float
+    group_status: GroupStatus, member: Member, now_ms: float
 ) -> MemberStatus:
-    voter = member.member_id in standing.members.voter_ids()
+    voter = member.member_id in group_status.members.voter_ids()
     role = "voter" if voter else "learner"
-    if member.member_id == standing.member_id:
+    if member.member_id == group_status.member_id:
         role = "leader"
     return MemberStatus(
         member.member_id,
         member.vm,
         member.address,
         role,
-        _lag(standing, member),
-        _silent_ms(standing, member, now_ms),
+        _lag(group_status, member),
+        _unresponsive_ms(group_status, member, now_ms),
     )
--- a/ashlatch/store/transport.py
+++ b/ashlatch/store/transport.py
@@ -2,12 +2,11 @@
 ashlatch.store.transport
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-Carries messages between the members of the groups. Each group has one call
-open to a peer at a time; what comes up meanwhile goes into the next call
-together. A call
-with log entries is held for a moment, so that the answers go back as its reply
-and need no call of their own. Answers to heartbeats do take one: a leader that
-can call others and cannot be called must not keep its lease.
+Sends messages between the members of the groups. Each group has one open call to a
+peer at a time; messages that are queued meanwhile are sent together in the next call.
+The reply to a call with log entries is delayed briefly, so that it can carry the
+answers and they need no call of their own. Answers to heartbeats are sent as separate
+calls: a leader that can call others but cannot be called must not keep its lease.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -27,14 +26,14 @@
 
 QUEUE_MESSAGES = 256
 CALL_TIMEOUT_S = 1.0
-HOLD_S = 0.02
+REPLY_WAIT_S = 0.02
 
 AddressedMessage = tuple[Member, Message]
 
 
 @dataclass(frozen=True)
 class Channel:
-    """One group's messages to one member."""
+    """The messages of one group to one member."""
 
     member_id: str
     group: int
@@ -43,56 +42,56 @@
 class Transport:
     """Queues messages by member and group, and sends them in batches.
 
-    Messages may be lost: a full queue drops the oldest, a failed call drops
-    its batch. The protocol above sends again. `received` takes each message
-    that comes in, on the loop.
+    Messages may be lost: a full queue drops the oldest one, and a failed call drops
+    its batch. Raft sends again. `on_message` is called on the loop with each received
+    message.
     """
 
     def __init__(
         self, rpc: RpcLoop, local_member: Member, on_message: Callable[[Message], None]
     ) -> None:
         self._rpc = rpc
-        self._own = local_member
-        self._received = on_message
+        self._local_member = local_member
+        self._on_message = on_message
         self._queues: dict[Channel, deque[Message]] = {}
-        self._wakes: dict[Channel, asyncio.Event] = {}
-        self._held: dict[Channel, asyncio.Event] = {}
+        self._send_events: dict[Channel, asyncio.Event] = {}
+        self._reply_events: dict[Channel, asyncio.Event] = {}
         self._addresses: dict[str, str] = {}
         self._peers: dict[str, Peer] = {}
 
     def send(self, messages: list[AddressedMessage]) -> None:
-        """Queue messages, from any thread."""
+        """Queues messages; may be called from any thread."""
         if messages:
             self._rpc.post(self._enqueue, messages)
 
     async def receive_batch(self, batch: Batch) -> BatchReply:
-        """Answer a peer's call; on the loop only."""
+        """Handles a peer's call; must be called on the loop."""
         sender = batch.sender
         self._addresses[sender.member_id] = sender.address
-        if batch.recipient != self._own.member_id or not batch.messages:
+        if batch.recipient != self._local_member.member_id or not batch.messages:
             return BatchReply()
         for message in batch.messages:
-            self._received(message)
+            self._on_message(message)
         if not any(_carries_entries(message) for message in batch.messages):
             return BatchReply()
-        way = Channel(sender.member_id, batch.messages[0].group)
-        return BatchReply(await self._answers(way))
+        channel = Channel(sender.member_id, batch.messages[0].group)
+        return BatchReply(await self._wait_for_answers(channel))
 
-    async def _answers(self, way: Channel) -> tuple[Message, ...]:
-        if way in self._held:
+    async def _wait_for_answers(self, channel: Channel) -> tuple[Message, ...]:
+        if channel in self._reply_events:
             return ()
-        ready = self._held[way] = asyncio.Event()
+        reply_event = self._reply_events[channel] = asyncio.Event()
         try:
-            async with asyncio.timeout(HOLD_S):
-                await ready.wait()
+            async with asyncio.timeout(REPLY_WAIT_S):
+                await reply_event.wait()
         except TimeoutError:
             pass
         finally:
-            del self._held[way]
-        return self._drain(way)
+            del self._reply_events[channel]
+        return self._take_queued(channel)
 
-    def _drain(self, way: Channel) -> tuple[Message, ...]:
-        queued = self._queues.get(way)
+    def _take_queued(self, channel: Channel) -> tuple[Message, ...]:
+        queued = self._queues.get(channel)
         if queued is None:
             return ()
         messages = tuple(queued)
@@ -105,39 +104,39 @@
                 self._addresses[to.member_id] = to.address
             if to.member_id not in self._addresses:
                 continue
-            way = Channel(to.member_id, message.group)
-            waiting = self._queues.get(way)
-            if waiting is None:
-                waiting = self._open_queue(way)
-            waiting.append(message)
-            held = self._held.get(way)
-            (held or self._wakes[way]).set()
-
-    def _open_queue(self, way: Channel) -> deque[Message]:
-        waiting = self._queues[way] = deque(maxlen=QUEUE_MESSAGES)
-        self._wakes[way] = asyncio.Event()
-        self._rpc.loop.create_task(self._pump(way))
-        return waiting
-
-    async def _pump(self, way: Channel) -> None:
+            channel = Channel(to.member_id, message.group)
+            queue = self._queues.get(channel)
+            if queue is None:
+                queue = self._open_queue(channel)
+            queue.append(message)
+            reply_event = self._reply_events.get(channel)
+            (reply_event or self._send_events[channel]).set()
+
+    def _open_queue(self, channel: Channel) -> deque[Message]:
+        queue = self._queues[channel] = deque(maxlen=QUEUE_MESSAGES)
+        self._send_events[channel] = asyncio.Event()
+        self._rpc.loop.create_task(self._send_loop(channel))
+        return queue
+
+    async def _send_loop(self, channel: Channel) -> None:
         while True:
-            await self._wakes[way].wait()
-            self._wakes[way].clear()
-            messages = self._drain(way)
+            await self._send_events[channel].wait()
+            self._send_events[channel].clear()
+            messages = self._take_queued(channel)
             if not messages:
                 continue
             try:
-                batch = Batch(self._own, way.member_id, messages)
-                reply = await self._peer(way.member_id).call(
+                batch = Batch(self._local_member, channel.member_id, messages)
+                reply = await self._peer(channel.member_id).call(
                     DELIVER, batch, CALL_TIMEOUT_S
                 )
             except TransportError:
                 continue
             for message in reply.messages:
-                self._received(message)
+                self._on_message(message)
 
     def _peer(self, member_id: str) -> Peer:
-        """The connection to a member, at the address that is known now."""
+        """Returns the connection to a member, at its current address."""
         address = Address.parse(self._addresses[member_id])
         peer = self._peers.get(member_id)
         if peer is None or peer.address != address:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -232,7 +232,7 @@
     Mutant(
         "pin-moves-freely",
         "ashlatch/store/ledger.py",
-        "        version = pin.version if pin is not None and kept else candidate",
+        "        version = pin.version if pin is not None and reuse_pin else candidate",
         "        version = candidate",
         TRAFFIC,
     ),
@@ -254,8 +254,8 @@
     Mutant(
         "unrepeatable-reopened",
         "ashlatch/store/ledger.py",
-        "        repeat = not_run or record.repeatable\n",
-        "        repeat = True\n",
+        "        may_repeat = not_run or record.repeatable\n",
+        "        may_repeat = True\n",
         TRAFFIC,
     ),
     Mutant(
