--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -89,7 +89,7 @@
                 self.entries = behind if same else []
                 self.snapshot, self.data = meta, data
 
-    def boot(self) -> PersistentState:
+    def read_state(self) -> PersistentState:
         return PersistentState(
             self.member_id,
             self.term,
@@ -106,15 +106,15 @@
 
     vm: str
     disk: Disk
-    rate: float
+    clock_rate: float
     core: RaftCore | None = None
     machine: StoreMachine = field(default_factory=StoreMachine)
-    applied: int = 0
+    applied_index: int = 0
     frozen: bool = False
     suspended_at_ms: float | None = None
-    left_out_ms: float = 0.0
+    uncounted_ms: float = 0.0
     unsynced: list[Effect] = field(default_factory=list)
-    waiting: dict[int, tuple[int, int]] = field(default_factory=dict)
+    pending: dict[int, tuple[int, int]] = field(default_factory=dict)
 
     @property
     def running(self) -> bool:
@@ -139,17 +139,17 @@
         self.counts_suspension = counts_suspension
         self.now_ms = 10_000.0
         self.network: list[tuple[str, str, Message]] = []
-        self.cut: set[frozenset[str]] = set()
+        self.cut_links: set[frozenset[str]] = set()
         self.committed: dict[int, Entry] = {}
-        self.naive = StoreMachine()
-        self.naive_index = 0
-        self.naive_outcomes: dict[int, Any] = {}
-        self.acknowledged = 0
+        self.reference = StoreMachine()
+        self.reference_index = 0
+        self.reference_outcomes: dict[int, Any] = {}
+        self.acknowledged_index = 0
         self.leaders: dict[int, str] = {}
-        self.tickets = 0
+        self.last_proposal_id = 0
         self.commands: list[Command] = []
         self.folders = 0
-        self.acks = 0
+        self.acknowledged_count = 0
         self.lost_disks = 0
         self.in_flight_max = IN_FLIGHT_MAX
         members = Members(
@@ -174,14 +174,14 @@
                 self.step(node, Flush())
                 self.ask_to_join(node)
 
-    def deliver(self, place: int, keep: bool = False) -> None:
+    def deliver(self, position: int, duplicate: bool = False) -> None:
         """Hand over one message of the network; with `keep`, once more later."""
         if not self.network:
             return
-        place %= len(self.network)
-        item = self.network[place]
-        if not keep:
-            self.network[place] = self.network[-1]
+        position %= len(self.network)
+        item = self.network[position]
+        if not duplicate:
+            self.network[position] = self.network[-1]
             self.network.pop()
         sender, recipient, message = item
         node = next(
@@ -189,12 +189,12 @@
         )
         if node is None or not node.running:
             return
-        if frozenset((self.vm_of(sender), node.vm)) not in self.cut:
+        if frozenset((self.vm_of(sender), node.vm)) not in self.cut_links:
             self.step(node, Received(message))
 
-    def drop(self, place: int) -> None:
+    def drop(self, position: int) -> None:
         if self.network:
-            self.network.pop(place % len(self.network))
+            self.network.pop(position % len(self.network))
 
     def sync(self, vm: str) -> None:
         """The disk has taken all that was written so far."""
@@ -218,7 +218,7 @@
         node = self.nodes[vm]
         node.core = None
         node.unsynced = []
-        node.waiting = {}
+        node.pending = {}
 
     def reboot(self, vm: str) -> None:
         self.crash(vm)
@@ -242,12 +242,12 @@
         node = self.nodes[vm]
         node.frozen = False
         if node.suspended_at_ms is not None and not self.counts_suspension:
-            node.left_out_ms += self.now_ms - node.suspended_at_ms
+            node.uncounted_ms += self.now_ms - node.suspended_at_ms
         node.suspended_at_ms = None
 
     def lose_disk(self, vm: str) -> bool:
         """Empty a data folder, if the group is whole and can stand the loss."""
-        if not self.whole():
+        if not self.is_repaired():
             return False
         self.crash(vm)
         self.folders += 1
@@ -259,23 +259,23 @@
 
     def cut_link(self, one: str, other: str) -> None:
         if one != other:
-            self.cut.add(frozenset((one, other)))
+            self.cut_links.add(frozenset((one, other)))
 
     def heal(self) -> None:
-        self.cut.clear()
+        self.cut_links.clear()
 
     def propose(self, vm: str, command: Command) -> None:
         node = self.nodes[vm]
         if node.running:
-            self.tickets += 1
-            self.step(node, Propose(self.tickets, encode(command)))
+            self.last_proposal_id += 1
+            self.step(node, Propose(self.last_proposal_id, encode(command)))
 
-    def propose_any(self, vm: str, again: bool) -> None:
+    def propose_random(self, vm: str, repeat: bool) -> None:
         """A new command, or one that was sent before."""
-        if again and self.commands:
+        if repeat and self.commands:
             command = self.random.choice(self.commands)
         else:
-            command = self.some_command()
+            command = self.random_command()
             self.commands.append(command)
         self.propose(vm, command)
 
@@ -288,7 +288,7 @@
 
     # Checks over the whole.
 
-    def whole(self) -> bool:
+    def is_repaired(self) -> bool:
         """Whether a repair, if there was one, has been reported as done.
 
         As `losses_survived` does: the leader's members are three voters, all
@@ -310,21 +310,21 @@
             )
         return False
 
-    def settle(self) -> None:
+    def recover(self) -> None:
         """Heal everything and go on until one leader has served a command."""
         self.heal()
         for vm in self.nodes:
             self.thaw(vm)
             self.restart(vm)
-        wanted = self.acks + 1
+        wanted = self.acknowledged_count + 1
         for _ in range(4000):
             self.calm_round()
-            if self.whole() and self.acks >= wanted:
-                self.check_readers()
+            if self.is_repaired() and self.acknowledged_count >= wanted:
+                self.check_reads()
                 return
             leaders = [n for n in self.nodes.values() if n.core and n.core.leading]
             if leaders and self.random.random() < 0.2:
-                self.propose_any(leaders[-1].vm, again=False)
+                self.propose_random(leaders[-1].vm, repeat=False)
         raise CheckFailed("the group did not recover")
 
     def calm_round(self) -> None:
@@ -336,19 +336,19 @@
                 return
             self.deliver(0)
 
-    def check_readers(self) -> None:
+    def check_reads(self) -> None:
         for node in self.nodes.values():
             if node.running and node.core is not None:
                 readable = node.core.may_read(self.clock(node))
-                if readable and node.applied < self.acknowledged:
+                if readable and node.applied_index < self.acknowledged_index:
                     raise CheckFailed(
-                        f"{node.vm} may read at {node.applied} < {self.acknowledged}"
+                        f"{node.vm} may read at {node.applied_index} < {self.acknowledged_index}"
                     )
 
     # Inside.
 
     def clock(self, node: Node) -> float:
-        return (self.now_ms - node.left_out_ms) * node.rate
+        return (self.now_ms - node.uncounted_ms) * node.clock_rate
 
     def vm_of(self, member_id: str) -> str:
         return member_id.split(".")[0]
@@ -356,13 +356,13 @@
     def start(self, node: Node) -> None:
         node.machine = StoreMachine()
         node.machine.restore(node.disk.data)
-        node.applied = node.disk.snapshot.index
+        node.applied_index = node.disk.snapshot.index
         seed = self.random.getrandbits(32)
         # Half of the members ask whether all have just started.
         fresh_ask_ms = 100.0 if seed % 2 else 0.0
         node.core = RaftCore(
             RaftConfig(seed=seed, message_bytes=400, fresh_start_poll_ms=fresh_ask_ms),
-            node.disk.boot(),
+            node.disk.read_state(),
             self.clock(node),
         )
 
@@ -370,7 +370,7 @@
         if node.core is None or node.core.members.voters:
             return
         for other in self.nodes.values():
-            linked = frozenset((node.vm, other.vm)) not in self.cut
+            linked = frozenset((node.vm, other.vm)) not in self.cut_links
             if other.running and linked and other is not node:
                 self.step(other, AddLearner(node.member))
 
@@ -384,7 +384,7 @@
             leader = self.leaders.setdefault(node.core.term, node.core.member_id)
             if leader != node.core.member_id:
                 raise CheckFailed(f"two leaders in term {node.core.term}")
-        self.check_readers()
+        self.check_reads()
 
     def perform(self, node: Node, effect: Effect, votes: bool) -> None:
         match effect:
@@ -399,11 +399,11 @@
                 self.apply_all(node, entries)
             case InstallSnapshot(meta, data):
                 node.machine.restore(data)
-                node.applied = meta.index
+                node.applied_index = meta.index
             case Proposed(ticket, index, term):
-                node.waiting[index] = (ticket, term)
+                node.pending[index] = (ticket, term)
             case LeadershipChanged(_, False, _):
-                node.waiting = {}
+                node.pending = {}
 
     def post(self, node: Node, send: Send) -> None:
         if len(self.network) >= self.in_flight_max:
@@ -417,36 +417,38 @@
         self.snapshot_if_due(node)
 
     def apply(self, node: Node, entry: Entry) -> None:
-        if entry.index != node.applied + 1:
-            raise CheckFailed(f"{node.vm} applies {entry.index} after {node.applied}")
+        if entry.index != node.applied_index + 1:
+            raise CheckFailed(
+                f"{node.vm} applies {entry.index} after {node.applied_index}"
+            )
         known = self.committed.setdefault(entry.index, entry)
         if known != entry:
             raise CheckFailed(f"entry {entry.index} differs: {known} {entry}")
-        node.applied = entry.index
+        node.applied_index = entry.index
         outcome = node.machine.apply(entry.command) if entry.command else None
-        self.advance_naive()
-        if outcome != self.naive_outcomes[entry.index]:
+        self.advance_reference()
+        if outcome != self.reference_outcomes[entry.index]:
             raise CheckFailed(f"outcome of {entry.index} differs from the naive copy")
-        ticket = node.waiting.pop(entry.index, None)
+        ticket = node.pending.pop(entry.index, None)
         if ticket is not None and ticket[1] == entry.term:
-            self.acks += 1
-            self.acknowledged = max(self.acknowledged, entry.index)
+            self.acknowledged_count += 1
+            self.acknowledged_index = max(self.acknowledged_index, entry.index)
 
-    def advance_naive(self) -> None:
-        while self.naive_index + 1 in self.committed:
-            self.naive_index += 1
-            command = self.committed[self.naive_index].command
-            outcome = self.naive.apply(command) if command else None
-            self.naive_outcomes[self.naive_index] = outcome
+    def advance_reference(self) -> None:
+        while self.reference_index + 1 in self.committed:
+            self.reference_index += 1
+            command = self.committed[self.reference_index].command
+            outcome = self.reference.apply(command) if command else None
+            self.reference_outcomes[self.reference_index] = outcome
 
     def snapshot_if_due(self, node: Node) -> None:
         assert node.core is not None
-        if node.applied - node.core.log.snapshot.index >= SNAPSHOT_EVERY:
-            taken = SnapshotTaken(node.applied, node.machine.snapshot())
+        if node.applied_index - node.core.log.snapshot.index >= SNAPSHOT_EVERY:
+            taken = SnapshotTaken(node.applied_index, node.machine.snapshot())
             for effect in node.core.step(self.clock(node), taken):
                 self.perform(node, effect, False)
 
-    def some_command(self) -> Command:
+    def random_command(self) -> Command:
         pick = self.random.randrange
         key = RequestKey("org", f"key-{pick(6)}")
         at_ms = int(self.now_ms)
@@ -476,7 +478,7 @@
 
 
 @dataclass(frozen=True)
-class Mood:
+class ActionMix:
     """How often each kind of step is taken in one world.
 
     Worlds differ (swarm testing: Groce and others, 2012), since a schedule
@@ -489,7 +491,7 @@
     in_flight_max: int
 
     @classmethod
-    def draw(cls, generator: random.Random) -> "Mood":
+    def draw(cls, generator: random.Random) -> "ActionMix":
         names = tuple(ACTIONS)
         weights = tuple(w * generator.choice((0.2, 1.0, 4.0)) for w in ACTIONS.values())
         times_ms = generator.choice(
@@ -517,17 +519,17 @@
 }
 
 
-def random_step(world: World, mood: Mood) -> None:
+def random_step(world: World, mood: ActionMix) -> None:
     """One step of a random schedule."""
     pick = world.random
     vm = pick.choice(list(world.nodes))
     action = pick.choices(mood.actions, mood.weights)[0]
     if action in ("deliver", "deliver_twice"):
-        world.deliver(pick.getrandbits(16), keep=action == "deliver_twice")
+        world.deliver(pick.getrandbits(16), duplicate=action == "deliver_twice")
     elif action == "pass_time":
         world.pass_time(pick.choice(mood.times_ms))
     elif action == "propose":
-        world.propose_any(world.likely_leader(vm), again=pick.random() < 0.3)
+        world.propose_random(world.likely_leader(vm), repeat=pick.random() < 0.3)
     elif action == "drop":
         world.drop(pick.getrandbits(16))
     elif action == "cut":
@@ -549,13 +551,13 @@
     Before each step a VM is suspended, or wakes, with a chance of `suspensions`.
     """
     world = World(seed, counts_suspension=counts_suspension)
-    mood = Mood.draw(world.random)
+    mood = ActionMix.draw(world.random)
     world.in_flight_max = mood.in_flight_max
     for _ in range(steps):
         if suspensions and world.random.random() < suspensions:
             suspend_or_wake(world)
         random_step(world, mood)
-    world.settle()
+    world.recover()
     return world
 
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -31,7 +31,7 @@
 
 def soak_group(seed: int, steps: int, totals: Totals) -> None:
     world = simulation.run(seed, steps)
-    totals.acknowledged += world.acks
+    totals.acknowledged += world.acknowledged_count
     totals.lost_disks += world.lost_disks
 
 
@@ -41,7 +41,9 @@
 
 def soak_suspended(seed: int, steps: int, totals: Totals) -> None:
     """Both worlds, with VMs that are suspended."""
-    totals.acknowledged += simulation.run(seed, steps, GROUP_SUSPENSIONS).acks
+    totals.acknowledged += simulation.run(
+        seed, steps, GROUP_SUSPENSIONS
+    ).acknowledged_count
     totals.requests += traffic.run(seed, steps, TRAFFIC_SUSPENSIONS).sent
 
 
--- a/tests/test_groups.py
+++ b/tests/test_groups.py
@@ -22,7 +22,7 @@
     start_small_system,
 )
 from tests.system import BIN, HOST, free_port, wait_until
-from tests.test_state_failures import members, repaired, state_of
+from tests.test_state_failures import member_ids, is_repaired, state_daemon
 
 GROUPS = 3
 THREE = {"groups": GROUPS}
@@ -42,7 +42,7 @@
 
     def test_kills_of_members_under_load(self) -> None:
         with start_small_system(controls=2, state_extra=THREE) as found:
-            wait_until(lambda: repaired(found.system), "all groups are whole")
+            wait_until(lambda: is_repaired(found.system), "all groups are whole")
             before = found.bill_count()
             with OrderLoad(found, 4) as load:
                 for _ in range(2):
@@ -51,7 +51,7 @@
                     victim.process.kill()
                     load.wait_for(20)
                     victim.process.start()
-                    wait_until(lambda: repaired(found.system), "it is back")
+                    wait_until(lambda: is_repaired(found.system), "it is back")
             self.assertGreater(len(load.answers), 60)
             self.assertEqual(set(), load.unknown)
             # A router goes on with its lease from the killed leader until that
@@ -84,22 +84,22 @@
     def test_an_emptied_disk_and_then_another_vm(self) -> None:
         with start_small_system(controls=2, state_extra=THREE) as found:
             system = found.system
-            wait_until(lambda: repaired(system), "all groups are whole")
+            wait_until(lambda: is_repaired(system), "all groups are whole")
             self.assertEqual(200, found.order("kept").status)
-            old = members(system)["state-1"]
-            victim = state_of(system, "state-1")
+            old = member_ids(system)["state-1"]
+            victim = state_daemon(system, "state-1")
             victim.process.kill()
             shutil.rmtree(victim.settings["data_folder"])
             victim.process.start()
-            wait_until(lambda: repaired(system, without=old), "the repair is done")
-            state_of(system, "state-0").process.kill()
+            wait_until(lambda: is_repaired(system, without=old), "the repair is done")
+            state_daemon(system, "state-0").process.kill()
             wait_until(lambda: found.order("kept").status == 200, "it is served again")
             self.assertEqual(1, found.run_count("kept"))
             wait_until(found.every_router_answers, "every router answers")
 
     def test_a_dead_routers_requests_are_set_free_in_every_group(self) -> None:
         with start_small_system(state_extra=THREE) as found:
-            wait_until(lambda: repaired(found.system), "all groups are whole")
+            wait_until(lambda: is_repaired(found.system), "all groups are whole")
             for engine in found.engines:
                 engine.control(token_ms=500.0)
             for worker in found.workers:
@@ -127,7 +127,7 @@
     def test_a_member_with_another_number_of_groups_does_not_run(self) -> None:
         with start_small_system(routers=1, state_extra=THREE) as found:
             system = found.system
-            known = state_of(system, "state-1")
+            known = state_daemon(system, "state-1")
             known.process.kill()
             settings = {**known.settings, "groups": 2}
             self.assertIn("found=3", self.failure(found, settings))
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -57,7 +57,7 @@
 
     @rule(vm=VMS, again=st.booleans())
     def propose(self, vm: str, again: bool) -> None:
-        self.world.propose_any(self.world.likely_leader(vm), again)
+        self.world.propose_random(self.world.likely_leader(vm), again)
 
     @rule(vm=VMS, name=st.sampled_from(("crash", "restart", "freeze", "thaw")))
     def fault(self, vm: str, name: str) -> None:
@@ -77,10 +77,10 @@
 
     @invariant()
     def readers_are_current(self) -> None:
-        self.world.check_readers()
+        self.world.check_reads()
 
     def teardown(self) -> None:
-        self.world.settle()
+        self.world.recover()
 
 
 class SimulationTest(testtools.TestCase):
@@ -90,7 +90,7 @@
 
     def test_group_by_fixed_seeds(self) -> None:
         worlds = [simulation.run(seed, 3000) for seed in range(60)]
-        self.assertGreater(sum(w.acks for w in worlds), 2000)
+        self.assertGreater(sum(w.acknowledged_count for w in worlds), 2000)
         self.assertGreater(sum(w.lost_disks for w in worlds), 20)
 
     def test_traffic_by_fixed_seeds(self) -> None:
@@ -108,7 +108,7 @@
 
     def test_group(self) -> None:
         worlds = [simulation.run(seed, 1500, 0.01) for seed in range(100)]
-        self.assertGreater(sum(world.acks for world in worlds), 2000)
+        self.assertGreater(sum(world.acknowledged_count for world in worlds), 2000)
 
     def test_traffic(self) -> None:
         worlds = [traffic.run(seed, 2500, 0.02) for seed in range(60)]
--- a/tests/test_state_failures.py
+++ b/tests/test_state_failures.py
@@ -26,15 +26,15 @@
 )
 
 
-def state_of(system: System, member_vm: str) -> Daemon:
+def state_daemon(system: System, member_vm: str) -> Daemon:
     return next(d for d in system.states if d.settings["vm"] == member_vm)
 
 
-def members(system: System) -> dict[str, str]:
+def member_ids(system: System) -> dict[str, str]:
     return {m["vm"]: m["member_id"] for m in system.status()["members"]}
 
 
-def repaired(system: System, without: str = "") -> bool:
+def is_repaired(system: System, without: str = "") -> bool:
     """Whether one status shows three members, one of which may be lost.
 
     `without` is the id of a member that must be gone in the same status.
@@ -62,7 +62,7 @@
                     daemon.process.kill()
                     load.wait_for(20)
                     daemon.process.start()
-                    wait_until(lambda: repaired(found.system), "the member is back")
+                    wait_until(lambda: is_repaired(found.system), "the member is back")
             self.check_orders(found, load)
             self.assertEqual(len(load.answers), found.bill_count() - billed_before)
 
@@ -81,21 +81,21 @@
     def test_an_emptied_disk_and_then_another_vm(self) -> None:
         with start_small_system(controls=2) as found:
             system = found.system
-            before = members(system)
+            before = member_ids(system)
             revision = found.put_model_until_answered("kept", 0, "c-1", "one")
-            victim = state_of(system, "state-1")
+            victim = state_daemon(system, "state-1")
             victim.process.kill()
             shutil.rmtree(victim.settings["data_folder"])
             victim.process.start()
             wait_until(
-                lambda: repaired(system, without=before["state-1"]),
+                lambda: is_repaired(system, without=before["state-1"]),
                 "the repair is reported as done",
             )
-            after = members(system)
+            after = member_ids(system)
             self.assertNotEqual(before["state-1"], after["state-1"])
             self.assertNotIn(before["state-1"], after.values())
             # The second loss comes right after the report.
-            state_of(system, "state-0").process.kill()
+            state_daemon(system, "state-0").process.kill()
             found.put_model_until_answered("kept", revision, "c-2", "two")
             reply = system.operate("GET", "/v1/resources/model/kept")
             self.assertEqual("two", reply.json["spec"]["description"])
@@ -129,7 +129,7 @@
             for daemon in (leader, control):
                 daemon.process.signal(signal.SIGCONT)
             # The old leader, asked directly, must not serve its old state.
-            wait_until(lambda: repaired(system), "the old leader follows")
+            wait_until(lambda: is_repaired(system), "the old leader follows")
             reply = system.operate("GET", "/v1/resources/model/frozen", control=place)
             self.assertEqual("new", reply.json["spec"]["description"])
             stale = found.put_model("frozen", revision, "c-2", place, "stale")
@@ -190,7 +190,7 @@
             self.assertIsNot(leader, system.leader())
             wait_until(found.every_router_answers, "every router answers")
             cut.restore()
-            wait_until(lambda: repaired(system), "the old leader follows")
+            wait_until(lambda: is_repaired(system), "the old leader follows")
             reply = system.operate("GET", "/v1/resources/model/cut")
             self.assertEqual("new", reply.json["spec"]["description"])
 
@@ -311,7 +311,7 @@
             self.assertIn("error=DiskFailed", limited.log)
             limited.close()
             victim.process.start()
-            wait_until(lambda: repaired(system), "the member is back")
+            wait_until(lambda: is_repaired(system), "the member is back")
 
     def test_damage_in_the_middle_stops_the_member(self) -> None:
         with running() as system:
