--- a/ashlatch/raft/election.py
+++ b/ashlatch/raft/election.py
@@ -3,7 +3,7 @@
 ~~~~~~~~~~~~~~~~~~~~~~
 
 Leader election. A member first asks whether it would be elected (pre-vote) and only
-then begins a new term, so that a member that returns after a network partition does
+then starts a new term, so that a member that returns after a network partition does
 not depose a working leader. A leader without answers of a quorum steps down
 (check-quorum), and a voter that receives from a leader grants no vote to others.
 
--- a/ashlatch/store/command.py
+++ b/ashlatch/store/command.py
@@ -208,7 +208,7 @@
 
 
 class RecordCrashes(msgspec.Struct, frozen=True, tag="note_crashes"):
-    """Records the request fingerprints that crashed endpoints, or completed without."""
+    """Records requests that crashed endpoints, or that completed without a crash."""
 
     records: tuple[CrashRecord, ...]
     at_ms: int = 0
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -1,9 +1,9 @@
-"""A group of pure cores under a random schedule, checked at every step.
+"""Simulates a group of raft cores on a random schedule, and checks every step.
 
-Messages are lost, late, doubled and out of order; members crash, restart,
-freeze, lose their disks and have clocks that drift. The checks: one leader a
-term; all members apply the same log; every outcome is that of a naive single
-copy; a member that may read has applied all that was acknowledged.
+Messages are lost, delayed, duplicated and reordered. Members crash, restart, freeze,
+lose their disks and have clocks that drift. The checks: a term has one leader; all
+members apply the same log; every outcome equals that of a single reference copy; and a
+member that may read has applied every acknowledged command.
 """
 
 import random
@@ -50,7 +50,7 @@
 )
 from ashlatch.store.machine import StoreMachine
 
-_HANDLERS_OF = (election,)
+_HANDLER_MODULES = (election,)
 
 DRIFT = 0.02
 SNAPSHOT_EVERY = 25
@@ -58,12 +58,12 @@
 
 
 class CheckFailed(AssertionError):
-    """A schedule broke one of the checks."""
+    """One of the checks failed in a schedule."""
 
 
 @dataclass
 class Disk:
-    """What has been synced by one data folder."""
+    """The synced contents of one data folder."""
 
     member_id: str
     vm: str
@@ -82,11 +82,11 @@
                 self.entries = [e for e in self.entries if e.index < first]
                 self.entries += entries
             case SaveSnapshot(meta, data):
-                same = any(
+                in_log = any(
                     (e.index, e.term) == (meta.index, meta.term) for e in self.entries
                 )
-                behind = [e for e in self.entries if e.index > meta.index]
-                self.entries = behind if same else []
+                later = [e for e in self.entries if e.index > meta.index]
+                self.entries = later if in_log else []
                 self.snapshot, self.data = meta, data
 
     def read_state(self) -> PersistentState:
@@ -102,7 +102,7 @@
 
 @dataclass
 class Node:
-    """One VM with its disk and, when it is up, its process."""
+    """One VM with its disk and, while it runs, its process."""
 
     vm: str
     disk: Disk
@@ -128,8 +128,8 @@
 class World:
     """The group, its network and its clients.
 
-    `counts_suspension` tells whether the clocks of VMs go on while they are
-    suspended, as `ashlatch.clock` does and a steady clock does not.
+    `counts_suspension` is whether the clocks of VMs advance while the VMs are
+    suspended. `ashlatch.clock` does, a steady clock does not.
     """
 
     def __init__(
@@ -156,15 +156,15 @@
             tuple(Member(f"vm{i}.0", f"vm{i}", f"vm{i}") for i in range(voters))
         )
         self.nodes: dict[str, Node] = {}
-        for place in range(voters):
-            disk = Disk(f"vm{place}.0", f"vm{place}")
+        for position in range(voters):
+            disk = Disk(f"vm{position}.0", f"vm{position}")
             disk.snapshot = SnapshotMeta(0, 0, members)
             rate = self.random.uniform(1 - DRIFT, 1 + DRIFT)
-            self.nodes[f"vm{place}"] = Node(f"vm{place}", disk, rate)
+            self.nodes[f"vm{position}"] = Node(f"vm{position}", disk, rate)
         for node in self.nodes.values():
             self.start(node)
 
-    # What a schedule may do.
+    # Actions of a schedule.
 
     def pass_time(self, ms: float) -> None:
         self.now_ms += ms
@@ -175,7 +175,10 @@
                 self.ask_to_join(node)
 
     def deliver(self, position: int, duplicate: bool = False) -> None:
-        """Hand over one message of the network; with `keep`, once more later."""
+        """Delivers one message of the network.
+
+        With `duplicate` set, the message stays in the network.
+        """
         if not self.network:
             return
         position %= len(self.network)
@@ -197,7 +200,7 @@
             self.network.pop(position % len(self.network))
 
     def sync(self, vm: str) -> None:
-        """The disk has taken all that was written so far."""
+        """Completes the sync of all earlier writes of a VM."""
         node = self.nodes[vm]
         if not node.running or not node.unsynced:
             return
@@ -246,7 +249,7 @@
         node.suspended_at_ms = None
 
     def lose_disk(self, vm: str) -> bool:
-        """Empty a data folder, if the group is whole and can stand the loss."""
+        """Empties a data folder, if the group is repaired and tolerates the loss."""
         if not self.is_repaired():
             return False
         self.crash(vm)
@@ -271,7 +274,7 @@
             self.step(node, Propose(self.last_proposal_id, encode(command)))
 
     def propose_random(self, vm: str, repeat: bool) -> None:
-        """A new command, or one that was sent before."""
+        """Proposes a new random command, or repeats an earlier one."""
         if repeat and self.commands:
             command = self.random.choice(self.commands)
         else:
@@ -280,46 +283,46 @@
         self.propose(vm, command)
 
     def likely_leader(self, otherwise: str) -> str:
-        """Mostly a VM that believes to lead, if there is one."""
+        """Returns mostly a VM that considers itself the leader, if there is one."""
         leading = [n.vm for n in self.nodes.values() if n.core and n.core.leading]
         if leading and self.random.random() < 0.8:
             return self.random.choice(leading)
         return otherwise
 
-    # Checks over the whole.
+    # Checks of the whole group.
 
     def is_repaired(self) -> bool:
-        """Whether a repair, if there was one, has been reported as done.
+        """Returns whether the leader reports the repair, if there was one, as done.
 
-        As `losses_survived` does: the leader's members are three voters, all
-        of which have synced what is committed.
+        Like `tolerated_losses`, it checks that the leader's members are the current
+        voters and that all of them have synced every committed entry.
         """
         for node in self.nodes.values():
             core = node.core
             if core is None or node.frozen or not core.may_read(self.clock(node)):
                 continue
-            own = {n.disk.member_id for n in self.nodes.values()}
-            if core.members.learners or core.members.voter_ids() != own:
+            current_ids = {n.disk.member_id for n in self.nodes.values()}
+            if core.members.learners or core.members.voter_ids() != current_ids:
                 return False
             if not core.members_committed:
                 return False
             return all(
                 core.progress[m].match_index >= core.commit_index
-                for m in own
+                for m in current_ids
                 if m != core.member_id and m in core.progress
             )
         return False
 
     def recover(self) -> None:
-        """Heal everything and go on until one leader has served a command."""
+        """Heals all faults and runs until a leader has served one more command."""
         self.heal()
         for vm in self.nodes:
             self.thaw(vm)
             self.restart(vm)
-        wanted = self.acknowledged_count + 1
+        required_count = self.acknowledged_count + 1
         for _ in range(4000):
             self.calm_round()
-            if self.is_repaired() and self.acknowledged_count >= wanted:
+            if self.is_repaired() and self.acknowledged_count >= required_count:
                 self.check_reads()
                 return
             leaders = [n for n in self.nodes.values() if n.core and n.core.leading]
@@ -342,10 +345,11 @@
                 readable = node.core.may_read(self.clock(node))
                 if readable and node.applied_index < self.acknowledged_index:
                     raise CheckFailed(
-                        f"{node.vm} may read at {node.applied_index} < {self.acknowledged_index}"
+                        f"{node.vm} may read at {node.applied_index}"
+                        f" < {self.acknowledged_index}"
                     )
 
-    # Inside.
+    # Internals.
 
     def clock(self, node: Node) -> float:
         return (self.now_ms - node.uncounted_ms) * node.clock_rate
@@ -358,10 +362,12 @@
         node.machine.restore(node.disk.data)
         node.applied_index = node.disk.snapshot.index
         seed = self.random.getrandbits(32)
-        # Half of the members ask whether all have just started.
-        fresh_ask_ms = 100.0 if seed % 2 else 0.0
+        # About half of the members ask whether all voters have just started.
+        fresh_start_poll_ms = 100.0 if seed % 2 else 0.0
         node.core = RaftCore(
-            RaftConfig(seed=seed, message_bytes=400, fresh_start_poll_ms=fresh_ask_ms),
+            RaftConfig(
+                seed=seed, message_bytes=400, fresh_start_poll_ms=fresh_start_poll_ms
+            ),
             node.disk.read_state(),
             self.clock(node),
         )
@@ -400,8 +406,8 @@
             case InstallSnapshot(meta, data):
                 node.machine.restore(data)
                 node.applied_index = meta.index
-            case Proposed(ticket, index, term):
-                node.pending[index] = (ticket, term)
+            case Proposed(proposal, index, term):
+                node.pending[index] = (proposal, term)
             case LeadershipChanged(_, False, _):
                 node.pending = {}
 
@@ -421,16 +427,16 @@
             raise CheckFailed(
                 f"{node.vm} applies {entry.index} after {node.applied_index}"
             )
-        known = self.committed.setdefault(entry.index, entry)
-        if known != entry:
-            raise CheckFailed(f"entry {entry.index} differs: {known} {entry}")
+        committed = self.committed.setdefault(entry.index, entry)
+        if committed != entry:
+            raise CheckFailed(f"entry {entry.index} differs: {committed} {entry}")
         node.applied_index = entry.index
         outcome = node.machine.apply(entry.command) if entry.command else None
         self.advance_reference()
         if outcome != self.reference_outcomes[entry.index]:
-            raise CheckFailed(f"outcome of {entry.index} differs from the naive copy")
-        ticket = node.pending.pop(entry.index, None)
-        if ticket is not None and ticket[1] == entry.term:
+            raise CheckFailed(f"outcome of {entry.index} differs from the reference")
+        proposal = node.pending.pop(entry.index, None)
+        if proposal is not None and proposal[1] == entry.term:
             self.acknowledged_count += 1
             self.acknowledged_index = max(self.acknowledged_index, entry.index)
 
@@ -444,34 +450,42 @@
     def snapshot_if_due(self, node: Node) -> None:
         assert node.core is not None
         if node.applied_index - node.core.log.snapshot.index >= SNAPSHOT_EVERY:
-            taken = SnapshotTaken(node.applied_index, node.machine.snapshot())
-            for effect in node.core.step(self.clock(node), taken):
+            snapshot = SnapshotTaken(node.applied_index, node.machine.snapshot())
+            for effect in node.core.step(self.clock(node), snapshot):
                 self.perform(node, effect, False)
 
     def random_command(self) -> Command:
-        pick = self.random.randrange
-        key = RequestKey("org", f"key-{pick(6)}")
+        randrange = self.random.randrange
+        key = RequestKey("org", f"key-{randrange(6)}")
         at_ms = int(self.now_ms)
-        router = f"router-{pick(3)}"
-        candidate = VersionCandidate(f"v{pick(2)}", 5000, ("v0", "v1"))
-        claim_id = f"claim-{pick(12)}"
+        router = f"router-{randrange(3)}"
+        candidate = VersionCandidate(f"v{randrange(2)}", 5000, ("v0", "v1"))
+        claim_id = f"claim-{randrange(12)}"
         choices: list[Command] = [
             PutResource(
-                f"change-{pick(40)}", "op", "model", f"m{pick(4)}", pick(6), b"{}", ()
+                f"change-{randrange(40)}",
+                "op",
+                "model",
+                f"m{randrange(4)}",
+                randrange(6),
+                b"{}",
+                (),
+            ),
+            Claim(
+                key, claim_id, "body", router, bool(randrange(2)), candidate, "s", at_ms
             ),
-            Claim(key, claim_id, "body", router, bool(pick(2)), candidate, "s", at_ms),
             RecordAnswer(
                 key,
-                pick(3),
+                randrange(3),
                 "v0",
                 Usage(1, 2, 3),
                 StoredAnswer(200, "text/plain", claim_id.encode()),
                 at_ms,
                 at_ms,
             ),
-            CloseAttempt(key, pick(3), bool(pick(2)), at_ms),
+            CloseAttempt(key, randrange(3), bool(randrange(2)), at_ms),
             RouterGone(router, at_ms),
-            TakeControl(router, pick(4), at_ms),
+            TakeControl(router, randrange(4), at_ms),
             Expire(at_ms - 30_000, at_ms),
         ]
         return self.random.choice(choices)
@@ -479,10 +493,10 @@
 
 @dataclass(frozen=True)
 class ActionMix:
-    """How often each kind of step is taken in one world.
+    """The frequency of each kind of action in one world.
 
-    Worlds differ (swarm testing: Groce and others, 2012), since a schedule
-    that does a little of everything hides what needs much of one thing.
+    Worlds differ (swarm testing: Groce and others, 2012), since a schedule with a
+    little of every action misses faults that need many actions of one kind.
     """
 
     actions: tuple[str, ...]
@@ -519,21 +533,21 @@
 }
 
 
-def random_step(world: World, mood: ActionMix) -> None:
-    """One step of a random schedule."""
-    pick = world.random
-    vm = pick.choice(list(world.nodes))
-    action = pick.choices(mood.actions, mood.weights)[0]
+def random_step(world: World, action_mix: ActionMix) -> None:
+    """Performs one step of a random schedule."""
+    generator = world.random
+    vm = generator.choice(list(world.nodes))
+    action = generator.choices(action_mix.actions, action_mix.weights)[0]
     if action in ("deliver", "deliver_twice"):
-        world.deliver(pick.getrandbits(16), duplicate=action == "deliver_twice")
+        world.deliver(generator.getrandbits(16), duplicate=action == "deliver_twice")
     elif action == "pass_time":
-        world.pass_time(pick.choice(mood.times_ms))
+        world.pass_time(generator.choice(action_mix.times_ms))
     elif action == "propose":
-        world.propose_random(world.likely_leader(vm), repeat=pick.random() < 0.3)
+        world.propose_random(world.likely_leader(vm), repeat=generator.random() < 0.3)
     elif action == "drop":
-        world.drop(pick.getrandbits(16))
+        world.drop(generator.getrandbits(16))
     elif action == "cut":
-        world.cut_link(vm, pick.choice(list(world.nodes)))
+        world.cut_link(vm, generator.choice(list(world.nodes)))
     elif action in ("calm_round", "heal"):
         getattr(world, action)()
     else:
@@ -546,23 +560,26 @@
     suspensions: float = 0.0,
     counts_suspension: bool = True,
 ) -> World:
-    """One world through a random schedule, and its recovery.
+    """Runs one world through a random schedule and lets it recover.
 
-    Before each step a VM is suspended, or wakes, with a chance of `suspensions`.
+    Before each step a VM is suspended, or VMs resume, with probability `suspensions`.
     """
     world = World(seed, counts_suspension=counts_suspension)
-    mood = ActionMix.draw(world.random)
-    world.in_flight_max = mood.in_flight_max
+    action_mix = ActionMix.draw(world.random)
+    world.in_flight_max = action_mix.in_flight_max
     for _ in range(steps):
         if suspensions and world.random.random() < suspensions:
             suspend_or_wake(world)
-        random_step(world, mood)
+        random_step(world, action_mix)
     world.recover()
     return world
 
 
 def suspend_or_wake(world: World) -> None:
-    """Mostly a VM that believes to lead is suspended; all wake one time in three."""
+    """Suspends mostly a VM that considers itself the leader, or resumes all VMs.
+
+    It resumes them about one time in three.
+    """
     vm = world.likely_leader(world.random.choice(list(world.nodes)))
     if world.random.random() < 0.67:
         world.suspend(vm)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,6 +1,6 @@
-"""make soak: long random schedules over the pure cores.
+"""make soak: runs long random schedules over the raft and router cores.
 
-Each world has a seed that is printed when it fails and replays alone:
+The seed of a world is printed when the world fails. To run that world again:
 python -m tests.soak --seed 17 --steps 3000 --only group
 """
 
@@ -13,8 +13,8 @@
 
 from tests import simulation, traffic
 
-STEPS_A_WORLD = 3000
-# The chance before each step that a VM is suspended or wakes.
+STEPS_PER_WORLD = 3000
+# The probability before each step that a VM is suspended or VMs resume.
 GROUP_SUSPENSIONS = 0.01
 TRAFFIC_SUSPENSIONS = 0.02
 
@@ -40,7 +40,7 @@
 
 
 def soak_suspended(seed: int, steps: int, totals: Totals) -> None:
-    """Both worlds, with VMs that are suspended."""
+    """Runs a world of each kind, with VMs that are suspended."""
     totals.acknowledged += simulation.run(
         seed, steps, GROUP_SUSPENSIONS
     ).acknowledged_count
@@ -55,19 +55,19 @@
 
 
 def soak(kind: str, seed: int, steps: int, totals: Totals) -> None:
-    """Worlds with growing seeds, until the steps are used up."""
-    left = steps
-    while left > 0:
-        chunk = min(STEPS_A_WORLD, left)
+    """Runs worlds with consecutive seeds until the number of steps is reached."""
+    remaining = steps
+    while remaining > 0:
+        world_steps = min(STEPS_PER_WORLD, remaining)
         try:
-            KINDS[kind](seed, chunk, totals)
+            KINDS[kind](seed, world_steps, totals)
         except Exception:
             totals.failures += 1
-            print(f"FAILED: --only {kind} --seed {seed} --steps {chunk}")
+            print(f"FAILED: --only {kind} --seed {seed} --steps {world_steps}")
             traceback.print_exc()
         totals.worlds += 1
-        totals.steps += chunk
-        left -= chunk
+        totals.steps += world_steps
+        remaining -= world_steps
         seed += 1
 
 
@@ -76,13 +76,13 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--steps", type=int, default=20_000)
     parser.add_argument("--only", choices=sorted(KINDS))
-    given = parser.parse_args()
-    for kind in [given.only] if given.only else sorted(KINDS):
+    arguments = parser.parse_args()
+    for kind in [arguments.only] if arguments.only else sorted(KINDS):
         totals = Totals()
-        began_s = time.monotonic()
-        soak(kind, given.seed, given.steps, totals)
-        took_s = time.monotonic() - began_s
-        print(f"{kind}: first seed {given.seed}, {totals}, {took_s:.1f} s")
+        started_s = time.monotonic()
+        soak(kind, arguments.seed, arguments.steps, totals)
+        elapsed_s = time.monotonic() - started_s
+        print(f"{kind}: first seed {arguments.seed}, {totals}, {elapsed_s:.1f} s")
         if totals.failures:
             sys.exit(1)
 
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -1,4 +1,4 @@
-"""Tests of ashlatch.raft.group: a member running on its own thread."""
+"""Tests of ashlatch.raft.group: a member that runs on its own thread."""
 
 import threading
 from pathlib import Path
@@ -28,27 +28,27 @@
         storage.create(Members((Member("a", "a", "a"),)))
         config = RaftConfig(election_min_ms=20.0, election_max_ms=40.0)
         self.group = Group(config, storage, "a", StoreMachine(), snapshot_every=1000)
-        self.failed: list[BaseException] = []
-        self.ended = threading.Event()
-        self.group.on_failure = self.fail_with
+        self.failures: list[BaseException] = []
+        self.failed = threading.Event()
+        self.group.on_failure = self.record_failure
         self.group.start()
         wait_until(lambda: self.group.status.leading, "it leads")
 
-    def fail_with(self, error: BaseException) -> None:
-        self.failed.append(error)
-        self.ended.set()
+    def record_failure(self, error: BaseException) -> None:
+        self.failures.append(error)
+        self.failed.set()
 
-    def test_who_asks_may_leave(self) -> None:
-        """A call that is cancelled must not end the member."""
-        left = self.group.propose(COMMAND)
-        self.assertFalse(left.cancel())
-        self.assertEqual(Acknowledged(), left.result(WAIT_S))
+    def test_a_caller_may_cancel_its_call(self) -> None:
+        """A cancelled call must not stop the member."""
+        cancelled = self.group.propose(COMMAND)
+        self.assertFalse(cancelled.cancel())
+        self.assertEqual(Acknowledged(), cancelled.result(WAIT_S))
         self.assertEqual(Acknowledged(), self.group.propose(COMMAND).result(WAIT_S))
         self.group.stop()
-        self.assertEqual([], self.failed)
+        self.assertEqual([], self.failures)
 
-    def test_a_failure_is_told_and_waiters_are_released(self) -> None:
-        waiting = self.group.propose(b"\xffno command")
-        self.assertTrue(self.ended.wait(WAIT_S))
-        self.assertIsNotNone(waiting.exception(WAIT_S))
-        self.assertEqual(1, len(self.failed))
+    def test_a_failure_is_reported_and_fails_waiting_proposals(self) -> None:
+        future = self.group.propose(b"\xffno command")
+        self.assertTrue(self.failed.wait(WAIT_S))
+        self.assertIsNotNone(future.exception(WAIT_S))
+        self.assertEqual(1, len(self.failures))
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -1,4 +1,4 @@
-"""Directed tests of ashlatch.raft: each guard of the protocol, alone."""
+"""Unit tests of ashlatch.raft; each tests one safety rule of the protocol."""
 
 import testtools
 
@@ -30,13 +30,13 @@
     VoteRequest,
 )
 
-_HANDLERS_OF = (election,)
+_HANDLER_MODULES = (election,)
 
 A, B, C = (Member(name, name, name) for name in "abc")
 D = Member("d", "d", "d")
 THREE = Members((A, B, C))
 START_MS = 1000.0
-QUIET_MS = 700.0
+LEADER_TIMEOUT_MS = 700.0
 
 
 def core(member: Member = A, members: Members = THREE) -> RaftCore:
@@ -50,7 +50,7 @@
     )
 
 
-def ask(term: int, pre: bool, sender: str = "c") -> Received:
+def vote_request(term: int, pre: bool, sender: str = "c") -> Received:
     return Received(VoteRequest(0, sender, term, 0, 0, pre))
 
 
@@ -60,7 +60,7 @@
 
 
 def elect(member: RaftCore, now_ms: float) -> float:
-    """Make the member the leader of the three, by b's votes."""
+    """Makes the member the leader of three, with the votes of member b."""
     now_ms += 2000.0
     member.step(now_ms, Tick())
     member.step(now_ms, Received(VoteReply(0, "b", member.term + 1, True, True)))
@@ -86,17 +86,17 @@
     return Received(VoteReply(0, sender, 1, True, pre, fresh_start=pre))
 
 
-class AllJustStartedTest(testtools.TestCase):
-    """Votes that need not wait for the lease of an earlier leader."""
+class FreshStartTest(testtools.TestCase):
+    """Votes that need not wait until an earlier leader's lease has expired."""
 
-    def asked(self, member: RaftCore, now_ms: float) -> list[VoteRequest]:
+    def vote_requests(self, member: RaftCore, now_ms: float) -> list[VoteRequest]:
         effects = member.step(now_ms, Tick())
         sends = [e.message for e in effects if isinstance(e, Send)]
         return [m for m in sends if isinstance(m, VoteRequest)]
 
     def test_all_voters_have_just_started(self) -> None:
         member = fresh_core()
-        requests = self.asked(member, START_MS + 160.0)
+        requests = self.vote_requests(member, START_MS + 160.0)
         self.assertEqual([(True, True)] * 2, [(r.pre, r.fresh_start) for r in requests])
         member.step(START_MS + 161.0, fresh_vote("b"))
         self.assertIs(Role.FOLLOWER, member.role)
@@ -105,61 +105,63 @@
         member.step(START_MS + 163.0, fresh_vote("b", pre=False))
         self.assertIs(Role.LEADER, member.role)
 
-    def test_a_voter_that_has_heard_a_leader_gives_no_such_vote(self) -> None:
+    def test_voter_that_received_from_a_leader_grants_no_such_vote(self) -> None:
         member = fresh_core()
-        asked = Received(VoteRequest(0, "c", 1, 0, 0, True, True))
-        (reply,) = replies(member.step(START_MS + 10.0, asked))
+        request = Received(VoteRequest(0, "c", 1, 0, 0, True, True))
+        (reply,) = replies(member.step(START_MS + 10.0, request))
         self.assertEqual((True, True), (reply.granted, reply.fresh_start))
         member.step(START_MS + 20.0, heartbeat(0))
-        (reply,) = replies(member.step(START_MS + 30.0, asked))
+        (reply,) = replies(member.step(START_MS + 30.0, request))
         self.assertEqual((False, False), (reply.granted, reply.fresh_start))
 
-    def test_who_has_heard_a_leader_asks_no_more(self) -> None:
+    def test_member_that_received_from_a_leader_stops_asking(self) -> None:
         member = fresh_core()
         member.step(START_MS + 20.0, heartbeat(0))
-        self.assertEqual([], self.asked(member, START_MS + 160.0))
+        self.assertEqual([], self.vote_requests(member, START_MS + 160.0))
         for sender in ("b", "c"):
             member.step(START_MS + 161.0, fresh_vote(sender))
         self.assertIs(Role.FOLLOWER, member.role)
 
-    def test_others_keep_their_vote(self) -> None:
-        """A request that does not know all voters to have just started."""
+    def test_ordinary_vote_request_is_refused(self) -> None:
+        """The request does not state that all voters have just started."""
         member = fresh_core()
         for pre in (True, False):
-            asked = Received(VoteRequest(0, "c", 1, 0, 0, pre))
-            (reply,) = replies(member.step(START_MS + 10.0, asked))
+            request = Received(VoteRequest(0, "c", 1, 0, 0, pre))
+            (reply,) = replies(member.step(START_MS + 10.0, request))
             self.assertFalse(reply.granted)
         self.assertEqual(0, member.term)
 
 
 class VotingTest(testtools.TestCase):
-    def test_no_vote_while_a_leader_is_heard(self) -> None:
+    def test_no_vote_while_a_leader_is_live(self) -> None:
         member = core()
-        member.step(START_MS + QUIET_MS, heartbeat(1))
-        later = START_MS + QUIET_MS + 500.0
+        member.step(START_MS + LEADER_TIMEOUT_MS, heartbeat(1))
+        later = START_MS + LEADER_TIMEOUT_MS + 500.0
         for pre in (True, False):
-            (reply,) = replies(member.step(later, ask(2, pre)))
+            (reply,) = replies(member.step(later, vote_request(2, pre)))
             self.assertFalse(reply.granted)
         self.assertEqual(1, member.term)
-        (reply,) = replies(member.step(later + QUIET_MS, ask(2, True)))
+        (reply,) = replies(
+            member.step(later + LEADER_TIMEOUT_MS, vote_request(2, True))
+        )
         self.assertTrue(reply.granted)
 
     def test_no_vote_right_after_a_start(self) -> None:
-        """It may have acknowledged a leader just before."""
+        """The member may have acknowledged a leader just before it restarted."""
         member = core()
-        (reply,) = replies(member.step(START_MS + 100.0, ask(1, False)))
+        (reply,) = replies(member.step(START_MS + 100.0, vote_request(1, False)))
         self.assertFalse(reply.granted)
 
-    def test_one_vote_a_term(self) -> None:
+    def test_one_vote_per_term(self) -> None:
         member = core()
-        now_ms = START_MS + QUIET_MS
-        (first,) = replies(member.step(now_ms, ask(1, False, "b")))
-        (second,) = replies(member.step(now_ms, ask(1, False, "c")))
+        now_ms = START_MS + LEADER_TIMEOUT_MS
+        (first,) = replies(member.step(now_ms, vote_request(1, False, "b")))
+        (second,) = replies(member.step(now_ms, vote_request(1, False, "c")))
         self.assertEqual([True, False], [first.granted, second.granted])
 
     def test_a_vote_waits_for_the_disk(self) -> None:
         member = core()
-        effects = member.step(START_MS + QUIET_MS, ask(1, False))
+        effects = member.step(START_MS + LEADER_TIMEOUT_MS, vote_request(1, False))
         kinds = [type(effect) for effect in effects]
         self.assertLess(kinds.index(SaveVote), kinds.index(Send))
         sends = [e for e in effects if isinstance(e, Send)]
@@ -171,17 +173,17 @@
         member.step(now_ms, Tick())
         granted = Received(VoteReply(0, "b", 1, True, True))
         effects = member.step(now_ms, granted)
-        asked = [e for e in effects if isinstance(e, Send)]
-        self.assertEqual(2, len(asked))
-        self.assertTrue(all(send.after_sync for send in asked))
+        requests = [e for e in effects if isinstance(e, Send)]
+        self.assertEqual(2, len(requests))
+        self.assertTrue(all(send.after_sync for send in requests))
 
-    def test_a_cut_off_member_does_not_raise_the_term(self) -> None:
+    def test_a_partitioned_member_does_not_raise_the_term(self) -> None:
         member = core()
         for step in range(20):
             member.step(START_MS + 2000.0 * step, Tick())
         self.assertEqual(0, member.term)
 
-    def test_an_old_term_is_left_when_a_voter_is_ahead(self) -> None:
+    def test_a_newer_term_of_a_voter_is_adopted(self) -> None:
         member = core()
         now_ms = START_MS + 2000.0
         member.step(now_ms, Tick())
@@ -234,7 +236,7 @@
         self.assertTrue(member.may_read(now_ms + 500.0))
         self.assertFalse(member.may_read(now_ms + 580.0))
 
-    def test_the_lease_counts_from_the_sending(self) -> None:
+    def test_the_lease_starts_when_the_message_was_sent(self) -> None:
         member, now_ms = self.leader()
         acknowledge(member, now_ms + 400.0, "b", 1, sent_ms=now_ms + 100.0)
         self.assertTrue(member.may_read(now_ms + 600.0))
@@ -254,7 +256,7 @@
         acknowledge(member, now_ms, "b", 1)
         return member, now_ms
 
-    def test_a_learner_votes_only_when_caught_up(self) -> None:
+    def test_a_learner_becomes_a_voter_only_when_caught_up(self) -> None:
         member, now_ms = self.leader()
         member.step(now_ms, AddLearner(D))
         member.step(now_ms, Synced(2, member.term))
@@ -265,8 +267,8 @@
         member.step(now_ms, Tick())
         self.assertIn(D, member.members.voters)
 
-    def test_a_learner_that_was_taken_out_knows_of_no_leader(self) -> None:
-        """Nobody sends to it any more; it has to ask to be taken in again."""
+    def test_a_removed_learner_notices_that_it_has_no_leader(self) -> None:
+        """No member sends to it any more, so it has to ask to join again."""
         member = core(D, Members((A, B, C), (D,)))
         member.step(START_MS, heartbeat(1))
         self.assertEqual("b", member.leader_id)
@@ -282,16 +284,16 @@
         member.step(now_ms, AddLearner(other))
         self.assertEqual((D,), member.members.learners)
 
-    def test_no_change_before_an_entry_of_the_own_term(self) -> None:
+    def test_no_change_before_an_entry_of_the_current_term_is_committed(self) -> None:
         member = core()
         now_ms = elect(member, START_MS)
         member.step(now_ms, AddLearner(D))
         self.assertEqual((), member.members.learners)
 
-    def test_the_replaced_member_goes_when_the_new_one_votes(self) -> None:
+    def test_the_replaced_member_is_removed_when_the_new_one_is_a_voter(self) -> None:
         member, now_ms = self.leader()
-        fresh = Member("c2", "c", "c")
-        member.step(now_ms, AddLearner(fresh))
+        replacement = Member("c2", "c", "c")
+        member.step(now_ms, AddLearner(replacement))
         for index in (2, 3, 4):
             member.step(now_ms, Synced(index, member.term))
             for voter in ("b", "c2"):
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,5 +1,4 @@
-"""The randomised proofs, short and with fixed seeds; tests/soak.py runs them
-for longer."""
+"""Randomised tests, short and with fixed seeds; tests/soak.py runs longer ones."""
 
 from collections.abc import Callable
 from typing import Any
@@ -28,7 +27,7 @@
 
 
 class GroupMachine(RuleBasedStateMachine):
-    """The group of cores under schedules that hypothesis draws and shrinks."""
+    """Runs the group of cores on schedules that hypothesis draws and shrinks."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -99,11 +98,11 @@
 
 
 class SuspensionTest(testtools.TestCase):
-    """VMs are suspended and wake: the clocks that promises rest on count the time.
+    """VMs are suspended and resume. Leases need clocks that count the suspended time.
 
-    With clocks that leave it out, as a steady clock does, 24 of 200 worlds of the group
-    read what is not the newest, and 9 of 150 worlds of the traffic break R1, R2 or R8;
-    with clocks that count it none does (seeds from 0 on).
+    With clocks that do not count it, such as a steady clock, 24 of 200 worlds of the
+    group read stale state, and 9 of 150 worlds of the traffic violate R1, R2 or R8.
+    With clocks that count it, no world does (seeds from 0 on).
     """
 
     def test_group(self) -> None:
@@ -114,24 +113,24 @@
         worlds = [traffic.run(seed, 2500, 0.02) for seed in range(60)]
         self.assertGreater(sum(world.sent for world in worlds), 2000)
 
-    def test_a_clock_that_leaves_it_out_breaks_reads(self) -> None:
-        self.assertGreater(self.broken(simulation.run, 100, 1500, 0.01), 5)
+    def test_clock_that_stops_during_suspension_causes_stale_reads(self) -> None:
+        self.assertGreater(self.failed_worlds(simulation.run, 100, 1500, 0.01), 5)
 
-    def test_a_clock_that_leaves_it_out_breaks_rules(self) -> None:
-        self.assertGreater(self.broken(traffic.run, 150, 2500, 0.02), 3)
+    def test_clock_that_stops_during_suspension_violates_rules(self) -> None:
+        self.assertGreater(self.failed_worlds(traffic.run, 150, 2500, 0.02), 3)
 
-    def broken(
+    def failed_worlds(
         self,
         run: Callable[[int, int, float, bool], object],
         worlds: int,
         steps: int,
         chance: float,
     ) -> int:
-        """How many worlds break a rule when suspension is left out."""
-        broken = 0
+        """Returns how many worlds fail with clocks that stop during suspension."""
+        failed = 0
         for seed in range(worlds):
             try:
                 run(seed, steps, chance, False)
             except (simulation.CheckFailed, traffic.RuleViolation):
-                broken += 1
-        return broken
+                failed += 1
+        return failed
--- a/tests/test_state_failures.py
+++ b/tests/test_state_failures.py
@@ -1,4 +1,4 @@
-"""Real processes: kills, lost disks, freezes and races around the state."""
+"""Tests with real processes: kills, lost disks, freezes and races of the state."""
 
 import json
 import os
@@ -35,54 +35,54 @@
 
 
 def is_repaired(system: System, without: str = "") -> bool:
-    """Whether one status shows three members, one of which may be lost.
+    """Returns whether one status shows three members and tolerates the loss of one.
 
-    `without` is the id of a member that must be gone in the same status.
+    `without` is the id of a member that must be absent from the same status.
     """
     status = system.status()
     ids = {m["member_id"] for m in status["members"]}
-    whole = len(ids) == 3 and without not in ids
-    return whole and status["losses_survived"] >= 1
+    complete = len(ids) == 3 and without not in ids
+    return complete and status["losses_survived"] >= 1
 
 
 class KillTest(testtools.TestCase):
     def test_members_killed_under_load(self) -> None:
-        """No answer is lost or doubled, and each is billed once."""
-        generator = random.Random(4)
-        with start_small_system() as found:
-            billed_before = found.bill_count()
-            with OrderLoad(found, 4) as load:
+        """No answer is lost or duplicated, and each is billed once."""
+        random_generator = random.Random(4)
+        with start_small_system() as small:
+            billed_before = small.bill_count()
+            with OrderLoad(small, 4) as load:
                 for victim in ("leader", "any", "leader"):
-                    load.wait_for(generator.randint(10, 40))
+                    load.wait_for(random_generator.randint(10, 40))
                     daemon = (
-                        found.system.leader()
+                        small.system.leader()
                         if victim == "leader"
-                        else generator.choice(found.system.states)
+                        else random_generator.choice(small.system.states)
                     )
                     daemon.process.kill()
                     load.wait_for(20)
                     daemon.process.start()
-                    wait_until(lambda: is_repaired(found.system), "the member is back")
-            self.check_orders(found, load)
-            self.assertEqual(len(load.answers), found.bill_count() - billed_before)
+                    wait_until(lambda: is_repaired(small.system), "the member is back")
+            self.check_orders(small, load)
+            self.assertEqual(len(load.answers), small.bill_count() - billed_before)
 
-    def check_orders(self, found: SmallSystem, load: OrderLoad) -> None:
+    def check_orders(self, small: SmallSystem, load: OrderLoad) -> None:
         self.assertGreater(len(load.answers), 90)
         self.assertEqual(set(), load.unknown)
-        ran = [worker.get("ran") for worker in found.workers]
+        ran = [worker.get("ran") for worker in small.workers]
         for key, body in load.answers.items():
             self.assertEqual(1, sum(counts.get(key, 0) for counts in ran), key)
-            again = found.repeat_order(key)
+            again = small.repeat_order(key)
             self.assertEqual((200, body), (again.status, again.body), key)
             self.assertEqual("true", again.headers["ashlatch-replayed"])
 
 
 class LostDiskTest(testtools.TestCase):
     def test_an_emptied_disk_and_then_another_vm(self) -> None:
-        with start_small_system(controls=2) as found:
-            system = found.system
+        with start_small_system(controls=2) as small:
+            system = small.system
             before = member_ids(system)
-            revision = found.put_model_until_answered("kept", 0, "c-1", "one")
+            revision = small.put_model_until_answered("kept", 0, "c-1", "one")
             victim = state_daemon(system, "state-1")
             victim.process.kill()
             shutil.rmtree(victim.settings["data_folder"])
@@ -94,60 +94,62 @@
             after = member_ids(system)
             self.assertNotEqual(before["state-1"], after["state-1"])
             self.assertNotIn(before["state-1"], after.values())
-            # The second loss comes right after the report.
+            # The second loss follows immediately after the report.
             state_daemon(system, "state-0").process.kill()
-            found.put_model_until_answered("kept", revision, "c-2", "two")
+            small.put_model_until_answered("kept", revision, "c-2", "two")
             reply = system.operate("GET", "/v1/resources/model/kept")
             self.assertEqual("two", reply.json["spec"]["description"])
-            wait_until(found.every_router_answers, "every router answers")
+            wait_until(small.every_router_answers, "every router answers")
 
 
 class FreezeTest(testtools.TestCase):
     def test_a_frozen_leader_and_control_change_nothing_when_they_return(self) -> None:
-        with start_small_system(controls=2) as found:
-            system = found.system
+        with start_small_system(controls=2) as small:
+            system = small.system
             leader = system.leader()
-            control = found.active_control()
+            control = small.active_control()
             epoch = system.status()["control_epoch"]
             other = next(c for c in system.controls if c is not control)
-            place = system.controls.index(other)
-            revision = found.put_model("frozen", 0, "c-0", place, "old").json[
+            control_index = system.controls.index(other)
+            revision = small.put_model("frozen", 0, "c-0", control_index, "old").json[
                 "revision"
             ]
             for daemon in (leader, control):
                 daemon.process.signal(signal.SIGSTOP)
 
             def changed() -> bool:
-                reply = found.put_model("frozen", revision, "c-1", place, "new")
+                reply = small.put_model("frozen", revision, "c-1", control_index, "new")
                 return reply.status == 200
 
             wait_until(changed, "a change without the old leader")
             wait_until(
-                lambda: self.status(system, place)["control_epoch"] > epoch,
+                lambda: self.status(system, control_index)["control_epoch"] > epoch,
                 "another control process takes over",
             )
             for daemon in (leader, control):
                 daemon.process.signal(signal.SIGCONT)
-            # The old leader, asked directly, must not serve its old state.
+            # The old leader must not serve its old state, even if it is called itself.
             wait_until(lambda: is_repaired(system), "the old leader follows")
-            reply = system.operate("GET", "/v1/resources/model/frozen", control=place)
+            reply = system.operate(
+                "GET", "/v1/resources/model/frozen", control=control_index
+            )
             self.assertEqual("new", reply.json["spec"]["description"])
-            stale = found.put_model("frozen", revision, "c-2", place, "stale")
+            stale = small.put_model("frozen", revision, "c-2", control_index, "stale")
             self.assertEqual(412, stale.status)
             self.assertEqual("new", stale.json["current"]["spec"]["description"])
-            self.check_orders(found)
+            self.check_fencing(small)
             self.check_revisions(system)
 
     def status(self, system: System, control: int) -> dict[str, int]:
-        found: dict[str, int] = system.operate(
+        status: dict[str, int] = system.operate(
             "GET", "/v1/status", control=control
         ).json
-        return found
+        return status
 
-    def check_orders(self, found: SmallSystem) -> None:
-        """An engine refuses an order of an older epoch."""
-        epoch = found.system.status()["control_epoch"]
-        engine = found.engines[0]
+    def check_fencing(self, small: SmallSystem) -> None:
+        """Checks that an engine refuses a command of an older epoch."""
+        epoch = small.system.status()["control_epoch"]
+        engine = small.engines[0]
         url = f"{engine.url}/v1/orders"
         for number, (given, status) in enumerate(((epoch, 200), (epoch - 1, 409))):
             order = {
@@ -159,7 +161,7 @@
             self.assertEqual(status, request(url, "POST", order).status)
 
     def check_revisions(self, system: System) -> None:
-        """No router ever applied an older configuration (R10)."""
+        """Checks that no router ever applied an older configuration (R10)."""
         for router in system.routers:
             lines = router.process.log.splitlines()
             applied = [
@@ -170,9 +172,9 @@
             self.assertEqual(sorted(applied), applied)
 
 
-class CutTest(testtools.TestCase):
-    def test_a_leader_that_nobody_reaches_is_replaced(self) -> None:
-        """It still reaches the others: the cut goes one way only."""
+class PartitionTest(testtools.TestCase):
+    def test_an_unreachable_leader_is_replaced(self) -> None:
+        """The leader still reaches the others: only one direction is cut."""
         relays: dict[str, Relay] = {}
 
         def relay(address: str) -> str:
@@ -180,15 +182,15 @@
             relays[made.address] = made
             return made.address
 
-        with start_small_system(controls=1, relay=relay) as found:
-            system = found.system
-            revision = found.put_model_until_answered("cut", 0, "c-1", "old")
+        with start_small_system(controls=1, relay=relay) as small:
+            system = small.system
+            revision = small.put_model_until_answered("cut", 0, "c-1", "old")
             leader = system.leader()
             cut = relays[leader.settings["advertise"]]
             cut.cut()
-            found.put_model_until_answered("cut", revision, "c-2", "new")
+            small.put_model_until_answered("cut", revision, "c-2", "new")
             self.assertIsNot(leader, system.leader())
-            wait_until(found.every_router_answers, "every router answers")
+            wait_until(small.every_router_answers, "every router answers")
             cut.restore()
             wait_until(lambda: is_repaired(system), "the old leader follows")
             reply = system.operate("GET", "/v1/resources/model/cut")
@@ -197,21 +199,21 @@
 
 class RaceTest(testtools.TestCase):
     def test_operators_race_and_resend(self) -> None:
-        """One winner; the same change id gets the same answer for good."""
+        """One change wins, and a repeated change id always gets the same answer."""
         with start_small_system(
             controls=2, state_extra={"snapshot_every_records": 50}
-        ) as found:
-            revision = found.put_model_until_answered("raced", 0, "c-0", "start")
+        ) as small:
+            revision = small.put_model_until_answered("raced", 0, "c-0", "start")
             replies: dict[str, HttpReply] = {}
 
-            def race(name: str, place: int) -> None:
-                replies[name] = found.put_model(
-                    "raced", revision, name, place % 2, name
+            def race(name: str, number: int) -> None:
+                replies[name] = small.put_model(
+                    "raced", revision, name, number % 2, name
                 )
 
             threads = [
-                threading.Thread(target=race, args=(f"racer-{place}", place))
-                for place in range(8)
+                threading.Thread(target=race, args=(f"racer-{number}", number))
+                for number in range(8)
             ]
             for thread in threads:
                 thread.start()
@@ -223,23 +225,23 @@
             for name in losers:
                 current = replies[name].json["current"]["spec"]["description"]
                 self.assertEqual(winners[0], current)
-            found.system.leader().process.kill()
-            self.check_resent(found, revision, winners[0], replies)
-            # Enough changes for a snapshot, which must keep the change ids.
+            small.system.leader().process.kill()
+            self.check_resent(small, revision, winners[0], replies)
+            # Makes enough changes for a snapshot, which must contain the change ids.
             for number in range(60):
-                found.put_model_until_answered(f"filler-{number}", 0, f"f-{number}", "")
-            self.check_resent(found, revision, winners[0], replies)
-            other_body = found.put_model("raced", revision, winners[0], 0, "other")
+                small.put_model_until_answered(f"filler-{number}", 0, f"f-{number}", "")
+            self.check_resent(small, revision, winners[0], replies)
+            other_body = small.put_model("raced", revision, winners[0], 0, "other")
             self.assertEqual(422, other_body.status)
 
     def check_resent(
         self,
-        found: SmallSystem,
+        small: SmallSystem,
         revision: int,
         winner: str,
         replies: dict[str, HttpReply],
     ) -> None:
-        again = found.put_model_until_answered("raced", revision, winner, winner)
+        again = small.put_model_until_answered("raced", revision, winner, winner)
         self.assertEqual(replies[winner].json["revision"], again)
 
 
@@ -249,11 +251,11 @@
             system.start_states(3)
             system.start_controls(1)
             wait_until(lambda: system.voters() == 3, "three voters")
-            found = SmallSystem(system)
+            small = SmallSystem(system)
 
             def change(first: int) -> None:
                 for number in range(first, first + 250):
-                    found.put_model_until_answered(f"m-{number}", 0, f"c-{number}", "x")
+                    small.put_model_until_answered(f"m-{number}", 0, f"c-{number}", "x")
 
             threads = [
                 threading.Thread(target=change, args=(first,))
@@ -265,14 +267,14 @@
                 thread.join()
             for daemon in system.states:
                 daemon.process.kill()
-            began_s = time.monotonic()
+            started_s = time.monotonic()
             for daemon in system.states:
                 daemon.process.start()
             reply = wait_until(
                 lambda: self.listed(system), "the state serves after the restart"
             )
             self.assertEqual(1000, len(reply))
-            self.assertLess(time.monotonic() - began_s, 20.0)
+            self.assertLess(time.monotonic() - started_s, 20.0)
 
     def listed(self, system: System) -> list[str]:
         reply = system.operate("GET", "/v1/resources/model")
@@ -283,12 +285,12 @@
 
 class DiskTest(testtools.TestCase):
     def test_a_full_disk_stops_one_member_and_it_comes_back(self) -> None:
-        """The kernel itself cuts the write short, by a limit on file sizes."""
+        """The kernel cuts the write short, by a limit on file sizes."""
         with running() as system:
             system.start_states(3)
             system.start_controls(1)
             wait_until(lambda: system.voters() == 3, "three voters")
-            found = SmallSystem(system)
+            small = SmallSystem(system)
             victim = next(d for d in system.states if d is not system.leader())
             victim.process.terminate()
             folder = Path(victim.settings["data_folder"]) / "group-0"
@@ -302,7 +304,7 @@
             )
             number = 0
             while limited.popen.poll() is None:
-                found.put_model_until_answered(
+                small.put_model_until_answered(
                     f"m-{number}", 0, f"c-{number}", "x" * 200
                 )
                 number += 1
@@ -313,14 +315,14 @@
             victim.process.start()
             wait_until(lambda: is_repaired(system), "the member is back")
 
-    def test_damage_in_the_middle_stops_the_member(self) -> None:
+    def test_corruption_in_the_middle_of_the_log_stops_the_member(self) -> None:
         with running() as system:
             system.start_states(1)
             system.start_controls(1)
             wait_until(lambda: system.voters() == 1, "a voter")
-            found = SmallSystem(system)
+            small = SmallSystem(system)
             for number in range(5):
-                found.put_model_until_answered(f"m-{number}", 0, f"c-{number}", "x")
+                small.put_model_until_answered(f"m-{number}", 0, f"c-{number}", "x")
             (daemon,) = system.states
             daemon.process.kill()
             folder = Path(daemon.settings["data_folder"]) / "group-0"
@@ -336,20 +338,25 @@
         with running() as system:
             system.start_states(1)
             command = [*system.states[0].process.command, "--initialise"]
-            done = subprocess.run(command, capture_output=True, text=True)
-            self.assertEqual(1, done.returncode)
-            self.assertIn("FolderExists", done.stderr)
+            result = subprocess.run(command, capture_output=True, text=True)
+            self.assertEqual(1, result.returncode)
+            self.assertIn("FolderExists", result.stderr)
 
 
 class SettingsTest(testtools.TestCase):
-    def test_wrong_settings_name_the_field_and_start_nothing(self) -> None:
+    def test_invalid_settings_are_reported_by_field_and_start_nothing(self) -> None:
         with running() as system:
             path = system.folder / "wrong.json"
-            wrong = {"vm": "Vm!", "listen": "nowhere", "data_folder": "d", "colour": 1}
-            path.write_text(json.dumps(wrong))
+            invalid = {
+                "vm": "Vm!",
+                "listen": "nowhere",
+                "data_folder": "d",
+                "colour": 1,
+            }
+            path.write_text(json.dumps(invalid))
             command = [str(BIN / "ashlatch-state"), "--settings", str(path)]
-            done = subprocess.run(command, capture_output=True, text=True)
-            self.assertEqual(2, done.returncode)
+            result = subprocess.run(command, capture_output=True, text=True)
+            self.assertEqual(2, result.returncode)
             for field in ("vm", "hall", "listen", "colour"):
-                self.assertIn(f"field='{field}'", done.stderr)
+                self.assertIn(f"field='{field}'", result.stderr)
             self.assertFalse(os.path.exists("d"))
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,5 +1,4 @@
-"""Tests of ashlatch.raft.storage: what a crash, a full disk or a bad bit
-leaves behind."""
+"""Tests of ashlatch.raft.storage: recovery after crashes, full disks and bit errors."""
 
 import errno
 import os
@@ -27,16 +26,16 @@
 
 
 class FullDisk(Disk):
-    """Takes so many bytes, then a part of the next write, then none."""
+    """Accepts `free_bytes`, cutting the write that exceeds them short."""
 
-    def __init__(self, room_bytes: int) -> None:
-        self.room_bytes = room_bytes
+    def __init__(self, free_bytes: int) -> None:
+        self.free_bytes = free_bytes
 
     def write(self, descriptor: int, data: bytes) -> None:
-        fits = data[: self.room_bytes]
-        self.room_bytes -= len(fits)
-        super().write(descriptor, fits)
-        if len(fits) < len(data):
+        accepted = data[: self.free_bytes]
+        self.free_bytes -= len(accepted)
+        super().write(descriptor, accepted)
+        if len(accepted) < len(data):
             raise OSError(errno.ENOSPC, "no space")
 
 
@@ -62,7 +61,7 @@
     def segment(self) -> Path:
         return max(self.path.glob("*.log"))
 
-    def test_what_was_synced_comes_back(self) -> None:
+    def test_synced_records_are_loaded_again(self) -> None:
         storage = self.new()
         storage.save_vote(3, "a")
         storage.append(entries(1, 5))
@@ -75,33 +74,33 @@
         )
         self.assertEqual(entries(1, 3) + entries(4, 6, term=2), boot.entries)
 
-    def test_a_torn_tail_is_cut_at_every_byte(self) -> None:
+    def test_a_partial_last_record_of_any_length_is_truncated(self) -> None:
         storage = self.new()
         storage.append(entries(1, 2))
         storage.sync()
-        whole = self.segment().stat().st_size
+        intact_bytes = self.segment().stat().st_size
         storage.append(entries(3, 3))
         storage.sync()
         storage.close()
         data = self.segment().read_bytes()
-        for size in range(whole, len(data)):
+        for size in range(intact_bytes, len(data)):
             self.segment().write_bytes(data[:size])
             self.assertEqual(entries(1, 2), self.reload())
-        self.assertEqual(whole, self.segment().stat().st_size)
+        self.assertEqual(intact_bytes, self.segment().stat().st_size)
 
-    def test_every_flipped_bit_before_the_last_record_is_damage(self) -> None:
+    def test_a_flipped_bit_before_the_last_record_is_corruption(self) -> None:
         storage = self.new()
         storage.append(entries(1, 2))
         storage.sync()
-        whole = self.segment().stat().st_size
+        intact_bytes = self.segment().stat().st_size
         storage.append(entries(3, 3))
         storage.sync()
         storage.close()
         data = self.segment().read_bytes()
-        for place in range(whole):
+        for position in range(intact_bytes):
             for bit in (1, 128):
                 flipped = bytearray(data)
-                flipped[place] ^= bit
+                flipped[position] ^= bit
                 self.segment().write_bytes(bytes(flipped))
                 self.assertRaises(LogDamaged, self.reload)
 
@@ -110,12 +109,12 @@
         storage = self.new(disk)
         storage.append(entries(1, 2))
         storage.sync()
-        disk.room_bytes = 20
+        disk.free_bytes = 20
         storage.append(entries(3, 3))
         self.assertRaises(DiskFailed, storage.sync)
         self.assertEqual(entries(1, 2), self.reload())
 
-    def test_a_snapshot_cuts_the_log(self) -> None:
+    def test_a_snapshot_truncates_the_log(self) -> None:
         storage = self.new()
         storage.save_vote(2, "a")
         storage.append(entries(1, 10))
@@ -130,7 +129,7 @@
         self.assertEqual((2, "a"), (boot.term, boot.voted_for))
         self.assertEqual(1, len(list(self.path.glob("*.snapshot"))))
 
-    def test_a_crash_while_a_snapshot_is_installed_keeps_no_foreign_tail(self) -> None:
+    def test_a_crash_during_snapshot_installation_keeps_no_diverged_tail(self) -> None:
         storage = self.new()
         storage.append(entries(1, 10))
         storage.sync()
@@ -148,7 +147,7 @@
 
 
 class IdentityTest(testtools.TestCase):
-    def test_an_emptied_folder_gets_another_identity(self) -> None:
+    def test_an_emptied_folder_gets_a_new_identity(self) -> None:
         with TemporaryDirectory() as name:
             folder = Path(name) / "data"
             first = create_identity(folder, "vm-1")
