--- a/ashlatch/raft/group.py
+++ b/ashlatch/raft/group.py
@@ -240,13 +240,13 @@
         saves_vote = any(isinstance(effect, SaveVote) for effect in effects)
         sends = [effect for effect in effects if isinstance(effect, Send)]
         # A new term must be on disk before any message of that term is sent.
-        before_sync = (
+        before_sync_sends = (
             [] if saves_vote else [send for send in sends if not send.after_sync]
         )
         after_sync_sends = (
             sends if saves_vote else [send for send in sends if send.after_sync]
         )
-        self.send_messages([(send.to, send.message) for send in before_sync])
+        self.send_messages([(send.to, send.message) for send in before_sync_sends])
         last = self._write(effects)
         self.send_messages([(send.to, send.message) for send in after_sync_sends])
         for effect in effects:
--- a/ashlatch/store/command.py
+++ b/ashlatch/store/command.py
@@ -130,7 +130,7 @@
 
 
 class DeleteResource(msgspec.Struct, frozen=True, tag="delete_resource"):
-    """Deletes a resource without references to it; `epoch` is as in `PutResource`."""
+    """Deletes a resource that no other refers to; `epoch` is as in `PutResource`."""
 
     change_id: str
     operator: str
@@ -144,8 +144,8 @@
 class Claim(msgspec.Struct, frozen=True, tag="claim"):
     """A router asks for permission to run a request.
 
-    `claim_id` is new for each call of a caller, and the same when the router sends the
-    claim again.
+    `claim_id` is new each time a router claims on behalf of a caller, and the same when
+    the router resends that claim.
     """
 
     key: RequestKey
