--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -608,7 +608,9 @@
     Mutant(
         "limits-untold",
         "ashlatch/gateway/limits.py",
-        "context.tell(LimitNamed(state.endpoint.instance, per_s, round(age_ms, 1)))",
+        "context.broadcast(\n"
+        "            RateLimitChanged(state.endpoint.instance, per_s, round(age_ms, 1))\n"
+        "        )",
         "pass",
         LIMITS,
     ),
