--- a/ashlatch/adapter/engine.py
+++ b/ashlatch/adapter/engine.py
@@ -32,7 +32,7 @@
 DONE = b"[DONE]"
 EVENT_END = b"\n\n"
 DATA = b"data: "
-NOT_EXECUTED_STATUSES = frozenset({409, 429, 503})
+NOT_RUN_STATUSES = frozenset({409, 429, 503})
 STREAM_TYPE = "text/event-stream"
 DEFAULT_RETRY_AFTER_MS = 500.0
 CONTENT_FILTER_REASON = "content_filter"
@@ -129,7 +129,7 @@
         self._id_mismatch = not id_matches
         content_type = reply.headers.get("content-type", "")
         self._streamed = reply.status == 200 and content_type.startswith(STREAM_TYPE)
-        self._on_head(reply, id_matches and reply.status not in NOT_EXECUTED_STATUSES)
+        self._on_head(reply, id_matches and reply.status not in NOT_RUN_STATUSES)
 
     def _handle_data(self, data: bytes) -> None:
         if not self._first_token_ms:
@@ -212,7 +212,7 @@
     except (ValueError, AttributeError):
         error = {}
     reason = str(error.get("type", f"status {reply.status}"))
-    if reply.status in NOT_EXECUTED_STATUSES and error.get("not_run") is True:
+    if reply.status in NOT_RUN_STATUSES and error.get("not_run") is True:
         retry_ms = float(error.get("retry_after_ms", DEFAULT_RETRY_AFTER_MS))
         return Rejected(reason, retry_ms, leaving=reason == "leaving")
     return Broken(reason, replied=True)
--- a/ashlatch/fleet/command_client.py
+++ b/ashlatch/fleet/command_client.py
@@ -19,7 +19,7 @@
 from ashlatch.fleet.machine import Command, FleetMachine, Outcome
 from ashlatch.fleet.membership import has_enough_voters
 from ashlatch.fleet.operators import NoQuorum
-from ashlatch.fleet.peers import PeerConnections
+from ashlatch.fleet.peers import CoreConnections
 from ashlatch.fleet.protocol import (
     COMMAND,
     READ,
@@ -49,7 +49,7 @@
     """
 
     losses_max: int
-    peers: PeerConnections
+    peers: CoreConnections
     group: Callable[[], Group]
     machine: Callable[[], FleetMachine]
 
--- a/ashlatch/fleet/daemon.py
+++ b/ashlatch/fleet/daemon.py
@@ -39,7 +39,7 @@
 from ashlatch.fleet.machine import FleetMachine, RecordCrashes
 from ashlatch.fleet.membership import find_unresponsive_member, join_group
 from ashlatch.fleet.operators import NoQuorum, OperatorApi
-from ashlatch.fleet.peers import PeerConnections
+from ashlatch.fleet.peers import CoreConnections
 from ashlatch.fleet.prefix_caches import read_prefix_caches
 from ashlatch.fleet.protocol import (
     COMMAND,
@@ -107,7 +107,7 @@
             self.rpc, self.member, lambda message: self.group.post(Received(message))
         )
         self.group.deliver = self._transport.send
-        self._peers = PeerConnections()
+        self._peers = CoreConnections()
         self._commands = CommandClient(
             settings.losses_max, self._peers, lambda: self.group, lambda: self.machine
         )
@@ -232,7 +232,7 @@
         await self._operators.start(listen.host, listen.port)
         watch_traffic(self.metrics)
         reader = self._list_poller.reader
-        self.metrics.watch("list_entries_left_out", lambda: reader.left_out_total)
+        self.metrics.watch("list_entries_left_out", lambda: reader.skipped_total)
         await serve_metrics(
             self.metrics, self.settings.host, self.settings.metrics_port
         )
--- a/ashlatch/fleet/discovery.py
+++ b/ashlatch/fleet/discovery.py
@@ -51,8 +51,8 @@
     """
 
     def __init__(self, address: str) -> None:
-        self.left_out_total = 0
-        self._left_out: Counter[str] = Counter()
+        self.skipped_total = 0
+        self._skipped: Counter[str] = Counter()
         self._address = address
         self._connection: Upstream | None = None
 
@@ -84,18 +84,18 @@
                 found.setdefault(endpoint.instance, endpoint)
             page_token = page.next_page
             if page_token is None:
-                self._log_left_out(left_out)
+                self._log_skipped(left_out)
                 return tuple(found.values())
         raise ListUnreadable("too many pages")
 
-    def _log_left_out(self, left_out: Counter[str]) -> None:
+    def _log_skipped(self, left_out: Counter[str]) -> None:
         """Logs the reasons for skipped entries when they differ from before."""
-        if left_out != self._left_out and left_out:
+        if left_out != self._skipped and left_out:
             reasons = "; ".join(sorted(left_out)[:REASONS_MAX])
             entries = EntriesSkipped(left_out.total(), reasons)
             emit(log, entries, logging.WARNING)
-        self._left_out = left_out
-        self.left_out_total += left_out.total()
+        self._skipped = left_out
+        self.skipped_total += left_out.total()
 
     async def _read_page(self, page_token: str | None) -> Page:
         connection = await self._connect()
--- a/ashlatch/fleet/leader_link.py
+++ b/ashlatch/fleet/leader_link.py
@@ -18,7 +18,7 @@
 from ashlatch.errors import TransportError
 from ashlatch.fleet.logs import UrgentReportFailed
 from ashlatch.fleet.machine import FleetState
-from ashlatch.fleet.peers import PeerConnections
+from ashlatch.fleet.peers import CoreConnections
 from ashlatch.fleet.protocol import SYNC, SyncReply, SyncRequest, gateways_digest
 from ashlatch.fleet.soft_state import SoftState
 from ashlatch.gateway.prefix_cache import PromptPrefill
@@ -50,7 +50,7 @@
     local: CoreVm
     wait_ms: float
     soft_state: SoftState
-    peers: PeerConnections
+    peers: CoreConnections
     group_status: Callable[[], GroupStatus]
     state: Callable[[], FleetState]
 
--- a/ashlatch/fleet/membership.py
+++ b/ashlatch/fleet/membership.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from ashlatch.errors import TransportError
-from ashlatch.fleet.peers import PeerConnections
+from ashlatch.fleet.peers import CoreConnections
 from ashlatch.fleet.protocol import JOIN, JoinReply, JoinRequest
 from ashlatch.raft.group import GroupStatus
 from ashlatch.raft.message import Member
@@ -72,7 +72,7 @@
     local: Member,
     group_status: Callable[[], GroupStatus],
     addresses: Callable[[], tuple[str, ...]],
-    peers: PeerConnections,
+    peers: CoreConnections,
 ) -> None:
     """Asks to join the group whenever this VM knows no leader; runs forever.
 
@@ -95,7 +95,7 @@
 
 
 async def _send_join_requests(
-    local: Member, addresses: tuple[str, ...], peers: PeerConnections
+    local: Member, addresses: tuple[str, ...], peers: CoreConnections
 ) -> None:
     tried: set[str] = set()
     pending = [address for address in addresses if address != local.address]
@@ -113,7 +113,7 @@
 
 
 async def _send_join_request(
-    local: Member, address: str, peers: PeerConnections
+    local: Member, address: str, peers: CoreConnections
 ) -> JoinReply | None:
     try:
         reply: JoinReply = await peers.peer(address).call(
--- a/ashlatch/fleet/peers.py
+++ b/ashlatch/fleet/peers.py
@@ -12,10 +12,10 @@
 
 from ashlatch.rpc import Address, Peer
 
-__all__ = ["PeerConnections"]
+__all__ = ["CoreConnections"]
 
 
-class PeerConnections:
+class CoreConnections:
     """Holds one connection for each address that was called."""
 
     def __init__(self) -> None:
--- a/ashlatch/gateway/admission.py
+++ b/ashlatch/gateway/admission.py
@@ -15,7 +15,7 @@
 from ashlatch.catalog import Organisation, Route, Service
 from ashlatch.clock import unix_ms
 from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.fingerprint import fingerprint_text, request_fingerprint
+from ashlatch.gateway.fingerprint import format_fingerprint, request_fingerprint
 from ashlatch.gateway.logs import QuarantinedRequestRefused
 from ashlatch.gateway.message import CallerRequest, RefusalReason
 from ashlatch.http.connection import Responder
@@ -113,7 +113,7 @@
     if refusal is not None:
         crashes = context.quarantine.crash_count(fingerprint)
         wait_ms = int(context.quarantine.remaining_ms(fingerprint, unix_ms()))
-        text = fingerprint_text(fingerprint)
+        text = format_fingerprint(fingerprint)
         emit(log, QuarantinedRequestRefused(request.request_id, text, crashes, wait_ms))
         return refusal
     return Admission(
--- a/ashlatch/gateway/attempt.py
+++ b/ashlatch/gateway/attempt.py
@@ -59,10 +59,10 @@
     @property
     def not_run(self) -> bool:
         """Checks whether the request has certainly not run."""
-        return self in _NOT_EXECUTED
+        return self in _NOT_RUN
 
 
-_NOT_EXECUTED = frozenset(
+_NOT_RUN = frozenset(
     {
         FailureKind.UNREACHABLE,
         FailureKind.REFUSED,
--- a/ashlatch/gateway/cold.py
+++ b/ashlatch/gateway/cold.py
@@ -37,7 +37,7 @@
         self.local = local
         self._gateways_known_ms = float("inf")
         self._gateways: tuple[GatewayVm, ...] = ()
-        self._pauses_ms: dict[str, float | None] = {}
+        self._intervals_ms: dict[str, float | None] = {}
 
     def gateways_received(self, now_ms: float) -> None:
         """Records that the core has reported which gateways there are."""
@@ -63,12 +63,12 @@
             return 0.0
         if not self.knows_gateways(now_ms):
             return NEVER_MS
-        interval_ms = self._pause_ms(state, service, gateways)
+        interval_ms = self._interval_ms(state, service, gateways)
         if interval_ms is None:
             return NEVER_MS
         return max(0.0, state.last_sent_ms + interval_ms - now_ms)
 
-    def _pause_ms(
+    def _interval_ms(
         self,
         state: EndpointState,
         service: Service,
@@ -78,16 +78,16 @@
             return None
         if gateways is not self._gateways:
             self._gateways = gateways
-            self._pauses_ms.clear()
+            self._intervals_ms.clear()
         endpoint = state.endpoint
-        if endpoint.instance not in self._pauses_ms:
+        if endpoint.instance not in self._intervals_ms:
             cold = ColdEndpoint(
                 endpoint.instance, endpoint.hall, service.cold_requests_per_s
             )
-            self._pauses_ms[endpoint.instance] = send_interval_ms(
+            self._intervals_ms[endpoint.instance] = send_interval_ms(
                 cold, self.local, gateways
             )
-        return self._pauses_ms[endpoint.instance]
+        return self._intervals_ms[endpoint.instance]
 
 
 def mark_returned_cold(
--- a/ashlatch/gateway/context.py
+++ b/ashlatch/gateway/context.py
@@ -80,7 +80,7 @@
     probes: dict[str, asyncio.Task[bool]] = field(default_factory=dict)
     broadcast: Callable[[PeerUpdate], None] = _discard_update
     report_crashes: Callable[[], None] = _skip_core_report
-    cold_gate: ColdSendLimiter = field(default_factory=ColdSendLimiter)
+    cold_limiter: ColdSendLimiter = field(default_factory=ColdSendLimiter)
     core_reachable: bool = True
     peers_reachable: bool = True
     next_retry_ms: dict[str, float] = field(default_factory=dict)
--- a/ashlatch/gateway/core_updates.py
+++ b/ashlatch/gateway/core_updates.py
@@ -49,7 +49,7 @@
     def __init__(self, context: GatewayContext) -> None:
         self.document_version = 0
         self.rollout_number = 0
-        self.reads_position = (0, 0)
+        self.prefills_position = (0, 0)
         self.crashes_position = 0
         self._context = context
 
@@ -72,7 +72,7 @@
     def _apply_current(self, reply: SyncReply) -> None:
         """Applies the parts valid only from a core VM connected to its leader."""
         now_ms = _now_ms()
-        self._context.cold_gate.gateways_received(now_ms)
+        self._context.cold_limiter.gateways_received(now_ms)
         if reply.gateways is not None:
             self._apply_gateways(reply.gateways)
         self._context.directory.listed_ms = now_ms - reply.list_age_ms
@@ -102,7 +102,7 @@
 
     def apply_prefills(self, reply: SyncReply) -> None:
         """Applies the prefills at engines that other gateways have reported."""
-        self.reads_position = reply.prefills_known
+        self.prefills_position = reply.prefills_known
         now_ms = _now_ms()
         for prefill in reply.prefills:
             cache_tokens = self._context.prefix_cache_tokens(prefill.instance)
--- a/ashlatch/gateway/crash_detector.py
+++ b/ashlatch/gateway/crash_detector.py
@@ -17,7 +17,7 @@
 from ashlatch.gateway.attempt import AttemptFailed, FailureKind
 from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.fingerprint import fingerprint_text
+from ashlatch.gateway.fingerprint import format_fingerprint
 from ashlatch.gateway.logs import (
     CrashRecordCleared,
     CrashRecorded,
@@ -81,7 +81,7 @@
     if quarantined_ms > quarantined_before_ms:
         crashes = quarantine.crash_count(fingerprint)
         event = FingerprintQuarantined(
-            fingerprint_text(fingerprint), crashes, int(quarantined_ms), source
+            format_fingerprint(fingerprint), crashes, int(quarantined_ms), source
         )
         emit(log, event, logging.WARNING)
         context.metrics.count("contents_held")
@@ -150,7 +150,7 @@
         quarantined_ms = context.quarantine.remaining_ms(fingerprint, now_unix_ms)
         event = CrashRecorded(
             request_id,
-            fingerprint_text(fingerprint),
+            format_fingerprint(fingerprint),
             endpoint.instance,
             crashes,
             int(quarantined_ms),
@@ -164,7 +164,7 @@
     def record_completion(self, request_id: str, fingerprint: int) -> None:
         """Records that a request has completed without a crash."""
         if self._context.quarantine.record_completed(fingerprint):
-            emit(log, CrashRecordCleared(request_id, fingerprint_text(fingerprint)))
+            emit(log, CrashRecordCleared(request_id, format_fingerprint(fingerprint)))
             self._context.report_crashes()
 
     def _now_ms(self) -> float:
--- a/ashlatch/gateway/daemon.py
+++ b/ashlatch/gateway/daemon.py
@@ -136,7 +136,7 @@
         )
         peers = PeerProtocol(self.context)
         await peers.start(local)
-        self.context.cold_gate = ColdSendLimiter(local)
+        self.context.cold_limiter = ColdSendLimiter(local)
         self.context.broadcast = peers.broadcast
         for listener, text, early in (
             (self.listener, self.settings.listen, self._early_socket),
--- a/ashlatch/gateway/directory.py
+++ b/ashlatch/gateway/directory.py
@@ -265,7 +265,7 @@
 
     def __init__(self) -> None:
         self.on_restart: Callable[[str], None] = lambda instance: None
-        self.list_version: tuple[int, int] = (0, 0)
+        self.list_order: tuple[int, int] = (0, 0)
         self.listed_ms = float("-inf")
         self.evacuations = Evacuations()
         self._states: dict[str, EndpointState] = {}
@@ -274,9 +274,9 @@
 
     def replace(self, listed: EndpointList, now_ms: float, age_ms: float = 0.0) -> bool:
         """Applies a list of all endpoints, read `age_ms` ago; False if it is older."""
-        if listed.order < self.list_version:
+        if listed.order < self.list_order:
             return False
-        self.list_version = listed.order
+        self.list_order = listed.order
         self.listed_ms = now_ms
         previous = self._unlisted | self._states
         self._states = {}
--- a/ashlatch/gateway/fingerprint.py
+++ b/ashlatch/gateway/fingerprint.py
@@ -15,7 +15,7 @@
 
 __all__ = [
     "request_fingerprint",
-    "fingerprint_text",
+    "format_fingerprint",
 ]
 
 
@@ -41,6 +41,6 @@
     return hasher.intdigest()
 
 
-def fingerprint_text(fingerprint: int) -> str:
+def format_fingerprint(fingerprint: int) -> str:
     """Returns a fingerprint in the form used in logs."""
     return f"{fingerprint:016x}"
--- a/ashlatch/gateway/limits.py
+++ b/ashlatch/gateway/limits.py
@@ -49,7 +49,7 @@
     request_id: str
     limit_per_s: float
     sent_ms: float
-    executed: bool
+    was_run: bool
 
 
 def limit_wait_ms(
@@ -62,9 +62,9 @@
     """
     if not state.limit.limited:
         return 0.0
-    if not context.cold_gate.knows_gateways(now_ms):
+    if not context.cold_limiter.knows_gateways(now_ms):
         return UNKNOWN_GATEWAYS_WAIT_MS
-    return state.limit.wait_ms(_sharers(context), now_ms)
+    return state.limit.wait_ms(_limit_sharing(context), now_ms)
 
 
 def record_limited_send(
@@ -73,7 +73,7 @@
     """Records a send to an endpoint, and broadcasts it if the endpoint is limited."""
     if not state.limit.limited:
         return
-    state.limit.record_sent(_sharers(context), context.generator.random(), now_ms)
+    state.limit.record_sent(_limit_sharing(context), context.generator.random(), now_ms)
     context.metrics.count("sends_limited")
     context.broadcast(RateLimitedSend(state.endpoint.instance))
 
@@ -87,7 +87,7 @@
     rarely sends to the endpoint would not know the limit for long.
     """
     per_s = report.limit_per_s
-    if per_s == NO_LIMIT and not (report.executed and state.limit.limited):
+    if per_s == NO_LIMIT and not (report.was_run and state.limit.limited):
         return
     if not state.limit.accepts(per_s, report.sent_ms):
         return
@@ -121,7 +121,9 @@
     context: GatewayContext, state: EndpointState, now_ms: float
 ) -> None:
     """Records another gateway's send to an endpoint that it knows to be limited."""
-    state.limit.record_peer_sent(_sharers(context), context.generator.random(), now_ms)
+    state.limit.record_peer_sent(
+        _limit_sharing(context), context.generator.random(), now_ms
+    )
 
 
 def _apply_limit(
@@ -136,7 +138,9 @@
     if per_s == NO_LIMIT:
         limit.clear()
     else:
-        limit.set_rate(per_s, _sharers(context), context.generator.random(), now_ms)
+        limit.set_rate(
+            per_s, _limit_sharing(context), context.generator.random(), now_ms
+        )
     if per_s != before_per_s:
         context.metrics.count("limits_learnt")
         endpoint = state.endpoint
@@ -151,9 +155,9 @@
 ) -> float:
     """Returns the time between two sends of this gateway's share of several limits."""
     rate_per_s = sum(max(s.limit.per_s, RATE_MIN_PER_S) for s in limited)
-    return SECOND_MS * _sharers(context).gateways / rate_per_s
+    return SECOND_MS * _limit_sharing(context).gateways / rate_per_s
 
 
-def _sharers(context: GatewayContext) -> LimitSharing:
+def _limit_sharing(context: GatewayContext) -> LimitSharing:
     in_touch = context.core_reachable and context.peers_reachable
     return LimitSharing(max(1, len(context.gateways)), in_touch)
--- a/ashlatch/gateway/permission.py
+++ b/ashlatch/gateway/permission.py
@@ -30,7 +30,7 @@
     if endpoint_permission is ALLOWED and not state.limit.limited and not may_be_cold:
         return ALLOWED
     limit_ms = limit_wait_ms(context, state, now_ms)
-    cold_ms = context.cold_gate.wait_ms(state, service, context.gateways, now_ms)
+    cold_ms = context.cold_limiter.wait_ms(state, service, context.gateways, now_ms)
     waits = [(DenialReason.LIMITED, limit_ms), (DenialReason.COLD, cold_ms)]
     if endpoint_permission.denial_reason is not None:
         waits.insert(
--- a/ashlatch/gateway/request_record.py
+++ b/ashlatch/gateway/request_record.py
@@ -19,7 +19,7 @@
 from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.crash_detector import record_refusal
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.fingerprint import fingerprint_text
+from ashlatch.gateway.fingerprint import format_fingerprint
 from ashlatch.gateway.forecast import Forecast
 from ashlatch.gateway.limits import LimitReport, apply_answer_limit, record_limited_send
 from ashlatch.gateway.logs import (
@@ -80,7 +80,7 @@
         organisation = admission.organisation
         event = RequestSent(
             admission.request.request_id,
-            fingerprint_text(admission.fingerprint),
+            format_fingerprint(admission.fingerprint),
             admission.request.session,
             admission.route.name,
             organisation.name if organisation else "",
--- a/ashlatch/gateway/sync.py
+++ b/ashlatch/gateway/sync.py
@@ -19,7 +19,7 @@
 from ashlatch.codec import TRAFFIC
 from ashlatch.errors import TransportError
 from ashlatch.fleet.discovery import ListReader, ListUnreadable
-from ashlatch.fleet.peers import PeerConnections
+from ashlatch.fleet.peers import CoreConnections
 from ashlatch.fleet.protocol import SYNC, SyncReply, SyncRequest, gateways_digest
 from ashlatch.fleet.seeds import Seeds
 from ashlatch.gateway.context import GatewayContext
@@ -97,7 +97,7 @@
         self._reader = ListReader(list_address)
         self._wait_ms = wait_ms
         self._local = local
-        self._peers = PeerConnections()
+        self._core_connections = CoreConnections()
         self._selector = CoreSelector(
             local.hall, lambda: seeds.addresses, context.generator
         )
@@ -239,7 +239,7 @@
         """
         sent_bytes, received_bytes = TRAFFIC.sent_bytes, TRAFFIC.received_bytes
         try:
-            reply: SyncReply = await self._peers.peer(address).call(
+            reply: SyncReply = await self._core_connections.peer(address).call(
                 SYNC, request, timeout_s
             )
             return reply
@@ -263,13 +263,13 @@
             self._context.vm,
             (self._local,),
             self._updates.document_version,
-            self._context.directory.list_version,
+            self._context.directory.list_order,
             self._updates.rollout_number,
             wait_ms,
             tallies,
             self._context.versions.sessions_to_report(self._now_ms()),
             prefills,
-            self._updates.reads_position,
+            self._updates.prefills_position,
             gateways_digest(self._context.gateways),
             rates=rates,
             crashes=crashes,
@@ -299,7 +299,7 @@
                 age_ms = int(self._now_ms() - self._context.directory.listed_ms)
                 emit(log, ListReadFailed(error.reason, age_ms), logging.WARNING)
                 continue
-            epoch, number = self._context.directory.list_version
+            epoch, number = self._context.directory.list_order
             self._updates.replace_endpoints(
                 EndpointList(epoch, number, endpoints), "platform"
             )
@@ -307,7 +307,7 @@
     def _apply(self, address: str, reply: SyncReply) -> None:
         if reply.members:
             self._selector.update(reply.members)
-            self._peers.retain(self._selector.addresses())
+            self._core_connections.retain(self._selector.addresses())
         self._updates.apply(address, reply)
         if reply.current:
             self._core_regained(address)
--- a/ashlatch/gateway/versions.py
+++ b/ashlatch/gateway/versions.py
@@ -61,7 +61,7 @@
     SESSION = "session"
     MOVED = "moved"
     STAYS = "stays"
-    HELD = "held"
+    RUNNING = "held"
     SHARE = "share"
     UNLISTED = "unlisted"
     SPARED = "spared"
@@ -107,7 +107,9 @@
     sessions: SessionVersions
     rollouts: dict[str, Rollout] = field(default_factory=dict)
     session_moved: Callable[[], None] = _ignore_move
-    _held_hashes: dict[str, tuple[int, frozenset[int]]] = field(default_factory=dict)
+    _trial_start_cache: dict[str, tuple[int, frozenset[int]]] = field(
+        default_factory=dict
+    )
     _moves: dict[str, SessionMoves] = field(default_factory=dict)
     _running: dict[str, RunningSessions] = field(default_factory=dict)
     # When the start of each service's trial was received first.
@@ -134,7 +136,7 @@
         """Applies that a session runs on the previous version at another gateway."""
         rollout = self.rollouts.get(service)
         if rollout is None or rollout.version == version:
-            self._running_on_other(service, version).record(hash_value)
+            self._running_on_previous(service, version).record(hash_value)
 
     def record_running(self, service: str, session: str, version: str) -> int | None:
         """Records a request that goes to a version.
@@ -149,7 +151,7 @@
         hash_value = session_hash(rollout.version, session)
         if version == rollout.version:
             return None
-        running = self._running_on_other(service, rollout.version)
+        running = self._running_on_previous(service, rollout.version)
         return hash_value if running.record(hash_value) else None
 
     def record_move(
@@ -158,7 +160,7 @@
         session: str,
         version: str,
         now_ms: float = 0.0,
-        isolated: bool = False,
+        peers_unavailable: bool = False,
     ) -> bool:
         """Records a request that goes to the version.
 
@@ -172,7 +174,7 @@
             return False
         hash_value = session_hash(version, session)
         if rollout.stage is RolloutStage.TRIAL:
-            return self._starts_in_trial(rollout, hash_value, now_ms, isolated)
+            return self._starts_in_trial(rollout, hash_value, now_ms, peers_unavailable)
         if rollout.stage is not RolloutStage.LOAD_TEST:
             return False
         moves = self._moves_to(service, version)
@@ -183,17 +185,17 @@
         return True
 
     def _starts_in_trial(
-        self, rollout: Rollout, hash_value: int, now_ms: float, isolated: bool
+        self, rollout: Rollout, hash_value: int, now_ms: float, peers_unavailable: bool
     ) -> bool:
         """Checks whether both a session of the trial's share and the trial are new."""
         age_ms = now_ms - self._trial_begun_ms.get(rollout.service, float("-inf"))
         moves = self._moves_to(rollout.service, rollout.version)
         if (
-            age_ms > TRIAL_PROPAGATION_MS and not isolated
+            age_ms > TRIAL_PROPAGATION_MS and not peers_unavailable
         ) or hash_value in moves.hashes:
             return False
-        moves.record(hash_value, here=isolated)
-        if isolated:
+        moves.record(hash_value, here=peers_unavailable)
+        if peers_unavailable:
             self.session_moved()
         return True
 
@@ -204,7 +206,7 @@
             return False
         return rollout.share == 0.0
 
-    def _running_on_other(self, service: str, version: str) -> RunningSessions:
+    def _running_on_previous(self, service: str, version: str) -> RunningSessions:
         running = self._running.get(service)
         if running is None or running.version != version:
             running = self._running[service] = RunningSessions(version)
@@ -278,9 +280,12 @@
         if rollout.stage is RolloutStage.TRIAL and session:
             if version_before:
                 return _Preference(False, VersionReason.STAYS)
-            running = self._running_on_other(rollout.service, rollout.version)
-            if hash_value in self._held(rollout) or hash_value in running.hashes:
-                return _Preference(False, VersionReason.HELD)
+            running = self._running_on_previous(rollout.service, rollout.version)
+            if (
+                hash_value in self._trial_start_hashes(rollout)
+                or hash_value in running.hashes
+            ):
+                return _Preference(False, VersionReason.RUNNING)
         position = hash_fraction(f"{rollout.version}/{session or request_id}")
         return _Preference(position < rollout.share, VersionReason.SHARE)
 
@@ -306,11 +311,11 @@
             found.append(SessionHashes(rollout.service, movable))
         return tuple(found)
 
-    def _held(self, rollout: Rollout) -> frozenset[int]:
-        held = self._held_hashes.get(rollout.service)
+    def _trial_start_hashes(self, rollout: Rollout) -> frozenset[int]:
+        held = self._trial_start_cache.get(rollout.service)
         if held is None or held[0] != rollout.number:
             held = (rollout.number, frozenset(rollout.held))
-            self._held_hashes[rollout.service] = held
+            self._trial_start_cache[rollout.service] = held
         return held[1]
 
     def _number(self, service: str) -> int:
--- a/ashlatch/router/core.py
+++ b/ashlatch/router/core.py
@@ -143,7 +143,7 @@
     evidence: Evidence = field(default_factory=Evidence)
     tallies: dict[str, VersionTally] = field(default_factory=dict)
     last_totals: dict[str, VersionTally] = field(default_factory=dict)
-    paces: LatencyHistory = field(default_factory=LatencyHistory)
+    latency_history: LatencyHistory = field(default_factory=LatencyHistory)
     limits: Limits = field(default_factory=Limits)
     effects: list[Effect] = field(default_factory=list)
 
--- a/ashlatch/router/endpoints.py
+++ b/ashlatch/router/endpoints.py
@@ -46,7 +46,7 @@
     backoffs: dict[str, Backoff] = field(default_factory=dict)
     leaving: set[str] = field(default_factory=set)
     listed_leaving: frozenset[str] = frozenset()
-    sharers: LimitSharing = LimitSharing(connected=False)
+    limit_sharing: LimitSharing = LimitSharing(connected=False)
 
     def retain(self, names: Set[str]) -> None:
         """Removes the state of all other endpoints on which nothing runs."""
@@ -99,7 +99,7 @@
         """Returns whether a request may be sent to an endpoint, or how long to wait."""
         other_permission = self.permission_ignoring_limit(endpoint, now_ms)
         limit = self.limits.get(endpoint)
-        limit_ms = limit.wait_ms(self.sharers, now_ms) if limit else 0.0
+        limit_ms = limit.wait_ms(self.limit_sharing, now_ms) if limit else 0.0
         if other_permission.denial_reason is None:
             return combine([(DenialReason.LIMITED, limit_ms)])
         waits = [(other_permission.denial_reason, other_permission.wait_ms)]
@@ -124,4 +124,4 @@
             self.backoffs[endpoint].record_sent(now_ms)
         if endpoint in self.limits:
             random_value = self.generator.random()
-            self.limits[endpoint].record_sent(self.sharers, random_value, now_ms)
+            self.limits[endpoint].record_sent(self.limit_sharing, random_value, now_ms)
--- a/ashlatch/router/notices.py
+++ b/ashlatch/router/notices.py
@@ -20,7 +20,7 @@
 
 __all__ = [
     "EndpointBackoff",
-    "EndpointLeaves",
+    "EndpointLeavingAnnounced",
     "EndpointLimited",
 ]
 
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True)
-class EndpointLeaves(LogEvent):
+class EndpointLeavingAnnounced(LogEvent):
     """An endpoint announces that it is about to stop."""
 
     event: ClassVar[str] = "endpoint_leaves"
@@ -64,7 +64,7 @@
     _apply_backoff(core, event)
     if event.leaving and not core.endpoints.is_leaving(event.endpoint):
         core.endpoints.leaving.add(event.endpoint)
-        leaves = EndpointLeaves(core.config.vm, event.endpoint)
+        leaves = EndpointLeavingAnnounced(core.config.vm, event.endpoint)
         core.effects.append(WriteLog(leaves))
     if event.limit_per_s is not None:
         _apply_limit(core, event, event.limit_per_s)
@@ -90,7 +90,7 @@
         return
     if per_s != NO_LIMIT:
         random_value = core.random.random()
-        limit.set_rate(per_s, core.endpoints.sharers, random_value, core.now_ms)
+        limit.set_rate(per_s, core.endpoints.limit_sharing, random_value, core.now_ms)
     elif event.was_run:
         limit.clear()
     if limit.per_s != before_per_s:
--- a/ashlatch/router/plan.py
+++ b/ashlatch/router/plan.py
@@ -357,7 +357,7 @@
         self, request: Request, excluded: list[Exclusion], now_ms: float
     ) -> NoPlan:
         allowed = bool(self.acceptable_versions(request))
-        too_late = any(e.cause is ExclusionReason.TOO_LATE for e in excluded)
+        too_late = any(e.reason is ExclusionReason.TOO_LATE for e in excluded)
         retry_ms = self._retry_time_ms(excluded, now_ms)
         if too_late:
             waits_ms = [load.wait_ms() for load, _ in self._scaled_loads()]
@@ -373,7 +373,7 @@
         waits_ms = [
             self.endpoints.permission(e.name, now_ms).wait_ms
             for e in excluded
-            if e.cause in (ExclusionReason.LIMITED, ExclusionReason.BACKOFF)
+            if e.reason in (ExclusionReason.LIMITED, ExclusionReason.BACKOFF)
         ]
         return min(waits_ms, default=self.settings.breaker_open_ms)
 
@@ -422,5 +422,5 @@
         return found
 
 
-def _no_plan_for(version: str, cause: ExclusionReason, allowed: bool) -> NoPlan:
-    return NoPlan(allowed, False, 0.0, (Exclusion(version, cause),))
+def _no_plan_for(version: str, reason: ExclusionReason, allowed: bool) -> NoPlan:
+    return NoPlan(allowed, False, 0.0, (Exclusion(version, reason),))
--- a/ashlatch/router/planning_result.py
+++ b/ashlatch/router/planning_result.py
@@ -41,10 +41,10 @@
     """An excluded version or endpoint, with the reason."""
 
     name: str
-    cause: ExclusionReason
+    reason: ExclusionReason
 
     def __str__(self) -> str:
-        return f"{self.name}:{self.cause.value}"
+        return f"{self.name}:{self.reason.value}"
 
 
 @dataclass(frozen=True)
--- a/ashlatch/router/rollouts.py
+++ b/ashlatch/router/rollouts.py
@@ -39,7 +39,7 @@
 
     A suspected version is excluded from some requests at random.
     """
-    suspected = {e.name for e in excluded if e.cause is ExclusionReason.SUSPECTED}
+    suspected = {e.name for e in excluded if e.reason is ExclusionReason.SUSPECTED}
     return any(
         rollout.from_version == version
         and rollout.share_percent >= FULL_SHARE_PERCENT
--- a/ashlatch/router/updates.py
+++ b/ashlatch/router/updates.py
@@ -95,7 +95,7 @@
     core.lease_until_ms = max(core.lease_until_ms, event.until_ms)
     routers = max(1, event.routers)
     core.limits.router_share = 1.0 / routers
-    core.endpoints.sharers = LimitSharing(routers, connected=False)
+    core.endpoints.limit_sharing = LimitSharing(routers, connected=False)
 
 
 @HANDLERS.on(LoadReported)
@@ -137,7 +137,9 @@
             tallies[totals.version] = tally
     planner = core.planner
     were_bad = {version: planner.detector(version).bad for version in tallies}
-    apply_tallies(planner.detectors, core.paces, tallies, planner.price, core.now_ms)
+    apply_tallies(
+        planner.detectors, core.latency_history, tallies, planner.price, core.now_ms
+    )
     for version, was_bad in were_bad.items():
         _log_new_suspension(core, version, was_bad)
 
--- a/tests/crash_simulation.py
+++ b/tests/crash_simulation.py
@@ -145,7 +145,7 @@
             for name in self._at_engine
         )
         for context in self.gateways:
-            number = context.directory.list_version[1] + 1
+            number = context.directory.list_order[1] + 1
             context.directory.replace(EndpointList(1, number, endpoints), self.now_ms)
 
     def run(self, load: CrashLoad) -> CrashOutcome:
--- a/tests/limit_simulation.py
+++ b/tests/limit_simulation.py
@@ -122,8 +122,8 @@
         )
         context.table = self._table
         context.gateways = self._vms
-        context.cold_gate = ColdSendLimiter(vm)
-        context.cold_gate.gateways_received(core_received_ms)
+        context.cold_limiter = ColdSendLimiter(vm)
+        context.cold_limiter.gateways_received(core_received_ms)
         context.directory.replace(EndpointList(1, 1, self._listed), self.now_ms)
         peers = PeerProtocol(context)
         peers._local = vm
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -629,14 +629,14 @@
     Mutant(
         "limit-ended-by-a-refusal",
         "ashlatch/gateway/limits.py",
-        "if per_s == NO_LIMIT and not (report.executed and state.limit.limited):",
+        "if per_s == NO_LIMIT and not (report.was_run and state.limit.limited):",
         "if per_s == NO_LIMIT and not state.limit.limited:",
         LIMITS,
     ),
     Mutant(
         "limits-before-gateways-are-known",
         "ashlatch/gateway/limits.py",
-        "if not context.cold_gate.knows_gateways(now_ms):",
+        "if not context.cold_limiter.knows_gateways(now_ms):",
         "if False:",
         LIMITS,
     ),
--- a/tests/test_limit_load.py
+++ b/tests/test_limit_load.py
@@ -288,9 +288,9 @@
 
     def test_before_the_other_gateways_are_known(self) -> None:
         """A gateway that has just started may be one of any number."""
-        self.context.cold_gate = ColdSendLimiter(self.context.gateways[0])
+        self.context.cold_limiter = ColdSendLimiter(self.context.gateways[0])
         self.assertTrue(limit_wait_ms(self.context, self.state, 60_000.0) > 0.0)
-        self.context.cold_gate.gateways_received(60_000.0)
+        self.context.cold_limiter.gateways_received(60_000.0)
         soon_ms = 60_000.0 + GATEWAYS_KNOWN_MS - 1.0
         self.assertTrue(limit_wait_ms(self.context, self.state, soon_ms) > 0.0)
         self.assertEqual(0.0, limit_wait_ms(self.context, self.state, soon_ms + 1.0))
--- a/tests/test_malformed_input.py
+++ b/tests/test_malformed_input.py
@@ -173,7 +173,7 @@
             reader = ListReader(platform.address)
             found = await reader.read()
             platform.stop()
-            return [e.instance for e in found], reader.left_out_total
+            return [e.instance for e in found], reader.skipped_total
 
         return asyncio.run(run())
 
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -11,7 +11,7 @@
 from ashlatch.errors import TransportError
 from ashlatch.fleet.leader_link import LeaderLink
 from ashlatch.fleet.machine import FleetState
-from ashlatch.fleet.peers import PeerConnections
+from ashlatch.fleet.peers import CoreConnections
 from ashlatch.fleet.protocol import SyncReply, SyncRequest
 from ashlatch.fleet.seeds import Seeds
 from ashlatch.fleet.soft_state import SoftState
@@ -42,7 +42,7 @@
 )
 
 
-class FakePeerBook(PeerConnections):
+class FakePeerBook(CoreConnections):
     """Core VMs that give prepared answers and record the calls.
 
     With `waits`, a call takes as long as its request allows. `replies_by_address` holds
@@ -100,7 +100,9 @@
             context = build_context()
             seeds = Seeds(SETTINGS, lambda: SETTINGS)
             core_sync = CoreSync(context, seeds, "x:1", 10_000.0, LOCAL)
-            peers = core_sync._peers = FakePeerBook(SyncReply(True), waits=True)
+            peers = core_sync._core_connections = FakePeerBook(
+                SyncReply(True), waits=True
+            )
             tasks = [asyncio.create_task(core_sync.run())]
             tasks.append(asyncio.create_task(core_sync.report_urgent()))
             await asyncio.sleep(0.1)
@@ -161,7 +163,7 @@
             core_sync = CoreSync(
                 context, Seeds(SETTINGS, lambda: SETTINGS), "x:1", 20.0, LOCAL
             )
-            peers = core_sync._peers = FakePeerBook(
+            peers = core_sync._core_connections = FakePeerBook(
                 SyncReply(True, self.MEMBERS), waits=True
             )
             peers.replies_by_address[self.LOCAL_CORE.address] = reply
@@ -203,7 +205,7 @@
             core_sync = CoreSync(
                 context, Seeds(SETTINGS, lambda: SETTINGS), "x:1", 500.0, LOCAL
             )
-            peers = core_sync._peers = FakePeerBook(reply)
+            peers = core_sync._core_connections = FakePeerBook(reply)
             task = asyncio.create_task(core_sync.run())
             await asyncio.sleep(0.5)
             task.cancel()
