--- a/ashlatch/gateway/attempt.py
+++ b/ashlatch/gateway/attempt.py
@@ -15,16 +15,22 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
+from ashlatch.gateway.timeouts import CONNECT_MAX_S, AnswerTimeout
+
 from ashlatch.errors import AshlatchError
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Forecast
 from ashlatch.gateway.message import AnswerHead, CallerRequest, Dispatch, LoadFigures
 from ashlatch.gateway.pool import ConnectionPool
-from ashlatch.gateway.timeouts import CONNECT_MAX_S, AnswerTimeout
 from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
 from ashlatch.platform.headers import decode_answer, endpoint_headers
 
-__all__ = ["Attempt", "AttemptFailed", "FailureKind"]
+__all__ = [
+    "Attempt",
+    "AttemptFailed",
+    "FailureKind",
+]
+
 
 R = TypeVar("R")
 
@@ -54,10 +60,10 @@
     @property
     def not_run(self) -> bool:
         """Checks whether the request has certainly not run."""
-        return self in _NOT_EXECUTED
+        return self in _NOT_RUN
 
 
-_NOT_EXECUTED = frozenset(
+_NOT_RUN = frozenset(
     {
         FailureKind.UNREACHABLE,
         FailureKind.REFUSED,
--- a/ashlatch/gateway/context.py
+++ b/ashlatch/gateway/context.py
@@ -13,23 +13,26 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from ashlatch.gateway.latency_model import LatencyModel
+from ashlatch.gateway.prefix_cache import PrefixCaches
+from ashlatch.gateway.updates import PeerUpdate
+
 from ashlatch.catalog import GatewayVm, Service
 from ashlatch.gateway.budget import BudgetTerms, RepeatBudget
 from ashlatch.gateway.cold import ColdSendLimiter
 from ashlatch.gateway.directory import Directory, EndpointState
-from ashlatch.gateway.latency_model import LatencyModel
 from ashlatch.gateway.pool import ConnectionPool
-from ashlatch.gateway.prefix_cache import PrefixCaches
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.tally import Tallies
 from ashlatch.gateway.traffic import TrafficCounter
-from ashlatch.gateway.updates import PeerUpdate
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.metrics import Metrics
 from ashlatch.policy.endpoint import EndpointPolicy
 from ashlatch.policy.quarantine import Quarantine
 
-__all__ = ["GatewayContext"]
+__all__ = [
+    "GatewayContext",
+]
 
 
 def _discard_update(update: PeerUpdate) -> None:
@@ -78,7 +81,7 @@
     probes: dict[str, asyncio.Task[bool]] = field(default_factory=dict)
     broadcast: Callable[[PeerUpdate], None] = _discard_update
     report_crashes: Callable[[], None] = _skip_core_report
-    cold_gate: ColdSendLimiter = field(default_factory=ColdSendLimiter)
+    cold_limiter: ColdSendLimiter = field(default_factory=ColdSendLimiter)
     core_reachable: bool = True
     peers_reachable: bool = True
     next_retry_ms: dict[str, float] = field(default_factory=dict)
--- a/ashlatch/gateway/core_updates.py
+++ b/ashlatch/gateway/core_updates.py
@@ -13,11 +13,12 @@
 import logging
 import zlib
 
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.crash_detector import apply_peer_crashes
+
 from ashlatch.catalog import EndpointList, Evacuations, GatewayVm, Rollout
 from ashlatch.fleet.protocol import SyncReply
 from ashlatch.gateway.cold import mark_returned_cold
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.crash_detector import apply_peer_crashes
 from ashlatch.gateway.logs import (
     ConfigurationApplied,
     DocumentUnreadable,
@@ -31,7 +32,9 @@
 from ashlatch.log import emit
 from ashlatch.platform.document import DocumentError, decode_catalog
 
-__all__ = ["CoreUpdates"]
+__all__ = [
+    "CoreUpdates",
+]
 
 
 log = logging.getLogger("ashlatch.gateway")
@@ -47,7 +50,7 @@
     def __init__(self, context: GatewayContext) -> None:
         self.document_version = 0
         self.rollout_number = 0
-        self.reads_position = (0, 0)
+        self.prefills_position = (0, 0)
         self.crashes_position = 0
         self._context = context
 
@@ -70,7 +73,7 @@
     def _apply_current(self, reply: SyncReply) -> None:
         """Applies the parts valid only from a core VM connected to its leader."""
         now_ms = _now_ms()
-        self._context.cold_gate.gateways_received(now_ms)
+        self._context.cold_limiter.gateways_received(now_ms)
         if reply.gateways is not None:
             self._apply_gateways(reply.gateways)
         self._context.directory.listed_ms = now_ms - reply.list_age_ms
@@ -100,7 +103,7 @@
 
     def apply_prefills(self, reply: SyncReply) -> None:
         """Applies the prefills at engines that other gateways have reported."""
-        self.reads_position = reply.prefills_known
+        self.prefills_position = reply.prefills_known
         now_ms = _now_ms()
         for prefill in reply.prefills:
             cache_tokens = self._context.prefix_cache_tokens(prefill.instance)
--- a/ashlatch/gateway/daemon.py
+++ b/ashlatch/gateway/daemon.py
@@ -15,14 +15,15 @@
 import traceback
 from collections.abc import Callable
 
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.liveness import LivenessProber
+
 from ashlatch.catalog import GatewayVm
 from ashlatch.fleet.seeds import Seeds
 from ashlatch.gateway.admission import Refused, admit, refuse
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.cold import ColdSendLimiter
-from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.exchange import Exchange
-from ashlatch.gateway.liveness import LivenessProber
 from ashlatch.gateway.logs import (
     HandlerFailed,
     RequestEnded,
@@ -46,7 +47,9 @@
 from ashlatch.settings import GatewaySettings
 from ashlatch.suspension import watch_suspension
 
-__all__ = ["GatewayDaemon"]
+__all__ = [
+    "GatewayDaemon",
+]
 
 
 log = logging.getLogger("ashlatch.gateway")
@@ -134,7 +137,7 @@
         )
         peers = PeerProtocol(self.context)
         await peers.start(local)
-        self.context.cold_gate = ColdSendLimiter(local)
+        self.context.cold_limiter = ColdSendLimiter(local)
         self.context.broadcast = peers.broadcast
         for listener, text, early in (
             (self.listener, self.settings.listen, self._early_socket),
--- a/ashlatch/gateway/directory.py
+++ b/ashlatch/gateway/directory.py
@@ -14,13 +14,13 @@
 from dataclasses import dataclass, field
 
 import msgspec
+from ashlatch.policy.load_advertisement import LoadAdvertisement
 
 from ashlatch.catalog import Endpoint, EndpointList, Evacuations
 from ashlatch.gateway.message import LoadFigures
 from ashlatch.policy.backoff import Backoff
 from ashlatch.policy.breaker import Breaker
 from ashlatch.policy.load import EndpointLoad, LoadReport
-from ashlatch.policy.load_advertisement import LoadAdvertisement
 from ashlatch.policy.permission import (
     ALLOWED,
     NEVER_MS,
@@ -31,7 +31,11 @@
 from ashlatch.policy.rate_limit import RateLimit
 from ashlatch.policy.workload import Workload
 
-__all__ = ["Directory", "EndpointState"]
+__all__ = [
+    "Directory",
+    "EndpointState",
+]
+
 
 # After this many failures in a row, an endpoint receives no requests for this long.
 BREAKER_FAILURES = 2
@@ -261,7 +265,7 @@
 
     def __init__(self) -> None:
         self.on_restart: Callable[[str], None] = lambda instance: None
-        self.list_version: tuple[int, int] = (0, 0)
+        self.list_order: tuple[int, int] = (0, 0)
         self.listed_ms = float("-inf")
         self.evacuations = Evacuations()
         self._states: dict[str, EndpointState] = {}
@@ -270,9 +274,9 @@
 
     def replace(self, listed: EndpointList, now_ms: float, age_ms: float = 0.0) -> bool:
         """Applies a list of all endpoints, read `age_ms` ago; False if it is older."""
-        if listed.order < self.list_version:
+        if listed.order < self.list_order:
             return False
-        self.list_version = listed.order
+        self.list_order = listed.order
         self.listed_ms = now_ms
         previous = self._unlisted | self._states
         self._states = {}
--- a/ashlatch/gateway/permission.py
+++ b/ashlatch/gateway/permission.py
@@ -10,13 +10,16 @@
 :license: MIT, see LICENSE for details.
 """
 
-from ashlatch.catalog import Service
 from ashlatch.gateway.context import GatewayContext
+
+from ashlatch.catalog import Service
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.limits import limit_wait_ms
 from ashlatch.policy.permission import ALLOWED, DenialReason, Permission, combine
 
-__all__ = ["send_permission"]
+__all__ = [
+    "send_permission",
+]
 
 
 def send_permission(
@@ -28,7 +31,7 @@
     if endpoint_permission is ALLOWED and not state.limit.limited and not may_be_cold:
         return ALLOWED
     limit_ms = limit_wait_ms(context, state, now_ms)
-    cold_ms = context.cold_gate.wait_ms(state, service, context.gateways, now_ms)
+    cold_ms = context.cold_limiter.wait_ms(state, service, context.gateways, now_ms)
     waits = [(DenialReason.LIMITED, limit_ms), (DenialReason.COLD, cold_ms)]
     if endpoint_permission.denial_reason is not None:
         waits.insert(
--- a/ashlatch/router/plan.py
+++ b/ashlatch/router/plan.py
@@ -12,6 +12,9 @@
 import random
 from dataclasses import dataclass, field, replace
 
+from ashlatch.router.planning_result import Exclusion, ExclusionReason, NoPlan, Plan
+from ashlatch.router.rollouts import apply_rollouts, has_suspected_successor
+
 from ashlatch.policy.detector import Detector
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES, Candidate, subset
 from ashlatch.policy.load import EndpointLoad
@@ -22,11 +25,13 @@
 from ashlatch.resources import Route
 from ashlatch.router.endpoints import EndpointStates
 from ashlatch.router.event import Request
-from ashlatch.router.planning_result import Exclusion, ExclusionReason, NoPlan, Plan
-from ashlatch.router.rollouts import apply_rollouts, has_suspected_successor
 from ashlatch.settings import PolicySettings
 
-__all__ = ["Planner", "ReadyEndpoint"]
+__all__ = [
+    "Planner",
+    "ReadyEndpoint",
+]
+
 
 OTHER_HALL_LATENCY_MS = 2.0
 EXPECTED_OUTPUT_TOKENS = 200
@@ -353,7 +358,7 @@
         self, request: Request, excluded: list[Exclusion], now_ms: float
     ) -> NoPlan:
         allowed = bool(self.acceptable_versions(request))
-        too_late = any(e.cause is ExclusionReason.TOO_LATE for e in excluded)
+        too_late = any(e.reason is ExclusionReason.TOO_LATE for e in excluded)
         retry_ms = self._retry_time_ms(excluded, now_ms)
         if too_late:
             waits_ms = [load.wait_ms() for load, _ in self._scaled_loads()]
@@ -369,7 +374,7 @@
         waits_ms = [
             self.endpoints.permission(e.name, now_ms).wait_ms
             for e in excluded
-            if e.cause in (ExclusionReason.LIMITED, ExclusionReason.BACKOFF)
+            if e.reason in (ExclusionReason.LIMITED, ExclusionReason.BACKOFF)
         ]
         return min(waits_ms, default=self.settings.breaker_open_ms)
 
@@ -418,5 +423,5 @@
         return found
 
 
-def _no_plan_for(version: str, cause: ExclusionReason, allowed: bool) -> NoPlan:
-    return NoPlan(allowed, False, 0.0, (Exclusion(version, cause),))
+def _no_plan_for(version: str, reason: ExclusionReason, allowed: bool) -> NoPlan:
+    return NoPlan(allowed, False, 0.0, (Exclusion(version, reason),))
