--- a/ashlatch/adapter/bounds.py
+++ b/ashlatch/adapter/bounds.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class AttemptBounds:
-    """Timeouts, and two callbacks that the transport asks.
+    """Timeouts, and two callbacks that the transport calls.
 
     `may_send` is called once the connection is established, right before the first
     byte; `cancelled` is polled continuously from then on.
--- a/ashlatch/adapter/engine.py
+++ b/ashlatch/adapter/engine.py
@@ -69,7 +69,7 @@
         prices: Prices,
         bounds: AttemptBounds,
         on_chunk: Callable[[bytes], None],
-        on_head: Callable[[Reply, bool], None] = lambda reply, run: None,
+        on_head: Callable[[Reply, bool], None] = lambda reply, was_run: None,
     ) -> None:
         self._attempt = attempt
         self._prices = prices
--- a/ashlatch/adapter/notices.py
+++ b/ashlatch/adapter/notices.py
@@ -2,9 +2,9 @@
 ashlatch.adapter.notices
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-Reads what an endpoint announces in its reply headers: `Ashlatch-Requests-Per-S` is its
-rate limit for all routers together, `Retry-After` of a refusal is how long it wants no
-requests from this router, and `Ashlatch-Leaving: 1` says that it is about to stop.
+Decodes an endpoint's announcements in its reply headers: `Ashlatch-Requests-Per-S` is
+its rate limit for all routers together, `Retry-After` of a refusal is how long it wants
+no requests from this router, and `Ashlatch-Leaving: 1` says that it is about to stop.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -38,7 +38,7 @@
 
     @property
     def empty(self) -> bool:
-        """Whether the reply restricts nothing."""
+        """Checks whether the reply restricts nothing."""
         return self == EndpointNotice()
 
 
--- a/ashlatch/adapter/service.py
+++ b/ashlatch/adapter/service.py
@@ -34,7 +34,7 @@
     attempt: StartAttempt,
     price_microusd: int,
     bounds: AttemptBounds,
-    on_head: Callable[[Reply, bool], None] = lambda reply, run: None,
+    on_head: Callable[[Reply, bool], None] = lambda reply, was_run: None,
 ) -> AttemptResult:
     """Makes one attempt at an endpoint of a service.
 
--- a/ashlatch/control/core.py
+++ b/ashlatch/control/core.py
@@ -2,9 +2,10 @@
 ashlatch.control.core
 ~~~~~~~~~~~~~~~~~~~~~
 
-The reducer of a control process. Only the active process acts. All that has to
-persist is in the replicated state, so that the next active process continues where the
-last one stopped. The controllers are in `membership`, `rollout` and `placement`.
+The state machine of a control process: `step` takes an event, updates the state and
+returns effects. Only the active process acts. Everything that must persist is in the
+replicated state, so that the next active process continues where the last one stopped.
+The controllers are in `membership`, `rollout` and `placement`.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -52,9 +53,9 @@
 class ControlCore:
     """The whole state of a control process.
 
-    `order_settle_ms` is the longest time for which an order of an earlier active
-    process can be in flight. Engines that do not check the fence get no order before
-    it has passed.
+    `order_settle_ms` is the longest time for which a fenced command of an earlier
+    active process can be in flight. Engines that do not check the fence get no command
+    before it has passed.
     """
 
     holder: str
--- a/ashlatch/control/daemon.py
+++ b/ashlatch/control/daemon.py
@@ -2,8 +2,8 @@
 ashlatch.control.daemon
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-The control process: the resource API, and the loops that send events to the reducer
-and perform its effects.
+The control process: the resource API, and the loops that send events to the core and
+perform its effects.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -129,14 +129,14 @@
         self.rpc.stop()
 
     def post(self, event: Event) -> None:
-        """Passes an event to the reducer and performs its effects."""
+        """Passes an event to the core and performs its effects."""
         with self._lock:
             effects = self.core.step(monotonic_ms(), event)
         for effect in effects:
             EFFECTS.call(self, effect)
 
     def send(self, order: Order) -> None:
-        """Sends an order on this thread, if the lease is still held."""
+        """Sends a fenced command on this thread, if the lease is still valid."""
         done = False
         free = order.kind is OrderKind.UNLOAD or may_fetch_weights(
             self.settings.weight_store_url, order.version, ORDER_TIMEOUT_MS
@@ -146,7 +146,7 @@
         self.post(OrderEnded(order, done))
 
     def submit_order(self, order: Order) -> None:
-        """Sends an order on the thread pool."""
+        """Sends a fenced command on the thread pool."""
         self._orders.submit(self.send, order)
 
     def _lease_status(self) -> tuple[str, bool]:
--- a/ashlatch/control/event.py
+++ b/ashlatch/control/event.py
@@ -2,7 +2,7 @@
 ashlatch.control.event
 ~~~~~~~~~~~~~~~~~~~~~~
 
-The events that a control process's reducer handles, and the effects that it returns.
+The events that the core of a control process handles, and the effects that it returns.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -88,13 +88,13 @@
 
 @dataclass(frozen=True)
 class RatingsRead:
-    """New ratings."""
+    """The ratings read from the rating service since the last read."""
 
     ratings: tuple[VersionRating, ...]
 
 
 class OrderKind(enum.Enum):
-    """The action that an engine is ordered to take."""
+    """The action that a fenced command requests from an engine."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True)
 class OrderEnded:
-    """An order has ended; `done` is whether the engine carried it out."""
+    """A fenced command has ended; `done` is set if the engine accepted it."""
 
     order: Order
     done: bool
@@ -149,7 +149,7 @@
 
 @dataclass(frozen=True)
 class SendOrder:
-    """Sends an order, if the lease is still held right before."""
+    """Sends a fenced command, if the lease is still valid right before."""
 
     order: Order
 
--- a/ashlatch/control/placement.py
+++ b/ashlatch/control/placement.py
@@ -2,9 +2,9 @@
 ashlatch.control.placement
 ~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Orders engines to load the versions that their pool should serve and to unload withdrawn
-ones. An endpoint has one order at a time. An order is repeated only after it has ended,
-and with the same id while the epoch is the same.
+Sends engines fenced commands to load the versions that their pool should serve and to
+unload withdrawn ones. An endpoint has one command at a time. A command is repeated only
+after it has ended, and with the same id while the epoch is the same.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class OrderGiven(LogEvent):
-    """A placement order was issued."""
+    """A fenced command was issued to an engine."""
 
     event: ClassVar[str] = "order_given"
     order: str
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class OrderOutcome(LogEvent):
-    """An order has ended."""
+    """A fenced command has ended."""
 
     event: ClassVar[str] = "order_ended"
     order: str
@@ -77,7 +77,7 @@
 @HANDLERS.on(OrderEnded)
 def _order_ended(core: ControlCore, event: OrderEnded) -> None:
     core.orders.pop(event.order.endpoint, None)
-    # The pool's report lags; without a pause the order would be issued again.
+    # The pool's report lags; without a pause the command would be issued again.
     core.next_order_ms[event.order.endpoint] = core.now_ms + NEXT_ORDER_MS
     core.write_log(OrderOutcome(event.order.order_id, event.order.endpoint, event.done))
 
--- a/ashlatch/fleet/daemon.py
+++ b/ashlatch/fleet/daemon.py
@@ -4,7 +4,7 @@
 
 The process of a core VM: a member of the replicated log, the operators' API and the
 distribution of state to the gateways. Gateways and the other core VMs send `SYNC`
-requests, which are held until there are updates. Core VMs get updates from the leader,
+requests, which wait until there are updates. Core VMs get updates from the leader,
 and each gateway gets them from the core VM that it syncs with.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
@@ -399,12 +399,12 @@
         return tuple(m.address for m in self.group.status.members.everyone())
 
     def _join_addresses(self) -> tuple[str, ...]:
-        """Returns the addresses to ask for the leader: the members and the seeds."""
+        """Returns the addresses that join requests go to: the members and the seeds."""
         addresses = (*self._member_addresses(), *self._seeds.addresses)
         return tuple(dict.fromkeys(addresses))
 
     def _on_group_changed(self) -> None:
-        """Answers held sync requests after a commit or a change of the leader."""
+        """Answers waiting sync requests after a commit or a change of the leader."""
         self._soft_state.notify_changed()
         self._rollout_controller.observe(self._current_rollouts(), monotonic_ms())
         status = self.group.status
--- a/ashlatch/fleet/evaluation.py
+++ b/ashlatch/fleet/evaluation.py
@@ -141,8 +141,8 @@
 ) -> Decision:
     """Returns the stage and share that a roll-out should have now.
 
-    `ready` says whether endpoints of the new version are known to be ready, `plain`
-    whether the service has no model engines. The `plan` limits the exposure to a
+    `ready` is set if an endpoint of the new version may get requests, `plain` if the
+    service has no model engines. The `plan` limits the exposure to a
     version that may be bad.
     """
     if not ready and rollout.share == 0:
@@ -360,7 +360,7 @@
 
     @property
     def exceeds_chance(self) -> bool:
-        """Whether the new version is late more often than chance explains."""
+        """Checks whether the new version is late more often than chance explains."""
         expected = _expected_count(self.timed, self.other_late, self.other_timed)
         return _exceeds_chance(self.late, expected)
 
--- a/ashlatch/fleet/leader_link.py
+++ b/ashlatch/fleet/leader_link.py
@@ -33,7 +33,7 @@
 
 log = logging.getLogger("ashlatch.fleet")
 
-# A leader that has not answered this long after the wait is asked again.
+# The leader's answer is awaited for this long after the requested wait.
 TIMEOUT_MARGIN_S = 0.7
 RETRY_S = 0.2
 
@@ -62,8 +62,8 @@
                 await asyncio.sleep(RETRY_S)
                 continue
             tallies = self.soft_state.tallies.take()
-            reads = self.soft_state.take_prefills()
-            request = self._sync_request(self.wait_ms, tallies, reads)
+            prefills = self.soft_state.take_prefills()
+            request = self._sync_request(self.wait_ms, tallies, prefills)
             timeout_s = self.wait_ms / 1000.0 + TIMEOUT_MARGIN_S
             try:
                 reply: SyncReply = await self.peers.peer(leader).call(
@@ -73,7 +73,7 @@
                 # Gateways see the loss through `current`; the log shows it with the
                 # group status.
                 self.soft_state.tallies.add(tallies)
-                self.soft_state.add_prefills(reads)
+                self.soft_state.add_prefills(prefills)
                 await asyncio.sleep(RETRY_S)
                 continue
             self.soft_state.apply_reply(reply)
@@ -84,7 +84,7 @@
         """Sends the leader at once what cannot wait for the next sync.
 
         These are sessions that a load test has moved and requests that crashed
-        endpoints. The sync request of `sync_with_leader` may be held for half a second
+        endpoints. The sync request of `sync_with_leader` may wait for half a second
         more. If this call fails, the next sync request carries the reports.
         """
         while True:
--- a/ashlatch/fleet/machine.py
+++ b/ashlatch/fleet/machine.py
@@ -86,7 +86,7 @@
     """Reports of gateways on requests that crash endpoints or complete normally.
 
     They are replicated because a request that is refused must stay refused after all
-    VMs have lost power: its caller sends it again, and no other process remembers it.
+    VMs have lost power: its caller sends it again, and no other process stores it.
     """
 
     records: tuple[CrashRecord, ...]
--- a/ashlatch/fleet/membership.py
+++ b/ashlatch/fleet/membership.py
@@ -48,7 +48,7 @@
 ) -> tuple[Member, float] | None:
     """Returns the member that the leader should remove, with its unresponsive time.
 
-    Candidates are learners that never came up and voters beyond the required number.
+    Candidates are unresponsive learners, and voters beyond the required number.
     """
     spare_voters = len(status.members.voters) - (2 * losses_max + 1)
     unresponsive: tuple[Member, float] | None = None
--- a/ashlatch/fleet/prefix_caches.py
+++ b/ashlatch/fleet/prefix_caches.py
@@ -2,9 +2,9 @@
 ashlatch.fleet.prefix_caches
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Reads the prefix caches of engines. Gateways send each other the prompts that they send
-to engines, but this information is lost when all VMs of ashlatch lose power, while the
-engines keep their caches. A new leader therefore asks each engine once, so that prompts
+Reads the prefix caches of engines. Gateways report to the core which prompts they send
+to engines, but these reports are lost when all VMs of ashlatch lose power, while the
+engines keep their caches. A new leader therefore reads each cache once, so that prompts
 are not prefilled again in the seconds after the loss, when most requests wait.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
--- a/ashlatch/fleet/protocol.py
+++ b/ashlatch/fleet/protocol.py
@@ -45,7 +45,7 @@
 
 
 class SyncRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Requests updates; held until there are some.
+    """Requests updates; answered once there are some, or after `wait_ms`.
 
     `gateways` are the gateways that have recently synced with the sender, including the
     sender if it is a gateway. `tallies` are counts since its last request, `sessions`
@@ -86,11 +86,10 @@
     ago the platform's list was read. `prefills` are prompts that engines have
     prefilled, up to the position `prefills_known`. `rates` are the engines' prefill
     rates as observed by the gateways that sync with this core VM. Neither `prefills`
-    nor `rates` cause a held request to be answered. `crashes` are the changed records
-    of requests that crashed endpoints, up to the change `crashes_known`. `evacuations`
-    is unset if the sender knows the newest one. `endpoints_age_ms` is how long ago
-    `endpoints` was first read, from which the remaining cold times of its endpoints
-    count.
+    nor `rates` end the wait of a request. `crashes` are the changed records of requests
+    that crashed endpoints, up to the change `crashes_known`. `evacuations` is unset
+    if the sender knows the newest one. `endpoints_age_ms` is how long ago `endpoints`
+    was first read, from which the remaining cold times of its endpoints count.
     """
 
     current: bool
@@ -117,7 +116,10 @@
 
 
 class JoinReply(msgspec.Struct, frozen=True):
-    """Says whether the core VM is a member, and where the leader is if known."""
+    """The answer to a `JoinRequest`.
+
+    `known` is set if the core VM is a member; `leader_address` is empty if unknown.
+    """
 
     known: bool
     leader_address: str
--- a/ashlatch/fleet/soft_state.py
+++ b/ashlatch/fleet/soft_state.py
@@ -36,7 +36,7 @@
 # Sessions are reported only before a trial; older reports belong to an earlier trial.
 SESSION_REPORT_MAX_AGE_MS = 10_000.0
 # Before a core VM has run for this long, some gateways have not synced with it yet, and
-# its own list of gateways must not make others forget any: each gateway syncs every
+# its own list of gateways must not make others drop any: each gateway syncs every
 # half second, and so do the other core VMs.
 GATEWAYS_SETTLE_MS = 1500.0
 # The number of prefills that wait for a leader; older ones are useless by then.
@@ -165,12 +165,12 @@
 
     @property
     def endpoints_age_ms(self) -> float:
-        """How long ago the endpoints were first read in their present form."""
+        """The time since the endpoints were first read in their present form."""
         return monotonic_ms() - self._endpoints_changed_ms
 
     @property
     def leader_reachable(self) -> bool:
-        """Whether the leader has replied recently."""
+        """Checks whether the leader has replied recently."""
         return monotonic_ms() - self._leader_reply_ms < LEADER_TIMEOUT_MS
 
     def apply_reply(self, reply: SyncReply) -> None:
@@ -213,7 +213,7 @@
         They sync with this VM, or with another one that syncs with it, within half a
         second. Without this, a new leader reported to all that there were no gateways:
         a session moved in that time was announced to no gateway, and each gateway used
-        the whole retry budget for itself.
+        the whole repeat budget for itself.
         """
         now_ms = monotonic_ms()
         for gateway in self.gateways:
@@ -260,7 +260,7 @@
         return None if starting and request.gateways_known else self.gateways
 
     def notify_changed(self) -> None:
-        """Wakes held requests to check for updates."""
+        """Wakes waiting requests to check for updates."""
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -275,7 +275,7 @@
 
 
 def has_updates(reply: SyncReply) -> bool:
-    """Checks whether a reply contains an update that ends a held request."""
+    """Checks whether a reply contains an update that ends the wait of a request."""
     listed = reply.endpoints is not None
     evacuated = reply.evacuations is not None
     commanded = reply.document or reply.rollouts or evacuated
--- a/ashlatch/gateway/attempt.py
+++ b/ashlatch/gateway/attempt.py
@@ -38,7 +38,7 @@
 
 
 class FailureKind(enum.Enum):
-    """How a send ended without a valid answer.
+    """The kind of failure of a send that brought no valid answer.
 
     After `UNREACHABLE`, `REFUSED`, `MISDIRECTED` and `CLOSED` the request has not run;
     after any other kind it may have. `MISDIRECTED` comes from another endpoint, which
@@ -201,9 +201,9 @@
         assert self.head is not None
         connection = self._detach_connection()
         if connection.release(self._loop.time()):
-            kept_max = self._connections_max - self.state.load.in_flight + 1
+            idle_max = self._connections_max - self.state.load.in_flight + 1
             self._pool.release(
-                self.state.endpoint, connection, self.head.idle_s, kept_max
+                self.state.endpoint, connection, self.head.idle_s, idle_max
             )
         self._release_slot()
 
--- a/ashlatch/gateway/budget.py
+++ b/ashlatch/gateway/budget.py
@@ -56,7 +56,7 @@
         self._requests += 1
 
     def spend(self, now_ms: float, gateways: int) -> bool:
-        """Spends one repeat, if one is left in the window; returns whether it was."""
+        """Spends one repeat, if one is left in the window; returns whether one was."""
         step = self._step(now_ms)
         extra = self.terms.extra / max(1, gateways)
         allowed = USABLE_SHARE * (self.terms.ratio * self._requests + extra)
--- a/ashlatch/gateway/choice.py
+++ b/ashlatch/gateway/choice.py
@@ -33,7 +33,7 @@
 ]
 
 
-# An answer with a lower confidence is asked again of the largest model.
+# If the confidence of an answer is lower, the request is sent to the largest model.
 CONFIDENCE_MIN = 50.0
 # Engines serve prompts in classes by their prefill time, bounded by these values,
 # shorter ones first; within a class the priority of the route or organisation decides.
@@ -52,10 +52,10 @@
 class EscalationDecision(enum.Enum):
     """The decision about an answer that has begun at a chosen model.
 
-    `GOOD` answers and those of the largest model are forwarded. Other answers are asked
-    again of the largest model that would answer in time (`ESCALATE`), unless none would
-    (`NO_TIME`), no attempt is left (`NO_ATTEMPT`) or no repeat is left in the budget
-    (`NO_BUDGET`).
+    `GOOD` answers and those of the largest model are forwarded. Instead of forwarding
+    any other answer, the gateway sends the request to the largest model that would
+    answer in time (`ESCALATE`), unless none would (`NO_TIME`), no attempt is left
+    (`NO_ATTEMPT`) or no repeat is left in the budget (`NO_BUDGET`).
     """
 
     GOOD = "good"
--- a/ashlatch/gateway/chooser.py
+++ b/ashlatch/gateway/chooser.py
@@ -32,7 +32,7 @@
 # more.
 EVACUATED_RETRY_AFTER_S = 2.0
 # The share of the target in which a smaller model should begin its answer, since half
-# of these answers are asked again of the largest model.
+# of these requests are then sent to the largest model.
 SMALLER_MODEL_TARGET_SHARE = 0.35
 # The reason of a refusal, by the reason why the endpoint that opens first is denied.
 _REFUSAL_REASONS = {
--- a/ashlatch/gateway/cold.py
+++ b/ashlatch/gateway/cold.py
@@ -20,17 +20,17 @@
 ]
 
 
-# When all VMs start together, each gateway first receives a few of the others, and
+# When all VMs start together, each gateway first knows only a few of the others, and
 # would assume that it may send to endpoints that many gateways share. All gateways have
 # contacted the core after 1.5 s.
 GATEWAYS_KNOWN_MS = 2000.0
 
 
 class ColdSendLimiter:
-    """Computes this gateway's shares, once as long as the gateways are the same.
+    """Computes how often this gateway may send to each cold endpoint.
 
-    `local` is this gateway as the others know it. It sends to no cold endpoint before
-    it has received the other gateways.
+    The intervals are cached until the set of gateways changes. `local` is the entry of
+    this gateway in that set. Nothing is sent to a cold endpoint before it is known.
     """
 
     def __init__(self, local: GatewayVm | None = None) -> None:
@@ -45,7 +45,7 @@
             self._gateways_known_ms = now_ms + GATEWAYS_KNOWN_MS
 
     def knows_gateways(self, now_ms: float) -> bool:
-        """Checks whether this gateway knows the others; a single gateway has none."""
+        """Checks whether the other gateways are known; none exist without `local`."""
         return self.local is None or now_ms >= self._gateways_known_ms
 
     def wait_ms(
--- a/ashlatch/gateway/context.py
+++ b/ashlatch/gateway/context.py
@@ -53,9 +53,9 @@
 
     `probes` holds, by endpoint id, the running checks whether an endpoint's process
     has ended. `report_crashes` triggers a report to the core of the crashes that
-    `quarantine` recorded here. `cold_gate` decides which endpoints that have just
+    `quarantine` recorded here. `cold_limiter` decides which endpoints that have just
     started may receive requests from this gateway. `core_reachable` and
-    `peers_reachable` tell whether messages from the core and from the other gateways
+    `peers_reachable` are set while messages from the core and from the other gateways
     arrive, as far as is known. `next_retry_ms` gives, by service, the retry time for
     the next caller that finds no endpoint with capacity in its rate limit.
     """
@@ -96,7 +96,7 @@
         self.pool.drop(instance)
 
     def budget(self, service: str) -> RepeatBudget:
-        """Returns the retry budget of a service; creates it on first use."""
+        """Returns the repeat budget of a service; creates it on first use."""
         found = self.budgets.get(service)
         if found is None:
             found = self.budgets[service] = RepeatBudget(self.budget_terms)
--- a/ashlatch/gateway/core_selection.py
+++ b/ashlatch/gateway/core_selection.py
@@ -4,9 +4,9 @@
 
 Selects the core VM that a gateway syncs with: one of its own hall while that one is
 connected to the leader, since traffic within a hall is free. Every core VM has the
-same updates; if 195 gateways in five halls synced with any of five core VMs, four in
-five of all answers would cross between halls, 156 copies of what the five core VMs
-have.
+same updates. If each of 195 gateways in five halls synced with any of the five core
+VMs, 156 copies of each update, four in five, would cross between halls, although a core
+VM in each hall has it already.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
--- a/ashlatch/gateway/daemon.py
+++ b/ashlatch/gateway/daemon.py
@@ -183,7 +183,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether callers should send requests to this gateway."""
+        """Checks whether callers should send requests to this gateway."""
         return self._sync.ready and not self.listener.stopping
 
     async def _handle_ready(self, request: HttpRequest, responder: Responder) -> None:
--- a/ashlatch/gateway/directory.py
+++ b/ashlatch/gateway/directory.py
@@ -74,9 +74,9 @@
     when its process or its VM was last found to have ended. `unanswered` counts the
     requests sent there that have no head of an answer yet, `pending_timeouts` holds
     the timeouts of those waits that may be abandoned. `advertised_load` is the load
-    that gateways have broadcast of it. `evacuated` tells whether its hall is
-    evacuated, `last_sent_ms` when this gateway last sent a request there.
-    `announced_leaving` tells whether it said in an answer that it is about to stop.
+    that gateways have broadcast of it. `evacuated` is set while its hall is
+    evacuated. `last_sent_ms` is when this gateway last sent a request there.
+    `announced_leaving` is set once an answer has said that it is about to stop.
     """
 
     endpoint: Endpoint
@@ -122,7 +122,7 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether it is about to stop, by the list or by its own answers."""
+        """Checks whether it is about to stop, by the list or by its own answers."""
         return self.endpoint.leaving or self.announced_leaving
 
     def permission(self, now_ms: float) -> Permission:
@@ -198,7 +198,7 @@
         if figures.waiting == 0:
             # At most one prompt is being prefilled there. Without this correction,
             # prefill times that were estimated too high, as after a start, add up to
-            # work that does not exist, and the largest model is never asked.
+            # work that does not exist, and the largest model gets no requests.
             self.workload.clear_queue(now_ms)
 
     def requests(self, now_ms: float) -> float:
@@ -257,7 +257,7 @@
 class Directory:
     """Holds the listed endpoints by service; ignores lists older than the current one.
 
-    `list_version` is the epoch and number of the current list, `listed_ms` when the
+    `list_order` is the epoch and number of the current list, `listed_ms` when the
     platform was last known to list these endpoints. `on_restart` is called with the
     id of an endpoint that has restarted. `evacuations` is the latest state of
     evacuations received from the core.
--- a/ashlatch/gateway/exchange.py
+++ b/ashlatch/gateway/exchange.py
@@ -212,11 +212,11 @@
         return True
 
     def _escalates(self, attempt: Attempt, head: AnswerHead) -> bool:
-        """Decides whether to ask a larger model instead of forwarding this answer."""
+        """Decides whether to use a larger model instead of forwarding this answer."""
         if not self._model or self._record.events:
             return False
         larger = larger_models(self._route, self._model, head.confidence)
-        # A larger model may be asked at the same endpoint.
+        # A larger model may run at the same endpoint.
         self._chooser.tried.discard(attempt.state.endpoint.instance)
         model, expected_ms = self._chooser.first_model_in_time(larger)
         decision = self._decide_escalation(larger, model)
@@ -237,7 +237,7 @@
     def _decide_escalation(
         self, larger: tuple[str, ...], model: str
     ) -> EscalationDecision:
-        """Decides whether to ask a larger model; spends the repeat for it."""
+        """Decides whether to use a larger model; spends the repeat for it."""
         if not larger:
             return EscalationDecision.GOOD
         if self._record.sends >= self._attempts_max:
--- a/ashlatch/gateway/fingerprint.py
+++ b/ashlatch/gateway/fingerprint.py
@@ -2,8 +2,8 @@
 ashlatch.gateway.fingerprint
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Identifies equal requests. Each try of a caller has an id of its own and may come to any
-gateway; what it asks for stays the same.
+Identifies equal requests. Each time that a caller repeats a request, the repeat has
+another id and may arrive at any gateway; only its content stays the same.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -42,5 +42,5 @@
 
 
 def format_fingerprint(fingerprint: int) -> str:
-    """Returns a fingerprint in the form used in logs."""
+    """Formats a fingerprint for logs."""
     return f"{fingerprint:016x}"
--- a/ashlatch/gateway/limits.py
+++ b/ashlatch/gateway/limits.py
@@ -42,8 +42,8 @@
 class LimitReport:
     """The limit that was reported in the answer to a request sent at `sent_ms`.
 
-    `executed` is whether the endpoint has executed the request: an endpoint that
-    refuses requests may leave out the limit.
+    `was_run` is whether the endpoint has run the request: an endpoint that refuses
+    requests may leave out the limit.
     """
 
     request_id: str
@@ -159,5 +159,5 @@
 
 
 def _limit_sharing(context: GatewayContext) -> LimitSharing:
-    in_touch = context.core_reachable and context.peers_reachable
-    return LimitSharing(max(1, len(context.gateways)), in_touch)
+    connected = context.core_reachable and context.peers_reachable
+    return LimitSharing(max(1, len(context.gateways)), connected)
--- a/ashlatch/gateway/logs.py
+++ b/ashlatch/gateway/logs.py
@@ -495,7 +495,7 @@
 class TrafficCounted(LogEvent):
     """Traffic of one kind since the start of the process.
 
-    `crosses` tells whether it passed between halls.
+    `crosses` is set for traffic between halls.
     """
 
     event: ClassVar[str] = "traffic_counted"
--- a/ashlatch/gateway/message.py
+++ b/ashlatch/gateway/message.py
@@ -123,7 +123,7 @@
     `limit_per_s` is how many requests per second the endpoint accepts from all gateways
     together: infinite if it announces no limit, None if the limit is not readable.
     `backoff_ms` is for how long it wants no requests from this gateway, 0 if it does
-    not say so. `leaving` tells whether it announces that it is about to stop.
+    not say so. `leaving` is set if it announces that it is about to stop.
     """
 
     status: int
--- a/ashlatch/gateway/recipients.py
+++ b/ashlatch/gateway/recipients.py
@@ -50,10 +50,11 @@
     gateways: tuple[GatewayVm, ...],
     generator: random.Random,
 ) -> Recipients:
-    """Returns who receives the update about a prompt with a prefill of `prefill_ms`.
+    """Returns the recipients of the update about a prompt with a given prefill time.
 
-    Nobody for short prompts. For others the gateways of the local hall and of the
-    engine's, which are the most likely to send there; all gateways for long ones.
+    There are none for a short prompt. For a longer one they are the gateways of the
+    local hall and of the engine's, which are the most likely to send there; for a long
+    one they are all gateways.
     """
     if prefill_ms < SEND_MIN_MS:
         return Recipients()
@@ -69,7 +70,7 @@
     gateways: tuple[GatewayVm, ...],
     generator: random.Random,
 ) -> Recipients:
-    """Returns who receives the update about an endpoint's load.
+    """Returns the recipients of the update about an endpoint's load.
 
     `level` is the share of its slots in use, in quarters. The gateways of the local
     hall and of the endpoint's receive it; all gateways if the endpoint is full, since
--- a/ashlatch/gateway/request_record.py
+++ b/ashlatch/gateway/request_record.py
@@ -127,7 +127,7 @@
         endpoint = choice.state.endpoint
         parts = self._admission.request.prompt_parts
         engine = self._admission.service.engine
-        memory_tokens = engine.memory_tokens if engine else 0
+        cache_tokens = engine.memory_tokens if engine else 0
         choice.state.workload.add(choice.forecast.prefill_ms, self._now_ms())
         context.broadcast(
             PromptSent(endpoint.instance, round(choice.forecast.prefill_ms, 1))
@@ -136,7 +136,7 @@
             endpoint.instance, model, parts, self._now_ms()
         )
         context.prefix_caches.record_prefill(
-            endpoint.instance, model, parts, memory_tokens, self._now_ms()
+            endpoint.instance, model, parts, cache_tokens, self._now_ms()
         )
 
     def record_traffic(self, attempt: Attempt) -> None:
@@ -205,7 +205,7 @@
         expected_ms: float,
         decision: EscalationDecision,
     ) -> None:
-        """Records whether an answer that has begun is forwarded or asked again."""
+        """Records whether an answer is forwarded or the request is escalated."""
         assert attempt.head is not None
         load = attempt.head.load
         event = AnswerEvaluated(
@@ -298,7 +298,7 @@
             emit(log, event, logging.WARNING)
 
     def record_end(self, status: int, reason: str) -> None:
-        """Records the final answer; `reason` is set if it is the gateway's own."""
+        """Records the final answer; `reason` is set if the gateway made it itself."""
         now_s = self._loop.time()
         received_s = self._admission.request.received_s
         took_ms = (now_s - received_s) * 1000
--- a/ashlatch/gateway/retry_time.py
+++ b/ashlatch/gateway/retry_time.py
@@ -54,7 +54,7 @@
     """Returns when a caller should retry if all endpoints are denied for some time.
 
     Callers get successive times, at the rate at which the endpoints accept requests
-    from this gateway: with the same time they would all return at once. Returns none if
+    from this gateway: with the same time they would all return at once. Returns None if
     an endpoint is open, or if none opens on its own at a known time.
     """
     permissions = [(send_permission(context, service, s, now_ms), s) for s in states]
--- a/ashlatch/gateway/session_updates.py
+++ b/ashlatch/gateway/session_updates.py
@@ -2,9 +2,9 @@
 ashlatch.gateway.session_updates
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Broadcasts to the other gateways what they need to know of a session when one of its
-requests is sent, so that its next request, which may come through any of them, runs on
-the same version.
+Broadcasts the version of a session to the other gateways when one of its requests is
+sent, if they cannot derive it, so that the next request of the session, which may
+arrive at any of them, runs on the same version.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -18,8 +18,8 @@
 ]
 
 
-# Datagrams are lost at times, so each update is sent this often. Each copy is relayed
-# within a hall by a different gateway.
+# Datagrams are lost at times, so each update is sent this many times. Each copy is
+# relayed within a hall by a different gateway.
 COPIES = 2
 
 
@@ -34,8 +34,8 @@
         context.metrics.count("sessions_announced")
         for _ in range(COPIES):
             context.broadcast(SessionActive(service, awaited_version, hash_value))
-    isolated = not context.peers_reachable
-    if versions.record_move(service, session, version, now_ms, isolated):
+    unavailable = not context.peers_reachable
+    if versions.record_move(service, session, version, now_ms, unavailable):
         context.metrics.count("sessions_told")
         context.broadcast(SessionMoved(service, session, version))
     versions.sessions.record(service, session, version, now_ms)
--- a/ashlatch/gateway/sessions.py
+++ b/ashlatch/gateway/sessions.py
@@ -2,7 +2,7 @@
 ashlatch.gateway.sessions
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Keeps what a gateway knows of sessions: the version that answered each last, and the
+The sessions known to a gateway: the version that last answered each of them, and the
 sessions that all gateways have to route alike during a roll-out.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
@@ -23,7 +23,7 @@
     "session_hash",
 ]
 
-# Sessions are forgotten this long after their end.
+# Sessions are dropped this long after their end.
 SESSION_MARGIN_MS = 1000.0
 SESSIONS_MAX = 20_000
 # The number of session hashes, which are exchanged between all gateways.
@@ -49,7 +49,7 @@
     _last_requests: dict[str, _LastRequest] = field(default_factory=dict)
 
     def record(self, service: str, session: str, version: str, now_ms: float) -> None:
-        """Records a request of the session that is or was until now at this version."""
+        """Records a request of the session that runs, or has just run, on a version."""
         if not session:
             return
         self._last_requests.pop(f"{service}/{session}", None)
@@ -70,7 +70,7 @@
             self.record(service, session, version, now_ms)
 
     def running(self, service: str, now_ms: float) -> list[str]:
-        """Returns the sessions of a service that had a request recently."""
+        """Returns the sessions of a service that still run."""
         prefix = f"{service}/"
         oldest_ms = now_ms - self.session_ms - SESSION_MARGIN_MS
         return [
--- a/ashlatch/gateway/sync.py
+++ b/ashlatch/gateway/sync.py
@@ -2,7 +2,7 @@
 ashlatch.gateway.sync
 ~~~~~~~~~~~~~~~~~~~~~
 
-Keeps a gateway up to date: it polls a core VM for updates and learns the addresses of
+Keeps a gateway up to date: it polls a core VM for updates and takes the addresses of
 the core VMs from each answer. While no core VM is connected to its leader, the gateway
 keeps serving with the state it has and reads the platform's list itself.
 
@@ -56,7 +56,7 @@
 # time may not answer yet: one that does not answer within this time is abandoned.
 FIRST_TIMEOUT_S = 0.3
 # The seeds in the settings file may change without a signal. While no core VM
-# answers, the file is read again after this time, and each time it has passed again.
+# answers, the file is read again at this interval.
 REFRESH_MS = 3000.0
 # The range of pauses between attempts to return to a core VM of the local hall. They
 # are random so that gateways do not all return at once when their core VM is back.
@@ -113,7 +113,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether requests may be served with the current state.
+        """Checks whether requests may be served with the current state.
 
         That needs a configuration and endpoints, and either one answer of a core VM
         that was connected to its leader or a time of waiting for it.
@@ -129,7 +129,7 @@
 
     @property
     def stale(self) -> bool:
-        """Whether this process was suspended and has not synced with the core since.
+        """Checks whether the process was suspended and has not synced since.
 
         While its VM was suspended or frozen, a key may have been removed, a version
         withdrawn or an endpoint replaced. A core that is known to be unreachable does
@@ -278,7 +278,7 @@
         )
 
     def _wait_and_timeout(self) -> tuple[float, float]:
-        """Returns how long the core may hold a request, and the timeout of the call."""
+        """Returns how long the core may delay its answer, and the call's timeout."""
         if self._last_current_ms == float("-inf"):
             return 0.0, FIRST_TIMEOUT_S
         return self._wait_ms, self._wait_ms / 1000.0 + TIMEOUT_MARGIN_S
--- a/ashlatch/gateway/timeouts.py
+++ b/ashlatch/gateway/timeouts.py
@@ -44,10 +44,11 @@
 
 @dataclass(frozen=True)
 class AnswerTimeout:
-    """How long an endpoint may be silent, and whether the send is abandoned then.
+    """The time that an endpoint may be silent before a send is abandoned.
 
-    Silence alone does not end an answer: `may_give_up` checks whether the request can
-    continue elsewhere. Otherwise it waits until the deadline of the request.
+    `silence_s` is None if there is no limit. After that time `may_give_up` checks
+    whether the request can continue elsewhere. If not, the send goes on until the
+    deadline of the request.
     """
 
     silence_s: float | None
--- a/ashlatch/gateway/updates.py
+++ b/ashlatch/gateway/updates.py
@@ -135,7 +135,7 @@
 
 
 class BackoffRequested(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """An endpoint turned a request away and asked its gateway to back off.
+    """An endpoint refused a request and asked its gateway for a backoff.
 
     With `relay_to_hall`, the receiver forwards the update to the other gateways of its
     hall.
--- a/ashlatch/gateway/versions.py
+++ b/ashlatch/gateway/versions.py
@@ -47,11 +47,11 @@
 
     `SESSION`: the session ran on the new version before, as far as this gateway knows.
     `MOVED`: a load test moved it, at any gateway. `STAYS`: it ran on the old version,
-    and a trial leaves it there. `HELD`: it was running when the trial began, at any
-    gateway. `SHARE`: its hash is within the share of the new version, or beyond it.
-    `LOAD_TEST`: the endpoint under test has capacity. `UNLISTED`: no endpoint of the
-    preferred version is listed. `SPARED`: no endpoint of the new version can be sent to
-    now.
+    and a trial leaves it there. `RUNNING`: it ran on the old version when the trial
+    began, at any gateway. `SHARE`: its hash is within the share of the new version, or
+    beyond it. `LOAD_TEST`: the endpoint under test has capacity. `UNLISTED`: no
+    endpoint of the preferred version is listed. `SPARED`: no endpoint of the new
+    version can be sent to now.
     """
 
     NO_ROLLOUT = "no_rollout"
@@ -72,7 +72,7 @@
     """The endpoints that a request may run on, and the reason for them.
 
     `session_age_ms` is the time since the last request of the session at this gateway,
-    below 0 if there was none or it is forgotten. `fallback` are endpoints that serve as
+    below 0 if none is known. `fallback` are endpoints that serve as
     well while none of `states` can be sent to.
     """
 
@@ -166,8 +166,8 @@
 
         Returns whether its session has to be broadcast: when a load test moves it
         beyond the share, which all gateways know, and as long as some gateways may not
-        have received the start of the trial. An `isolated` gateway has no datagrams, so
-        it does not receive which sessions ran before.
+        have received the start of the trial. With `peers_unavailable`, this gateway has
+        no datagrams, so it does not receive which sessions ran before.
         """
         rollout = self.rollouts.get(service)
         if not session or rollout is None or rollout.version != version:
@@ -187,7 +187,11 @@
     def _starts_in_trial(
         self, rollout: Rollout, hash_value: int, now_ms: float, peers_unavailable: bool
     ) -> bool:
-        """Checks whether both a session of the trial's share and the trial are new."""
+        """Checks whether a session of the trial's share has to be broadcast.
+
+        That is so if it was not broadcast before, and either some gateways may not have
+        received the start of the trial or this gateway has no datagrams.
+        """
         age_ms = now_ms - self._trial_begun_ms.get(rollout.service, float("-inf"))
         moves = self._moves_to(rollout.service, rollout.version)
         if (
@@ -307,16 +311,20 @@
                 continue
             sessions = self.sessions.running(rollout.service, now_ms)
             hashes = (session_hash(rollout.version, s) for s in sessions)
-            movable = tuple(m for m in hashes if m < MOVABLE_SHARE * HASH_RANGE)
+            movable = tuple(h for h in hashes if h < MOVABLE_SHARE * HASH_RANGE)
             found.append(SessionHashes(rollout.service, movable))
         return tuple(found)
 
     def _trial_start_hashes(self, rollout: Rollout) -> frozenset[int]:
-        held = self._trial_start_cache.get(rollout.service)
-        if held is None or held[0] != rollout.number:
-            held = (rollout.number, frozenset(rollout.held))
-            self._trial_start_cache[rollout.service] = held
-        return held[1]
+        """Returns the hashes of the sessions that ran when the trial began.
+
+        The set is built once for each record of a roll-out.
+        """
+        cached = self._trial_start_cache.get(rollout.service)
+        if cached is None or cached[0] != rollout.number:
+            cached = (rollout.number, frozenset(rollout.held))
+            self._trial_start_cache[rollout.service] = cached
+        return cached[1]
 
     def _number(self, service: str) -> int:
         rollout = self.rollouts.get(service)
@@ -345,7 +353,7 @@
 def _testable(state: EndpointState, now_ms: float) -> bool:
     """Checks whether all gateways may test an endpoint, as far as each of them knows.
 
-    A backoff is known to this gateway alone, so it doesn't count: otherwise only this
+    A backoff is known to this gateway alone, so it is ignored: otherwise only this
     gateway would test another endpoint.
     """
     if state.cold(now_ms) or state.limit.limited:
--- a/ashlatch/policy/backoff.py
+++ b/ashlatch/policy/backoff.py
@@ -2,8 +2,8 @@
 ashlatch.policy.backoff
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-Tracks how long an endpoint has asked this process, and other processes, to send it no
-requests.
+Tracks the backoffs that an endpoint has requested from this process and from others:
+times in which it gets no requests.
 
 An endpoint that sheds its requests looks idle. Without a backoff it would be chosen
 for all new requests and all retries until it serves again.
--- a/ashlatch/policy/cold.py
+++ b/ashlatch/policy/cold.py
@@ -4,8 +4,8 @@
 
 Limits how often each gateway sends to a cold endpoint: one that has just started, and
 that fails when all gateways together send it more requests a second than operators
-have configured. Gateways learn of each other's sends too late to count them, so each
-gateway keeps to a bound of its own.
+have configured. Gateways receive each other's sends too late to count them, so each
+gateway has a limit of its own.
 
 This guards against the load when the endpoints of a hall restart together. They are
 idle while requests wait everywhere, so each gateway finds them the best choice at the
--- a/ashlatch/policy/permission.py
+++ b/ashlatch/policy/permission.py
@@ -2,8 +2,8 @@
 ashlatch.policy.permission
 ~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Combines the conditions that an endpoint reports and that operators set into one answer:
-whether this process may send a request to the endpoint now, and if not, when.
+Combines the restrictions that an endpoint reports and that operators set into one
+decision: whether this process may send a request to the endpoint now, and if not, when.
 """
 
 import enum
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Permission:
-    """States whether a request may be sent; if not, why and for how long not.
+    """The decision whether a request may be sent; if not, the reason and the wait.
 
     `wait_ms` is infinite for a reason without a known end.
     """
--- a/ashlatch/policy/quarantine.py
+++ b/ashlatch/policy/quarantine.py
@@ -51,7 +51,7 @@
 # How often a record is reported to the core at most, several times a second: a core
 # without capacity for the record does not confirm it.
 REPORTS_MAX = 20
-# The number of records that are kept; those in quarantine are dropped last. A crash
+# The largest number of records; those in quarantine are dropped last. A crash
 # leaves a few dozen suspects, and all records are sent to each gateway that starts.
 RECORDS_MAX = 512
 
@@ -168,7 +168,7 @@
 
     def since(self, number: int) -> tuple[CrashRecord, ...]:
         """Returns the records that have changed since a number."""
-        return tuple(r for c, r in self.records.items() if self.numbers[c] > number)
+        return tuple(r for f, r in self.records.items() if self.numbers[f] > number)
 
     def covers(self, record: CrashRecord) -> bool:
         """Checks whether the log contains all crashes of a record."""
@@ -205,7 +205,7 @@
 
 @dataclass
 class Quarantine:
-    """The crash records at one gateway::
+    """The crash records at one gateway or router::
 
         quarantine = Quarantine()
         quarantine.record_crash(fingerprint, "i-1", 0, now_ms)
@@ -263,9 +263,9 @@
     def record_reported(self, records: Iterable[CrashRecord]) -> None:
         """Counts a report to a core VM, which may be lost before it replicates it."""
         for record in records:
-            times = self._unconfirmed.pop(record.fingerprint, REPORTS_MAX) + 1
-            if times < REPORTS_MAX:
-                self._unconfirmed[record.fingerprint] = times
+            reports = self._unconfirmed.pop(record.fingerprint, REPORTS_MAX) + 1
+            if reports < REPORTS_MAX:
+                self._unconfirmed[record.fingerprint] = reports
 
     def confirm(self, record: CrashRecord) -> None:
         """Stops reporting a record that the core has in its log."""
--- a/ashlatch/policy/slowness.py
+++ b/ashlatch/policy/slowness.py
@@ -186,4 +186,4 @@
     answers = sum(latency.answers for latency in latencies)
     if answers < COMPARED_MIN:
         return None
-    return _MeanLatency(answers, sum(p.answers * p.mean for p in latencies) / answers)
+    return _MeanLatency(answers, sum(m.answers * m.mean for m in latencies) / answers)
--- a/ashlatch/router/completion.py
+++ b/ashlatch/router/completion.py
@@ -103,7 +103,7 @@
 ) -> None:
     """Sends a problem to the caller.
 
-    `admitted` tells whether the limits have counted the request.
+    `admitted` is set if the limits have counted the request.
     """
     request = active.request
     core.effects.append(SendProblem(request.request_id, problem))
--- a/ashlatch/router/core.py
+++ b/ashlatch/router/core.py
@@ -68,8 +68,7 @@
 class ActiveAttempt:
     """A running attempt.
 
-    `had_free_slot` tells whether the endpoint had a free slot when the attempt was
-    sent.
+    `had_free_slot` is set if the endpoint had a free slot when the attempt was sent.
     """
 
     attempt_id: str
--- a/ashlatch/router/event.py
+++ b/ashlatch/router/event.py
@@ -66,8 +66,8 @@
 class Request:
     """A caller's request, parsed and authenticated.
 
-    `target` is the route of a chat, or the pool of a service call. `keyed` tells
-    whether the caller gave the idempotency key; otherwise it was generated.
+    `target` is the route of a chat, or the pool of a service call. `keyed` is set if
+    the caller gave the idempotency key; otherwise it was generated.
     """
 
     request_id: str
@@ -134,9 +134,9 @@
 class Broken:
     """The request was sent, but no complete answer came.
 
-    `chunks` is how many chunks were passed on by then. `replied` tells that the
-    endpoint itself returned an error, so it is alive. `endpoint_gone` tells that
-    nothing listens at its address any more.
+    `chunks` is how many chunks were passed on by then. `replied` is set if the endpoint
+    itself returned an error, so it is alive. `endpoint_gone` is set if nothing listens
+    at its address any more.
     """
 
     reason: str
@@ -246,7 +246,7 @@
 
 @dataclass(frozen=True)
 class FirstChunkReceived:
-    """The first chunk of an answer is there; `may_forward` tells if it is passed on."""
+    """An answer's first chunk has arrived; `may_forward` decides if it is passed on."""
 
     request_id: str
     attempt_id: str
@@ -257,8 +257,8 @@
     """The head of an endpoint's answer, with a notice about what the endpoint accepts.
 
     `limit_per_s` is infinite if the endpoint names no rate limit, None if the limit
-    can't be parsed. The request was sent at `sent_ms` or later; `was_run` tells whether
-    the endpoint has run it. `backoff_ms` is how long the endpoint wants no requests
+    can't be parsed. The request was sent at `sent_ms` or later; `was_run` is set if the
+    endpoint has run it. `backoff_ms` is how long the endpoint wants no requests
     from this router, `leaving` whether it is about to stop.
     """
 
--- a/ashlatch/router/plan.py
+++ b/ashlatch/router/plan.py
@@ -53,7 +53,7 @@
 
 @dataclass
 class Planner:
-    """Chooses versions and endpoints, from the table and the state that it depends on.
+    """Chooses versions and endpoints from the routing table and their current state.
 
     `unreadable_pools` are pools whose newest load report could not be read.
     """
@@ -210,11 +210,11 @@
                 excluded.extend(found.excluded)
                 continue
             plans[version] = found
-            cause = self._version_exclusion(version)
-            if cause is None:
+            reason = self._version_exclusion(version)
+            if reason is None:
                 preferred[version] = found
             else:
-                excluded.append(Exclusion(version, cause))
+                excluded.append(Exclusion(version, reason))
         # An answer of a version that looks bad is better than none.
         return preferred or plans
 
@@ -252,14 +252,14 @@
     ) -> list[ReadyEndpoint]:
         ready = []
         for endpoint in endpoints:
-            cause = self._endpoint_exclusion(pool, endpoint, now_ms, tried)
-            if cause is None:
+            reason = self._endpoint_exclusion(pool, endpoint, now_ms, tried)
+            if reason is None:
                 load = self.endpoints.load(endpoint.name)
                 ready.append(
                     ReadyEndpoint(endpoint, load, self._candidate(endpoint, load))
                 )
             else:
-                excluded.append(Exclusion(endpoint.name, cause))
+                excluded.append(Exclusion(endpoint.name, reason))
         unproven = [r for r in ready if self._may_shed(r.endpoint.name, now_ms)]
         if not unproven or len(unproven) == len(ready):
             return ready
--- a/ashlatch/router/planning_result.py
+++ b/ashlatch/router/planning_result.py
@@ -62,8 +62,8 @@
 class NoPlan:
     """No version or endpoint may answer the request now.
 
-    `allowed` tells whether the organisation may use any of the versions, `too_late`
-    whether an answer would miss the deadline. `retry_ms` is when a retry makes sense.
+    `allowed` is set if the organisation may use any of the versions, `too_late` if
+    each answer would miss the deadline. `retry_ms` is when a retry makes sense.
     `quarantined` requests have crashed the endpoints that ran them.
     """
 
--- a/ashlatch/router/quarantine.py
+++ b/ashlatch/router/quarantine.py
@@ -46,7 +46,7 @@
 
 
 def request_fingerprint(request: Request) -> int:
-    """Returns a hash of what a request asks for, equal for a caller's repeats."""
+    """Returns a hash of a request's content, equal for a caller's repeats."""
     parts = (
         request.kind.value,
         request.organisation,
--- a/ashlatch/router/sending.py
+++ b/ashlatch/router/sending.py
@@ -61,10 +61,10 @@
     request = active.request
     quarantine_ms = quarantine_left_ms(core, active)
     if quarantine_ms:
-        cause = Exclusion(
+        exclusion = Exclusion(
             format_fingerprint(request_fingerprint(request)), ExclusionReason.CRASHES
         )
-        return NoPlan(True, False, quarantine_ms, (cause,), quarantined=True)
+        return NoPlan(True, False, quarantine_ms, (exclusion,), quarantined=True)
     if request.kind is RequestKind.SERVICE:
         return core.planner.plan_service(request, core.now_ms, active.tried_endpoints)
     return core.planner.plan_chat(request, core.now_ms, active.tried_endpoints, version)
--- a/ashlatch/router/updates.py
+++ b/ashlatch/router/updates.py
@@ -2,7 +2,7 @@
 ashlatch.router.updates
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-Handles updates of what a router knows: configuration, leases, loads, ratings and the
+Handles updates of a router's state: configuration, leases, loads, ratings and the
 version totals of all routers; and the start of a drain.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -468,7 +468,7 @@
     Mutant(
         "told-once",
         "ashlatch/policy/quarantine.py",
-        "            if times < REPORTS_MAX:\n",
+        "            if reports < REPORTS_MAX:\n",
         "            if False:\n",
         QUARANTINE,
     ),
@@ -608,7 +608,8 @@
     Mutant(
         "limits-untold",
         "ashlatch/gateway/limits.py",
-        "context.tell(LimitNamed(state.endpoint.instance, per_s, round(age_ms, 1)))",
+        "context.broadcast(\n            RateLimitChanged("
+        "state.endpoint.instance, per_s, round(age_ms, 1))\n        )",
         "pass",
         LIMITS,
     ),
@@ -897,7 +898,7 @@
     Mutant(
         "new-sessions-of-a-trial-untold",
         "ashlatch/gateway/versions.py",
-        "return self._starts_in_trial(rollout, hash_value, now_ms, isolated)",
+        "return self._starts_in_trial(rollout, hash_value, now_ms, peers_unavailable)",
         "return False",
         TRIAL_BEGINS,
     ),
