--- a/ashlatch/adapter/service.py
+++ b/ashlatch/adapter/service.py
@@ -21,7 +21,10 @@
 from ashlatch.router.event import Answered, AttemptResult, Broken, NotSent, Rejected
 from ashlatch.store.command import StoredAnswer, Usage
 
-__all__ = ["call_service"]
+__all__ = [
+    "call_service",
+]
+
 
 DEFAULT_RETRY_AFTER_MS = 500.0
 REFUSED_STATUS = 503
@@ -31,7 +34,7 @@
     attempt: StartAttempt,
     price_microusd: int,
     bounds: AttemptBounds,
-    on_head: Callable[[Reply, bool], None] = lambda reply, run: None,
+    on_head: Callable[[Reply, bool], None] = lambda reply, was_run: None,
 ) -> AttemptResult:
     """Makes one attempt at an endpoint of a service.
 
--- a/ashlatch/gateway/exchange.py
+++ b/ashlatch/gateway/exchange.py
@@ -12,6 +12,16 @@
 import asyncio
 from dataclasses import dataclass
 
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.crash_detector import CrashDetector
+from ashlatch.gateway.request_record import RequestRecord
+from ashlatch.gateway.timeouts import (
+    AnswerTimeout,
+    answer_timeout,
+    connect_timeout_s,
+    event_timeout,
+)
+
 from ashlatch.catalog import RepeatPolicy
 from ashlatch.gateway.admission import (
     RETRY_AFTER_S,
@@ -29,20 +39,14 @@
     larger_models,
 )
 from ashlatch.gateway.chooser import EndpointChooser
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.crash_detector import CrashDetector
 from ashlatch.gateway.events import EventSplitter, StreamEvent
 from ashlatch.gateway.message import AnswerHead, Dispatch, RefusalReason
-from ashlatch.gateway.request_record import RequestRecord
-from ashlatch.gateway.timeouts import (
-    AnswerTimeout,
-    answer_timeout,
-    connect_timeout_s,
-    event_timeout,
-)
 from ashlatch.http.connection import CallerGone, Headers, Responder
 
-__all__ = ["Exchange"]
+__all__ = [
+    "Exchange",
+]
+
 
 # Endpoints that cannot be reached, or that have gone from their address, have not run
 # the request, so they do not count as attempts. The limit keeps a request from trying
@@ -209,11 +213,11 @@
         return True
 
     def _escalates(self, attempt: Attempt, head: AnswerHead) -> bool:
-        """Decides whether to ask a larger model instead of forwarding this answer."""
+        """Decides whether to use a larger model instead of forwarding this answer."""
         if not self._model or self._record.events:
             return False
         larger = larger_models(self._route, self._model, head.confidence)
-        # A larger model may be asked at the same endpoint.
+        # A larger model may run at the same endpoint.
         self._chooser.tried.discard(attempt.state.endpoint.instance)
         model, expected_ms = self._chooser.first_model_in_time(larger)
         decision = self._decide_escalation(larger, model)
@@ -234,7 +238,7 @@
     def _decide_escalation(
         self, larger: tuple[str, ...], model: str
     ) -> EscalationDecision:
-        """Decides whether to ask a larger model; spends the repeat for it."""
+        """Decides whether to use a larger model; spends the repeat for it."""
         if not larger:
             return EscalationDecision.GOOD
         if self._record.sends >= self._attempts_max:
--- a/ashlatch/gateway/retry_time.py
+++ b/ashlatch/gateway/retry_time.py
@@ -11,14 +11,19 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ashlatch.catalog import Service
 from ashlatch.gateway.context import GatewayContext
+
+from ashlatch.catalog import Service
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.limits import limit_interval_ms
 from ashlatch.gateway.permission import send_permission
 from ashlatch.policy.permission import DenialReason
 
-__all__ = ["RetryTime", "find_retry_time"]
+__all__ = [
+    "RetryTime",
+    "find_retry_time",
+]
+
 
 SECOND_MS = 1000.0
 # A caller should try again after this time at the latest.
@@ -50,7 +55,7 @@
     """Returns when a caller should retry if all endpoints are denied for some time.
 
     Callers get successive times, at the rate at which the endpoints accept requests
-    from this gateway: with the same time they would all return at once. Returns none if
+    from this gateway: with the same time they would all return at once. Returns None if
     an endpoint is open, or if none opens on its own at a known time.
     """
     permissions = [(send_permission(context, service, s, now_ms), s) for s in states]
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -468,7 +468,7 @@
     Mutant(
         "told-once",
         "ashlatch/policy/quarantine.py",
-        "            if times < REPORTS_MAX:\n",
+        "            if reports < REPORTS_MAX:\n",
         "            if False:\n",
         QUARANTINE,
     ),
@@ -899,7 +899,7 @@
     Mutant(
         "new-sessions-of-a-trial-untold",
         "ashlatch/gateway/versions.py",
-        "return self._starts_in_trial(rollout, hash_value, now_ms, isolated)",
+        "return self._starts_in_trial(rollout, hash_value, now_ms, peers_unavailable)",
         "return False",
         TRIAL_BEGINS,
     ),
