--- a/ashlatch/fleet/discovery.py
+++ b/ashlatch/fleet/discovery.py
@@ -46,7 +46,7 @@
 class ListReader:
     """Reads the list from one address.
 
-    `left_out_total` counts the skipped entries of all reads: those that name no
+    `skipped_total` counts the skipped entries of all reads: those that name no
     endpoint.
     """
 
--- a/ashlatch/router/endpoints.py
+++ b/ashlatch/router/endpoints.py
@@ -35,7 +35,7 @@
     `leaving` holds endpoints that announced it themselves or in a load report,
     `listed_leaving` those marked as leaving in the newest table. Routers don't know
     about each other's sends, so each gets a fixed share of an endpoint's rate limit,
-    by `sharers`.
+    by `limit_sharing`.
     """
 
     settings: PolicySettings
--- a/tests/engines.py
+++ b/tests/engines.py
@@ -81,8 +81,9 @@
 
 @dataclass(frozen=True)
 class Result:
-    """When each answer began after its request, the sends to each engine, and how many
-    requests were refused because they reached too many crashed engines.
+    """The times to the first event, the sends to each engine and the refusals.
+
+    A request is refused when it has reached too many crashed engines.
     """
 
     first_ms: tuple[float, ...]
@@ -263,14 +264,14 @@
             self.now_ms,
         )
         assert choice is not None and choice.forecast is not None
-        state, read_ms = choice.state, choice.forecast.prefill_ms
+        state, prefill_ms = choice.state, choice.forecast.prefill_ms
         state.breaker.record_sent(self.now_ms)
         if self.engines[state.endpoint.instance].crashed:
             self._connection_refused(context, caller_request, load, state, attempted)
             return
         state.sent(self.now_ms)
-        state.workload.add(read_ms, self.now_ms)
-        context.broadcast(PromptSent(state.endpoint.instance, round(read_ms, 1)))
+        state.workload.add(prefill_ms, self.now_ms)
+        context.broadcast(PromptSent(state.endpoint.instance, round(prefill_ms, 1)))
         context.prefix_caches.record_prefill(
             state.endpoint.instance, MODEL, parts, CACHE_TOKENS, self.now_ms
         )
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -15,9 +15,9 @@
 The logs of all gateways showed 13 requests that went back, eight of them 2.4 s after a
 load test had moved their session at another gateway. On a service with few requests a
 session of the trial's share (0.25) was sent back in the load test (share 0.1), although
-only after a pause in which it was forgotten. After a change of leader gateways logged
-`gateways=0 before=6`; a session that was moved 0.08 s later went back at a gateway that
-had not received the move.
+only after a pause so long that gateways had dropped it. After a change of leader
+gateways logged `gateways=0 before=6`; a session that was moved 0.08 s later went back
+at a gateway that had not received the move.
 """
 
 import asyncio
@@ -139,7 +139,7 @@
 
 
 def gateway_context() -> GatewayContext:
-    """Returns a gateway after a load test, which remembers sessions for 1.1 s."""
+    """Returns a gateway after a load test, which keeps sessions for 1.1 s."""
     context = GatewayContext(
         "hall-1",
         "vm-1",
