--- a/ashlatch/cmdline/evacuations.py
+++ b/ashlatch/cmdline/evacuations.py
@@ -12,7 +12,7 @@
 import uuid
 
 from ashlatch.cmdline.api import Api, ApiError, Document
-from ashlatch.platform.operator import OperatorCall, OperatorVerb, evacuation_request
+from ashlatch.platform.operator import OperatorAction, OperatorCall, evacuation_request
 
 __all__ = ["CoreEvacuations", "Evacuations", "ResourceEvacuations"]
 
@@ -77,20 +77,20 @@
 
     def halls(self) -> tuple[str, ...]:
         """By the leader's word."""
-        method, path = evacuation_request(OperatorCall(OperatorVerb.READ_EVACUATIONS))
+        method, path = evacuation_request(OperatorCall(OperatorAction.READ_EVACUATIONS))
         return tuple(self._api.json(method, path)["halls"])
 
     def begin(self, hall: str, reason: str, wait: bool) -> str:
         """Order it; the reason is not kept."""
-        self._order(OperatorVerb.BEGIN_EVACUATION, hall, wait)
+        self._order(OperatorAction.BEGIN_EVACUATION, hall, wait)
         return f"{hall} is evacuated"
 
     def finish(self, hall: str, wait: bool) -> str:
         """Order the end of it."""
-        self._order(OperatorVerb.FINISH_EVACUATION, hall, wait)
+        self._order(OperatorAction.FINISH_EVACUATION, hall, wait)
         return f"{hall} is given back"
 
-    def _order(self, verb: OperatorVerb, hall: str, wait: bool) -> None:
+    def _order(self, verb: OperatorAction, hall: str, wait: bool) -> None:
         if wait:
             raise ApiError(
                 400, "core VMs do not tell what is in force; leave out --wait"
--- a/ashlatch/fleet/discovery.py
+++ b/ashlatch/fleet/discovery.py
@@ -21,7 +21,7 @@
 from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
 from ashlatch.log import emit
 from ashlatch.platform.instances import Page, decode_page, page_target
-from ashlatch.platform.reading import JsonUnreadable
+from ashlatch.platform.json_decoding import JsonUnreadable
 
 __all__ = ["ListReader", "ListUnreadable"]
 
--- a/ashlatch/fleet/operators.py
+++ b/ashlatch/fleet/operators.py
@@ -36,10 +36,10 @@
 from ashlatch.platform.document import (
     DocumentError,
     decode_catalog,
-    decode_rollout_order,
+    decode_rollout_request,
     encode_rollout_state,
 )
-from ashlatch.platform.operator import OperatorCall, OperatorVerb, recognise
+from ashlatch.platform.operator import OperatorAction, OperatorCall, parse_operator_call
 
 __all__ = ["CommandBackend", "NoQuorum", "OperatorApi"]
 
@@ -96,7 +96,7 @@
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
         """Answers one call."""
-        call = recognise(request.method, request.target)
+        call = parse_operator_call(request.method, request.target)
         if call is None:
             responder.respond(404, JSON, b'{"type":"unknown_call"}\n')
             return
@@ -107,26 +107,26 @@
         now_s = asyncio.get_running_loop().time()
         took_ms = int((now_s - request.received_s) * 1000)
         ended = OperatorCallEnded(
-            call.verb.value, answer.status, answer.version, answer.detail, took_ms
+            call.action.value, answer.status, answer.version, answer.detail, took_ms
         )
         emit(log, ended)
         responder.respond(answer.status, JSON, answer.body)
 
     async def _answer(self, call: OperatorCall, body: bytes) -> _Answer:
-        match call.verb:
-            case OperatorVerb.REPLACE_CONFIGURATION:
+        match call.action:
+            case OperatorAction.REPLACE_CONFIGURATION:
                 return await self._replace_document(body)
-            case OperatorVerb.READ_CONFIGURATION:
+            case OperatorAction.READ_CONFIGURATION:
                 return await self._read_document()
-            case OperatorVerb.BEGIN_ROLLOUT:
+            case OperatorAction.BEGIN_ROLLOUT:
                 return await self._begin_rollout(body)
-            case OperatorVerb.READ_ROLLOUT:
+            case OperatorAction.READ_ROLLOUT:
                 return await self._read_rollout(call.service)
-            case OperatorVerb.BEGIN_EVACUATION:
+            case OperatorAction.BEGIN_EVACUATION:
                 return await self._set_evacuation(call.hall, evacuated=True)
-            case OperatorVerb.FINISH_EVACUATION:
+            case OperatorAction.FINISH_EVACUATION:
                 return await self._set_evacuation(call.hall, evacuated=False)
-            case OperatorVerb.READ_EVACUATIONS:
+            case OperatorAction.READ_EVACUATIONS:
                 return await self._read_evacuations()
 
     async def _replace_document(self, body: bytes) -> _Answer:
@@ -153,7 +153,7 @@
 
     async def _begin_rollout(self, body: bytes) -> _Answer:
         try:
-            rollout = decode_rollout_order(body)
+            rollout = decode_rollout_request(body)
         except DocumentError as error:
             return _invalid(error)
         command = BeginRollout(rollout.service, rollout.version, rollout.duration_ms)
--- a/ashlatch/fleet/prefix_caches.py
+++ b/ashlatch/fleet/prefix_caches.py
@@ -23,13 +23,13 @@
 from ashlatch.gateway.prefix_cache import PromptPrefill
 from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
 from ashlatch.log import emit
-from ashlatch.platform.memory import (
-    MEMORY_TARGET,
-    KeptPart,
-    decode_memory,
-    memory_headers,
+from ashlatch.platform.json_decoding import JsonUnreadable
+from ashlatch.platform.prefix_cache import (
+    PREFIX_CACHE_TARGET,
+    CachedPart,
+    decode_prefix_cache,
+    prefix_cache_headers,
 )
-from ashlatch.platform.reading import JsonUnreadable
 
 __all__ = [
     "MemoryUnreadable",
@@ -80,21 +80,21 @@
     return tuple(prefills)
 
 
-async def _read_prefix_cache(engine: Endpoint) -> tuple[KeptPart, ...]:
+async def _read_prefix_cache(engine: Endpoint) -> tuple[CachedPart, ...]:
     connection: Upstream | None = None
     try:
         async with asyncio.timeout(TIMEOUT_S):
             connection = await Upstream.connect(engine.address, TIMEOUT_S)
             connection.take()
-            headers = memory_headers(engine.address, engine.instance)
-            connection.send("GET", MEMORY_TARGET, headers, b"")
+            headers = prefix_cache_headers(engine.address, engine.instance)
+            connection.send("GET", PREFIX_CACHE_TARGET, headers, b"")
             head = await connection.head()
             chunks = []
             while (chunk := await connection.part()) is not None:
                 chunks.append(chunk)
         if head.status_code != 200:
             raise MemoryUnreadable(engine.instance, f"status {head.status_code}")
-        return decode_memory(b"".join(chunks))
+        return decode_prefix_cache(b"".join(chunks))
     except TimeoutError as error:
         raise MemoryUnreadable(engine.instance, "timeout") from error
     except (ConnectFailed, UpstreamBroken) as error:
@@ -107,7 +107,7 @@
 
 
 def _to_prefills(
-    instance: str, cached: Iterable[KeptPart], parts_max: int
+    instance: str, cached: Iterable[CachedPart], parts_max: int
 ) -> list[PromptPrefill]:
     """Returns the longest cached prefixes of an engine, by model."""
     long_parts = [part for part in cached if part.tokens >= PART_TOKENS_MIN]
--- a/ashlatch/gateway/daemon.py
+++ b/ashlatch/gateway/daemon.py
@@ -39,7 +39,7 @@
 from ashlatch.http.listener import HttpListener
 from ashlatch.log import emit
 from ashlatch.metrics import serve_metrics
-from ashlatch.platform.headers import MalformedRequest, decode_ask
+from ashlatch.platform.headers import MalformedRequest, decode_request
 from ashlatch.platform.operator import READY_TARGET
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 from ashlatch.rpc import Address, RpcLoop, watch_traffic
@@ -193,7 +193,7 @@
 
     async def _handle(self, request: HttpRequest, responder: Responder) -> None:
         try:
-            caller_request = decode_ask(request)
+            caller_request = decode_request(request)
         except MalformedRequest as error:
             self._refuse(responder, "", Refused(400, RefusalReason.MALFORMED))
             emit(log, RequestUnreadable(request.peer, str(error)))
--- a/ashlatch/platform/document.py
+++ b/ashlatch/platform/document.py
@@ -29,13 +29,13 @@
     ServiceShare,
 )
 from ashlatch.errors import FieldError
-from ashlatch.platform.reading import JsonUnreadable, read_json
+from ashlatch.platform.json_decoding import JsonUnreadable, decode_json
 
 __all__ = [
     "DocumentError",
-    "RolloutOrder",
+    "RolloutRequest",
     "decode_catalog",
-    "decode_rollout_order",
+    "decode_rollout_request",
     "encode_rollout_state",
 ]
 
@@ -123,17 +123,17 @@
     tenants: tuple[_Tenant, ...] = ()
 
 
-_KINDS = ("stream", "idempotent", "non_idempotent")
+_ROUTE_KINDS = ("stream", "idempotent", "non_idempotent")
 
 
 def decode_catalog(body: bytes) -> Catalog:
     """Read a document; raises `DocumentError` when anything in it is wrong."""
     try:
-        document: _Document = read_json(body, _Document)
+        document: _Document = decode_json(body, _Document)
     except JsonUnreadable as error:
         unreadable = FieldError("(document)", f"{len(body)} bytes", error.reason)
         raise DocumentError("configuration", [unreadable]) from error
-    wrong = list(_problems(document))
+    wrong = list(_document_errors(document))
     if wrong:
         raise DocumentError("configuration", wrong)
     return Catalog(
@@ -148,32 +148,32 @@
     )
 
 
-def _problems(document: _Document) -> Iterator[FieldError]:
+def _document_errors(document: _Document) -> Iterator[FieldError]:
     if document.version < 1:
         yield FieldError("version", str(document.version), "must be 1 or more")
-    yield from _repeated("services.name", [s.name for s in document.services])
-    yield from _repeated("tenants.name", [t.name for t in document.tenants])
+    yield from _duplicate_errors("services.name", [s.name for s in document.services])
+    yield from _duplicate_errors("tenants.name", [t.name for t in document.tenants])
     keys = [key for tenant in document.tenants for key in tenant.api_keys]
-    yield from _repeated("tenants.apiKeys", keys)
+    yield from _duplicate_errors("tenants.apiKeys", keys)
     places = [f"{route.host}{route.path_prefix}" for route in document.routes]
-    yield from _repeated("routes.pathPrefix", places)
+    yield from _duplicate_errors("routes.pathPrefix", places)
     services = {service.name for service in document.services}
     for route in document.routes:
-        yield from _route_problems(route, services)
+        yield from _route_errors(route, services)
 
 
-def _repeated(field: str, values: list[str]) -> Iterator[FieldError]:
+def _duplicate_errors(field: str, values: list[str]) -> Iterator[FieldError]:
     for value, times in Counter(values).items():
         if times > 1:
             yield FieldError(field, value, "must not stand twice")
 
 
-def _route_problems(route: _Route, services: set[str]) -> Iterator[FieldError]:
+def _route_errors(route: _Route, services: set[str]) -> Iterator[FieldError]:
     field = f"routes.{route.name}"
     if route.timeout_ms <= 0:
         yield FieldError(f"{field}.timeoutMs", str(route.timeout_ms), "must be above 0")
-    if route.route_kind not in _KINDS:
-        rule = f"must be one of {', '.join(_KINDS)}"
+    if route.route_kind not in _ROUTE_KINDS:
+        rule = f"must be one of {', '.join(_ROUTE_KINDS)}"
         yield FieldError(f"{field}.routeKind", route.route_kind, rule)
     prefix = route.path_prefix
     if not (prefix.startswith("/") and prefix.endswith("/")):
@@ -196,7 +196,7 @@
     return (ServiceShare(route.service, 1.0),) if route.service else ()
 
 
-def _repeat(route: _Route) -> RepeatPolicy:
+def _repeat_policy(route: _Route) -> RepeatPolicy:
     if route.route_kind == "stream":
         return RepeatPolicy.RESUME if route.resumable else RepeatPolicy.NEVER
     return (
@@ -209,7 +209,7 @@
         route.name,
         route.host.lower(),
         route.path_prefix,
-        _repeat(route),
+        _repeat_policy(route),
         route.route_kind == "stream",
         route.timeout_ms,
         route.slo_ms,
@@ -249,7 +249,7 @@
 
 
 @dataclass(frozen=True)
-class RolloutOrder:
+class RolloutRequest:
     """Move a service's traffic to the endpoints of a version within a time."""
 
     service: str
@@ -257,7 +257,7 @@
     duration_ms: float
 
 
-class _RolloutOrder(msgspec.Struct, frozen=True, rename="camel"):
+class _RolloutRequest(msgspec.Struct, frozen=True, rename="camel"):
     service: str
     target_version: str
     duration_s: float
@@ -268,20 +268,22 @@
     target_version: str
 
 
-def decode_rollout_order(body: bytes) -> RolloutOrder:
+def decode_rollout_request(body: bytes) -> RolloutRequest:
     """Read an order to roll out; raises `DocumentError`."""
     try:
-        order: _RolloutOrder = read_json(body, _RolloutOrder)
+        order: _RolloutRequest = decode_json(body, _RolloutRequest)
     except JsonUnreadable as error:
         unreadable = FieldError("(document)", f"{len(body)} bytes", error.reason)
         raise DocumentError("rollout", [unreadable]) from error
     if order.duration_s <= 0 or not order.service or not order.target_version:
         wrong = FieldError("durationS", str(order.duration_s), "must be above 0")
         raise DocumentError("rollout", [wrong])
-    return RolloutOrder(order.service, order.target_version, order.duration_s * 1000.0)
+    return RolloutRequest(
+        order.service, order.target_version, order.duration_s * 1000.0
+    )
 
 
-_STATES = {
+_STATE_NAMES = {
     RolloutStage.TRIAL: "in_progress",
     RolloutStage.LOAD_TEST: "in_progress",
     RolloutStage.SETTLE: "in_progress",
@@ -293,4 +295,6 @@
 
 def encode_rollout_state(rollout: Rollout) -> bytes:
     """The answer to a question about a roll-out."""
-    return msgspec.json.encode(_RolloutState(_STATES[rollout.stage], rollout.version))
+    return msgspec.json.encode(
+        _RolloutState(_STATE_NAMES[rollout.stage], rollout.version)
+    )
--- a/ashlatch/platform/headers.py
+++ b/ashlatch/platform/headers.py
@@ -31,7 +31,7 @@
 __all__ = [
     "MalformedRequest",
     "decode_answer",
-    "decode_ask",
+    "decode_request",
     "endpoint_headers",
     "refusal_headers",
 ]
@@ -39,7 +39,7 @@
 # Names the request for as long as it lives, at callers and endpoints alike.
 _REQUEST_ID = b"x-attempt-id"
 # How long the caller waits, counted from the request; not a point in time.
-_PATIENCE = b"x-deadline-ms"
+_TIMEOUT = b"x-deadline-ms"
 _KEY = b"authorization"
 _ORGANISATION = b"x-tenant"
 _INSTANCE = b"x-expect-instance"
@@ -57,7 +57,7 @@
 _CONFIDENCE = b"x-confidence"
 _LOAD = b"x-server-load"
 # Requests a second that the endpoint takes from all gateways together.
-_LIMIT = b"server-limit"
+_RATE_LIMIT = b"server-limit"
 # Set to 1 in the answers of an endpoint that is about to end.
 _LEAVING = b"server-leaving"
 _RETRY_AFTER = b"retry-after"
@@ -72,12 +72,12 @@
 _MISDIRECTED = 421
 
 # Engines know the urgencies 0 to 9.
-_LEAST_URGENT = 9
+_URGENCY_MAX = 9
 
 # A caller's model of this name leaves the choice to the gateway.
 _ANY_MODEL = "*"
 
-_OF_CONNECTION = frozenset(
+_HOP_BY_HOP = frozenset(
     {
         b"connection",
         _KEEP_ALIVE,
@@ -93,13 +93,13 @@
 )
 # Callers may send these, but only the gateway may set them at an endpoint:
 # orders about an engine's memory, its queue and its identity.
-_GATEWAYS_OWN = frozenset(
+_GATEWAY_ONLY = frozenset(
     {
         _KEY,
         _ORGANISATION,
         _INSTANCE,
         _URGENCY,
-        _PATIENCE,
+        _TIMEOUT,
         b"x-expect-version",
         b"x-kv-hold",
         b"x-kv-backup",
@@ -109,10 +109,12 @@
         b"wait-ms",
     }
 )
-_TAKEN_OFF = _OF_CONNECTION | _GATEWAYS_OWN | {b"content-length"}
+_NOT_FORWARDED = _HOP_BY_HOP | _GATEWAY_ONLY | {b"content-length"}
 # A caller's `Connection` header cannot have these dropped on the way.
-_KEPT = frozenset({b"host", _REQUEST_ID, _MODEL, _TOKENS, _PROMPT, _LAST_EVENT})
-_MEMORY_ORDER_PREFIXES = (b"x-kv-", b"kv-")
+_ALWAYS_FORWARDED = frozenset(
+    {b"host", _REQUEST_ID, _MODEL, _TOKENS, _PROMPT, _LAST_EVENT}
+)
+_CACHE_COMMAND_PREFIXES = (b"x-kv-", b"kv-")
 
 
 @dataclass
@@ -123,44 +125,44 @@
     value: str
 
 
-def decode_ask(request: HttpRequest) -> CallerRequest:
+def decode_request(request: HttpRequest) -> CallerRequest:
     """Read a caller's request; raises `MalformedRequest`."""
-    known = _by_name(request.headers)
-    for header in (_REQUEST_ID, _PATIENCE, _KEY, b"host"):
-        if len(known.get(header, [])) > 1:
+    by_name = _group_by_name(request.headers)
+    for header in (_REQUEST_ID, _TIMEOUT, _KEY, b"host"):
+        if len(by_name.get(header, [])) > 1:
             raise MalformedRequest(header.decode(), "must not stand twice")
-    request_id = _first(known, _REQUEST_ID)
+    request_id = _first_value(by_name, _REQUEST_ID)
     if not request_id:
         raise MalformedRequest(_REQUEST_ID.decode(), "")
-    prompt_tokens, answer_tokens_max = _token_counts(_first(known, _TOKENS))
-    model = _first(known, _MODEL)
+    prompt_tokens, answer_tokens_max = _token_counts(_first_value(by_name, _TOKENS))
+    model = _first_value(by_name, _MODEL)
     return CallerRequest(
         request_id,
         request.method,
         request.target,
-        _first(known, b"host").lower(),
-        _passed_on(request.headers, known),
+        _first_value(by_name, b"host").lower(),
+        _forwarded(request.headers, by_name),
         request.body,
         request.received_s,
-        _patience_ms(_first(known, _PATIENCE)),
-        _bearer(_first(known, _KEY)),
+        _timeout_ms(_first_value(by_name, _TIMEOUT)),
+        _bearer_key(_first_value(by_name, _KEY)),
         "" if model == _ANY_MODEL else model,
         bool(model),
         prompt_tokens,
         answer_tokens_max,
-        _prompt_parts(_first(known, _PROMPT)),
-        _first(known, _SESSION),
-        _first(known, _LAST_EVENT),
+        _prompt_parts(_first_value(by_name, _PROMPT)),
+        _first_value(by_name, _SESSION),
+        _first_value(by_name, _LAST_EVENT),
     )
 
 
-def endpoint_headers(ask: CallerRequest, dispatch: Dispatch) -> Headers:
+def endpoint_headers(request: CallerRequest, dispatch: Dispatch) -> Headers:
     """The headers of a request as it goes to an endpoint."""
     set_here = {_MODEL} if dispatch.model else set()
     if dispatch.resume_after:
         set_here.add(_LAST_EVENT)
     headers = [
-        pair for pair in ask.forwarded_headers if pair[0].lower() not in set_here
+        pair for pair in request.forwarded_headers if pair[0].lower() not in set_here
     ]
     if dispatch.model:
         headers.append((b"X-Model", dispatch.model.encode()))
@@ -172,32 +174,32 @@
     if dispatch.organisation:
         headers.append((b"X-Tenant", dispatch.organisation.encode()))
     if dispatch.urgency is not None:
-        urgency = min(max(dispatch.urgency, 0), _LEAST_URGENT)
+        urgency = min(max(dispatch.urgency, 0), _URGENCY_MAX)
         headers.append((b"X-Request-Priority", str(urgency).encode()))
-    if ask.body or ask.method not in ("GET", "HEAD", "DELETE"):
-        headers.append((b"Content-Length", str(len(ask.body)).encode()))
+    if request.body or request.method not in ("GET", "HEAD", "DELETE"):
+        headers.append((b"Content-Length", str(len(request.body)).encode()))
     return headers
 
 
 def decode_answer(response: h11.Response) -> AnswerHead:
     """Read the head of an endpoint's answer."""
     raw = response.headers.raw_items()
-    known = _by_name(raw)
+    by_name = _group_by_name(raw)
     status = response.status_code
     return AnswerHead(
         status,
-        [pair for pair in raw if pair[0].lower() not in _OF_CONNECTION],
-        _first(known, _REQUEST_ID),
-        _SEAL in known,
-        _NOT_RUN in known or status == _MISDIRECTED,
+        [pair for pair in raw if pair[0].lower() not in _HOP_BY_HOP],
+        _first_value(by_name, _REQUEST_ID),
+        _SEAL in by_name,
+        _NOT_RUN in by_name or status == _MISDIRECTED,
         status == _MISDIRECTED,
-        _first(known, b"content-encoding").lower() not in ("", "identity"),
-        _number(_first(known, _CONFIDENCE)),
-        _load(_first(known, _LOAD)),
-        _idle_s(_first(known, _KEEP_ALIVE)),
-        _limit_per_s(known),
-        _backoff_ms(status, known),
-        "1" in _values(known, _LEAVING),
+        _first_value(by_name, b"content-encoding").lower() not in ("", "identity"),
+        _number(_first_value(by_name, _CONFIDENCE)),
+        _load_figures(_first_value(by_name, _LOAD)),
+        _idle_s(_first_value(by_name, _KEEP_ALIVE)),
+        _limit_per_s(by_name),
+        _backoff_ms(status, by_name),
+        "1" in _all_values(by_name, _LEAVING),
     )
 
 
@@ -214,45 +216,47 @@
     return headers
 
 
-def _by_name(headers: Headers) -> dict[bytes, list[bytes]]:
-    known: dict[bytes, list[bytes]] = {}
+def _group_by_name(headers: Headers) -> dict[bytes, list[bytes]]:
+    by_name: dict[bytes, list[bytes]] = {}
     for name, value in headers:
-        known.setdefault(name.lower(), []).append(value)
-    return known
+        by_name.setdefault(name.lower(), []).append(value)
+    return by_name
 
 
-def _first(known: dict[bytes, list[bytes]], name: bytes) -> str:
-    values = known.get(name)
+def _first_value(by_name: dict[bytes, list[bytes]], name: bytes) -> str:
+    values = by_name.get(name)
     return values[0].decode("latin-1").strip() if values else ""
 
 
-def _values(known: dict[bytes, list[bytes]], name: bytes) -> list[str]:
-    return [value.decode("latin-1").strip() for value in known.get(name, ())]
+def _all_values(by_name: dict[bytes, list[bytes]], name: bytes) -> list[str]:
+    return [value.decode("latin-1").strip() for value in by_name.get(name, ())]
 
 
-def _passed_on(headers: Headers, known: dict[bytes, list[bytes]]) -> Headers:
-    named = b",".join(known.get(b"connection", []))
-    of_connection = {name.strip().lower() for name in named.split(b",")} - _KEPT
+def _forwarded(headers: Headers, by_name: dict[bytes, list[bytes]]) -> Headers:
+    named = b",".join(by_name.get(b"connection", []))
+    of_connection = {
+        name.strip().lower() for name in named.split(b",")
+    } - _ALWAYS_FORWARDED
     return [
         (name, value)
         for name, value in headers
-        if name.lower() not in _TAKEN_OFF
+        if name.lower() not in _NOT_FORWARDED
         and name.lower() not in of_connection
-        and not name.lower().startswith(_MEMORY_ORDER_PREFIXES)
+        and not name.lower().startswith(_CACHE_COMMAND_PREFIXES)
     ]
 
 
-def _bearer(text: str) -> str:
+def _bearer_key(text: str) -> str:
     scheme, _, key = text.partition(" ")
     return key.strip() if scheme.lower() == "bearer" else ""
 
 
-def _patience_ms(text: str) -> float | None:
+def _timeout_ms(text: str) -> float | None:
     if not text:
         return None
     patience_ms = _number(text)
     if patience_ms is None or patience_ms < 0:
-        raise MalformedRequest(_PATIENCE.decode(), text)
+        raise MalformedRequest(_TIMEOUT.decode(), text)
     return patience_ms
 
 
@@ -267,10 +271,10 @@
 
 def _token_counts(text: str) -> tuple[int, int]:
     prompt, _, answer = text.partition(",")
-    return _tokens(prompt), _tokens(answer)
+    return _token_count(prompt), _token_count(answer)
 
 
-def _tokens(text: str) -> int:
+def _token_count(text: str) -> int:
     return int(min(max(0.0, _number(text) or 0.0), _TOKENS_MAX))
 
 
@@ -278,11 +282,11 @@
     parts = []
     for item in text.split(",") if text else ():
         part_id, _, tokens = item.strip().partition(":")
-        parts.append(PromptPart(part_id, _tokens(tokens)))
+        parts.append(PromptPart(part_id, _token_count(tokens)))
     return tuple(parts)
 
 
-def _load(text: str) -> LoadFigures | None:
+def _load_figures(text: str) -> LoadFigures | None:
     found = _LOAD_FIGURES.fullmatch(text)
     if found is None:
         return None
@@ -290,19 +294,19 @@
     return LoadFigures(running, waiting, max(1, slots))
 
 
-def _limit_per_s(known: dict[bytes, list[bytes]]) -> float | None:
+def _limit_per_s(by_name: dict[bytes, list[bytes]]) -> float | None:
     """The limit that an answer names; the least, if it names several."""
-    if _LIMIT not in known:
+    if _RATE_LIMIT not in by_name:
         return NO_LIMIT
-    rates = [_number(value) for value in _values(known, _LIMIT)]
+    rates = [_number(value) for value in _all_values(by_name, _RATE_LIMIT)]
     readable = [rate for rate in rates if rate is not None and rate >= 0.0]
     return min(readable, default=None)
 
 
-def _backoff_ms(status: int, known: dict[bytes, list[bytes]]) -> float:
+def _backoff_ms(status: int, by_name: dict[bytes, list[bytes]]) -> float:
     if status not in BACKOFF_STATUSES:
         return 0.0
-    return parse_retry_after_ms(_values(known, _RETRY_AFTER))
+    return parse_retry_after_ms(_all_values(by_name, _RETRY_AFTER))
 
 
 def _idle_s(text: str) -> float | None:
--- a/ashlatch/platform/instances.py
+++ b/ashlatch/platform/instances.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from ashlatch.catalog import Endpoint
-from ashlatch.platform.reading import read_elements, read_json
+from ashlatch.platform.json_decoding import decode_elements, decode_json
 
 __all__ = ["Page", "decode_page", "page_target"]
 
@@ -31,12 +31,12 @@
 # Longer than a day is no time after a start.
 _ColdLeft = Annotated[float, msgspec.Meta(ge=0, le=86_400_000)]
 # Unix milliseconds, up to the year 2255.
-_Started = Annotated[int, msgspec.Meta(ge=0, le=9_007_199_254_740_991)]
+_UnixMs = Annotated[int, msgspec.Meta(ge=0, le=9_007_199_254_740_991)]
 _PORT_MAX = 65_535
 _OCTET_MAX = 255
 
 # The states of an endpoint, and whether it takes no new work in them.
-_LEAVING = {"ready": False, "draining": True}
+_LEAVING_BY_STATE = {"ready": False, "draining": True}
 
 
 class _Instance(msgspec.Struct, frozen=True, rename="camel"):
@@ -49,7 +49,7 @@
     # `draining` comes before the end of an endpoint, `ready` otherwise.
     state: str
     # When the endpoint's process began; not every list tells.
-    born: _Started = 0
+    born: _UnixMs = 0
     # How much longer it bears less than others; not every list tells.
     cold_left_ms: _ColdLeft = 0.0
 
@@ -77,32 +77,32 @@
 
 def decode_page(body: bytes) -> Page:
     """Read one page; raises `JsonUnreadable`."""
-    entries = read_elements(body, "instances", _Instance)
-    page = read_json(entries.rest, _Page)
+    entries = decode_elements(body, "instances", _Instance)
+    page = decode_json(entries.rest, _Page)
     left_out = Counter(entries.left_out)
-    endpoints = tuple(_endpoints(entries.items, left_out))
+    endpoints = tuple(_valid_endpoints(entries.items, left_out))
     return Page(endpoints, page.next_token, dict(left_out))
 
 
-def _endpoints(
+def _valid_endpoints(
     entries: Iterable[_Instance], left_out: Counter[str]
 ) -> Iterable[Endpoint]:
     for entry in entries:
-        if entry.state not in _LEAVING:
+        if entry.state not in _LEAVING_BY_STATE:
             left_out["unknown state"] += 1
-        elif not _is_address(entry.address):
+        elif not _is_valid_address(entry.address):
             left_out["no address"] += 1
         else:
-            yield _endpoint(entry)
+            yield _to_endpoint(entry)
 
 
-def _is_address(text: str) -> bool:
+def _is_valid_address(text: str) -> bool:
     host, _, port = text.rpartition(":")
     octets = host.split(".")
     return int(port) <= _PORT_MAX and all(int(o) <= _OCTET_MAX for o in octets)
 
 
-def _endpoint(entry: _Instance) -> Endpoint:
+def _to_endpoint(entry: _Instance) -> Endpoint:
     return Endpoint(
         entry.id,
         entry.service,
@@ -110,7 +110,7 @@
         entry.zone,
         entry.version,
         max(1, entry.slots),
-        _LEAVING[entry.state],
+        _LEAVING_BY_STATE[entry.state],
         entry.born,
         entry.cold_left_ms,
     )
--- a/ashlatch/platform/reading.py
+++ b/ashlatch/platform/json_decoding.py
@@ -18,7 +18,7 @@
 
 from ashlatch.errors import AshlatchError
 
-__all__ = ["Elements", "JsonUnreadable", "read_elements", "read_json"]
+__all__ = ["Elements", "JsonUnreadable", "decode_elements", "decode_json"]
 
 E = TypeVar("E")
 
@@ -28,7 +28,7 @@
 # there are entries, each of them news for the log.
 _NUMBER = re.compile(r"\d+")
 # The longest part of a decoder's words that goes into a log line.
-REASON_MAX = 80
+REASON_CHARACTERS_MAX = 80
 
 
 @dataclass
@@ -49,41 +49,41 @@
     left_out: Counter[str] = field(default_factory=Counter)
 
 
-def read_json(body: bytes, kind: Any) -> Any:
+def decode_json(body: bytes, kind: Any) -> Any:
     """A document as a value of a type; raises `JsonUnreadable`."""
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise JsonUnreadable(str(error)[:REASON_MAX]) from error
+        raise JsonUnreadable(str(error)[:REASON_CHARACTERS_MAX]) from error
     except RecursionError as error:
         raise JsonUnreadable("nested too deeply") from error
 
 
-def read_elements(body: bytes, name: str, kind: Any) -> Elements[Any]:
+def decode_elements(body: bytes, name: str, kind: Any) -> Elements[Any]:
     """The elements of an array under a name of the outermost object.
 
     Raises `JsonUnreadable` when there is no such array or it has no end::
 
-        read_elements(b'{"names":["a",5,"b"]}', "names", str).items  # ("a", "b")
+        decode_elements(b'{"names":["a",5,"b"]}', "names", str).items  # ("a", "b")
     """
-    parts, rest = _split(body, name)
+    parts, rest = _split_array(body, name)
     items = []
     left_out: Counter[str] = Counter()
     for part in parts:
         try:
-            items.append(read_json(part, kind))
+            items.append(decode_json(part, kind))
         except JsonUnreadable as error:
             left_out[_NUMBER.sub("N", error.reason)] += 1
     return Elements(tuple(items), rest, left_out)
 
 
-def _split(body: bytes, name: str) -> tuple[list[bytes], bytes]:
+def _split_array(body: bytes, name: str) -> tuple[list[bytes], bytes]:
     """The elements of an array, each unread, and the document with it emptied.
 
     It is cut by brackets and commas outside of strings, so that an element that is no
     JSON, is nested too deeply or holds no UTF-8 does not spoil the others.
     """
-    begin = _begin_of_array(body, name)
+    begin = _find_array(body, name)
     depth = 1
     parts: list[bytes] = []
     from_at = begin
@@ -103,7 +103,7 @@
     raise JsonUnreadable(f"no end of {name}")
 
 
-def _begin_of_array(body: bytes, name: str) -> int:
+def _find_array(body: bytes, name: str) -> int:
     """Where the first element of an array under a name of the object begins."""
     depth = 0
     wanted = b'"' + name.encode() + b'"'
--- a/ashlatch/platform/operator.py
+++ b/ashlatch/platform/operator.py
@@ -15,9 +15,9 @@
 __all__ = [
     "READY_TARGET",
     "OperatorCall",
-    "OperatorVerb",
+    "OperatorAction",
     "evacuation_request",
-    "recognise",
+    "parse_operator_call",
 ]
 
 READY_TARGET = "/-/readyz"
@@ -28,10 +28,10 @@
 _ROLLOUT_PREFIX = "/-/Rollouts.Read/"
 _EVACUATIONS = ("GET", "/-/Evacuations.Read")
 _EVACUATE_PREFIX = "/-/Evacuations.Begin/"
-_RETURN_PREFIX = "/-/Evacuations.Finish/"
+_FINISH_PREFIX = "/-/Evacuations.Finish/"
 
 
-class OperatorVerb(enum.Enum):
+class OperatorAction(enum.Enum):
     """What an operator asks for."""
 
     REPLACE_CONFIGURATION = "replace_configuration"
@@ -49,40 +49,40 @@
     evacuation of one begins or finishes.
     """
 
-    verb: OperatorVerb
+    action: OperatorAction
     service: str = ""
     hall: str = ""
 
 
-def recognise(method: str, target: str) -> OperatorCall | None:
+def parse_operator_call(method: str, target: str) -> OperatorCall | None:
     """The call that a request makes, or none."""
     path = target.partition("?")[0]
     if (method, path) == _REPLACE:
-        return OperatorCall(OperatorVerb.REPLACE_CONFIGURATION)
+        return OperatorCall(OperatorAction.REPLACE_CONFIGURATION)
     if (method, path) == _READ:
-        return OperatorCall(OperatorVerb.READ_CONFIGURATION)
+        return OperatorCall(OperatorAction.READ_CONFIGURATION)
     if (method, path) == _BEGIN:
-        return OperatorCall(OperatorVerb.BEGIN_ROLLOUT)
+        return OperatorCall(OperatorAction.BEGIN_ROLLOUT)
     if (method, path) == _EVACUATIONS:
-        return OperatorCall(OperatorVerb.READ_EVACUATIONS)
+        return OperatorCall(OperatorAction.READ_EVACUATIONS)
     if method == "POST" and path.startswith(_EVACUATE_PREFIX):
         hall = unquote(path.removeprefix(_EVACUATE_PREFIX))
-        return OperatorCall(OperatorVerb.BEGIN_EVACUATION, hall=hall)
-    if method == "POST" and path.startswith(_RETURN_PREFIX):
-        hall = unquote(path.removeprefix(_RETURN_PREFIX))
-        return OperatorCall(OperatorVerb.FINISH_EVACUATION, hall=hall)
+        return OperatorCall(OperatorAction.BEGIN_EVACUATION, hall=hall)
+    if method == "POST" and path.startswith(_FINISH_PREFIX):
+        hall = unquote(path.removeprefix(_FINISH_PREFIX))
+        return OperatorCall(OperatorAction.FINISH_EVACUATION, hall=hall)
     if method == "GET" and path.startswith(_ROLLOUT_PREFIX):
         service = path.removeprefix(_ROLLOUT_PREFIX)
-        return OperatorCall(OperatorVerb.READ_ROLLOUT, service)
+        return OperatorCall(OperatorAction.READ_ROLLOUT, service)
     return None
 
 
 def evacuation_request(call: OperatorCall) -> tuple[str, str]:
     """Method and path of a call about evacuations, as an operator makes it."""
-    match call.verb:
-        case OperatorVerb.BEGIN_EVACUATION:
+    match call.action:
+        case OperatorAction.BEGIN_EVACUATION:
             return "POST", _EVACUATE_PREFIX + quote(call.hall, safe="")
-        case OperatorVerb.FINISH_EVACUATION:
-            return "POST", _RETURN_PREFIX + quote(call.hall, safe="")
+        case OperatorAction.FINISH_EVACUATION:
+            return "POST", _FINISH_PREFIX + quote(call.hall, safe="")
         case _:
             return _EVACUATIONS
--- a/ashlatch/platform/memory.py
+++ b/ashlatch/platform/prefix_cache.py
@@ -14,11 +14,16 @@
 import msgspec
 
 from ashlatch.http.connection import Headers
-from ashlatch.platform.reading import read_elements
+from ashlatch.platform.json_decoding import decode_elements
 
-__all__ = ["MEMORY_TARGET", "KeptPart", "decode_memory", "memory_headers"]
+__all__ = [
+    "PREFIX_CACHE_TARGET",
+    "CachedPart",
+    "decode_prefix_cache",
+    "prefix_cache_headers",
+]
 
-MEMORY_TARGET = "/-/kv-list"
+PREFIX_CACHE_TARGET = "/-/kv-list"
 
 
 # More than any engine's memory holds.
@@ -28,7 +33,7 @@
 
 
 @dataclass(frozen=True)
-class KeptPart:
+class CachedPart:
     """A part of a prompt that an engine keeps for a model."""
 
     part_id: str
@@ -36,15 +41,15 @@
     model: str
 
 
-def memory_headers(address: str, instance: str) -> Headers:
+def prefix_cache_headers(address: str, instance: str) -> Headers:
     """The headers of the question; another endpoint there will not answer it."""
     return [(b"Host", address.encode()), (b"X-Expect-Instance", instance.encode())]
 
 
-def decode_memory(body: bytes) -> tuple[KeptPart, ...]:
+def decode_prefix_cache(body: bytes) -> tuple[CachedPart, ...]:
     """Read an engine's answer, without what is of another form.
 
     Raises `JsonUnreadable`.
     """
-    held = read_elements(body, "held", _Held).items
-    return tuple(KeptPart(part, tokens, model) for _, part, tokens, model in held)
+    held = decode_elements(body, "held", _Held).items
+    return tuple(CachedPart(part, tokens, model) for _, part, tokens, model in held)
--- a/tests/gateway.py
+++ b/tests/gateway.py
@@ -18,7 +18,7 @@
 from ashlatch.http.connection import HttpRequest, Responder
 from ashlatch.http.listener import HttpListener
 from ashlatch.platform.document import decode_catalog
-from ashlatch.platform.headers import decode_ask
+from ashlatch.platform.headers import decode_request
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 from tests import stub_server
 from tests.stub_server import ReceivedRequest, StubServer
@@ -97,7 +97,7 @@
         return context
 
     async def handle(self, request: HttpRequest, responder: Responder) -> None:
-        caller_request = decode_ask(request)
+        caller_request = decode_request(request)
         admission = admit(self.context, caller_request)
         if isinstance(admission, Refused):
             refuse(responder, caller_request.request_id, admission)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -502,7 +502,7 @@
     ),
     Mutant(
         "foreign-entry-spoils-the-list",
-        "ashlatch/platform/reading.py",
+        "ashlatch/platform/json_decoding.py",
         "        except JsonUnreadable as error:\n            left_out",
         "        except KeyError as error:\n            left_out",
         FOREIGN,
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -28,7 +28,7 @@
 from ashlatch.clock import unix_ms
 from ashlatch.gateway.fingerprint import request_fingerprint
 from ashlatch.http.connection import HttpRequest
-from ashlatch.platform.headers import decode_ask
+from ashlatch.platform.headers import decode_request
 from ashlatch.policy.quarantine import QUARANTINE_MS
 from tests import stub_server
 from tests.crashing import CRASHING_BODY, CrashingEngine, CrashLog
@@ -111,7 +111,9 @@
     def test_other_requests_of_the_caller_are_served(self) -> None:
         async def work() -> None:
             headers = [(b"Host", b"shop.example"), (b"X-Attempt-Id", b"r1")]
-            request = decode_ask(HttpRequest("GET", "/get/1", headers, b"", 0.0, ""))
+            request = decode_request(
+                HttpRequest("GET", "/get/1", headers, b"", 0.0, "")
+            )
             fingerprint = request_fingerprint(request, "acme")
             for number in range(CRASHES_MAX):
                 at_ms = unix_ms() - 5000 * number
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -8,7 +8,7 @@
 from ashlatch.platform.document import (
     DocumentError,
     decode_catalog,
-    decode_rollout_order,
+    decode_rollout_request,
     encode_rollout_state,
 )
 from tests.stub_server import document, encode_document, route
@@ -71,13 +71,13 @@
         self.refused("apiKeys", encode_document(document(tenants=tenants)))
 
     def test_rollouts(self) -> None:
-        order = decode_rollout_order(
+        order = decode_rollout_request(
             b'{"service":"app","targetVersion":"v2","durationS":12}'
         )
         self.assertEqual(
             ("app", "v2", 12_000.0), (order.service, order.version, order.duration_ms)
         )
-        self.assertRaises(DocumentError, decode_rollout_order, b'{"service":"app"}')
+        self.assertRaises(DocumentError, decode_rollout_request, b'{"service":"app"}')
         rollout = Rollout("app", "v2", RolloutStage.SHIFT, 0.3, 4, 12_000.0)
         self.assertEqual(
             b'{"state":"in_progress","targetVersion":"v2"}',
--- a/tests/test_malformed_input.py
+++ b/tests/test_malformed_input.py
@@ -21,10 +21,10 @@
 from ashlatch.fleet.discovery import ListReader, ListUnreadable
 from ashlatch.http.connection import HttpRequest
 from ashlatch.platform.document import DocumentError, decode_catalog
-from ashlatch.platform.headers import MalformedRequest, decode_answer, decode_ask
+from ashlatch.platform.headers import MalformedRequest, decode_answer, decode_request
 from ashlatch.platform.instances import decode_page
-from ashlatch.platform.memory import decode_memory
-from ashlatch.platform.reading import JsonUnreadable
+from ashlatch.platform.json_decoding import JsonUnreadable
+from ashlatch.platform.prefix_cache import decode_prefix_cache
 from tests import stub_server
 from tests.stub_server import StubServer
 
@@ -200,7 +200,7 @@
         ]
         request = HttpRequest("GET", "/get/1", headers, b"", 0.0, "")
         try:
-            asked = decode_ask(request)
+            asked = decode_request(request)
         except MalformedRequest:
             return
         self.assertTrue(0 <= asked.prompt_tokens <= 10**9)
@@ -226,9 +226,9 @@
 
     def test_memory(self) -> None:
         held = b'[["","aa",600,"small"],["","bb",-1,"small"],5,["","cc",700,"small"]]'
-        parts = decode_memory(b'{"epoch":"odd","held":' + held + b"}")
+        parts = decode_prefix_cache(b'{"epoch":"odd","held":' + held + b"}")
         self.assertEqual(["aa", "cc"], [part.part_id for part in parts])
-        self.assertRaises(JsonUnreadable, decode_memory, DEEP)
+        self.assertRaises(JsonUnreadable, decode_prefix_cache, DEEP)
 
 
 class DocumentTest(testtools.TestCase):
