--- a/ashlatch/client.py
+++ b/ashlatch/client.py
@@ -28,18 +28,18 @@
 
 R = TypeVar("R")
 
-RETRY_S = 0.03
+RETRY_INTERVAL_S = 0.03
 CALL_TIMEOUT_S = 1.0
 # More at once would wait for each other beyond their own time limits.
 OPEN_CALLS_MAX = 128
 
 
-def _leader_of(group: int) -> int:
+def _leader_key(group: int) -> int:
     """Where the leader of a group is remembered; slots have their own numbers."""
     return -1 - group
 
 
-FIRST_LEADER = _leader_of(FIRST_GROUP)
+FIRST_LEADER_KEY = _leader_key(FIRST_GROUP)
 
 
 class StateClient:
@@ -57,9 +57,9 @@
         self._peers: dict[str, Peer] = {}
         self._leaders: dict[int, str] = {}
         self._timeout_ms = timeout_ms
-        self._open = asyncio.Semaphore(OPEN_CALLS_MAX)
+        self._open_calls = asyncio.Semaphore(OPEN_CALLS_MAX)
 
-    def another(self) -> "StateClient":
+    def clone(self) -> "StateClient":
         """A client of the same state with connections of its own."""
         addresses = tuple(Address.parse(text) for text in self._addresses)
         return StateClient(self.rpc, addresses, self._timeout_ms)
@@ -74,8 +74,8 @@
         request = protocol.ProposeRequest(command)
         slot = slot_of(command)
         return self.rpc.submit(
-            self._until(
-                _leader_of(FIRST_GROUP) if slot is None else slot,
+            self._call_until_answered(
+                _leader_key(FIRST_GROUP) if slot is None else slot,
                 protocol.PROPOSE,
                 lambda: request,
                 lambda reply: reply.outcome,
@@ -86,8 +86,8 @@
     def read(self, request: protocol.ReadRequest) -> "Future[protocol.ReadReply]":
         """Read the newest committed state."""
         return self.rpc.submit(
-            self._until(
-                _leader_of(request.group),
+            self._call_until_answered(
+                _leader_key(request.group),
                 protocol.READ,
                 lambda: request,
                 lambda reply: reply if reply.answered else None,
@@ -116,8 +116,8 @@
     ) -> "Future[protocol.ReadReply]":
         """Take a member out of the group; the reply shows the members."""
         return self.rpc.submit(
-            self._until(
-                _leader_of(change.group),
+            self._call_until_answered(
+                _leader_key(change.group),
                 protocol.CHANGE_MEMBER,
                 lambda: change,
                 lambda reply: reply if reply.answered else None,
@@ -127,28 +127,28 @@
 
     async def poll_router(self, poll: protocol.RouterPoll) -> protocol.RouterReply:
         """One heartbeat of a router, to whoever seems to lead; on the loop."""
-        reply: protocol.RouterReply = await self._ask(
-            FIRST_LEADER,
+        reply: protocol.RouterReply = await self._call_leader(
+            FIRST_LEADER_KEY,
             protocol.POLL_ROUTER,
             poll,
             CALL_TIMEOUT_S + poll.wait_ms / 1000.0,
         )
         if not reply.granted:
-            self._follow(FIRST_LEADER, reply.leader)
+            self._update_leader(FIRST_LEADER_KEY, reply.leader)
         return reply
 
     async def poll_control(self, poll: protocol.ControlPoll) -> protocol.ControlReply:
         """One heartbeat of a control process; on the loop."""
-        reply: protocol.ControlReply = await self._ask(
-            FIRST_LEADER, protocol.POLL_CONTROL, poll, CALL_TIMEOUT_S
+        reply: protocol.ControlReply = await self._call_leader(
+            FIRST_LEADER_KEY, protocol.POLL_CONTROL, poll, CALL_TIMEOUT_S
         )
         if not reply.answered:
-            self._follow(FIRST_LEADER, reply.leader)
+            self._update_leader(FIRST_LEADER_KEY, reply.leader)
         return reply
 
-    async def _until(
+    async def _call_until_answered(
         self,
-        place: int,
+        leader_key: int,
         method: Method,
         request: Callable[[], Any],
         answer: Callable[[Any], R | None],
@@ -163,39 +163,41 @@
                 raise NoLeader(timeout_ms)
             try:
                 call_s = min(CALL_TIMEOUT_S + wait_ms / 1000.0, left_s)
-                async with self._open:
-                    reply = await self._ask(place, method, request(), call_s)
+                async with self._open_calls:
+                    reply = await self._call_leader(
+                        leader_key, method, request(), call_s
+                    )
             except TransportError:
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_INTERVAL_S)
                 continue
             found = answer(reply)
             if found is not None:
                 return found
-            if not self._follow(place, reply.leader):
-                await asyncio.sleep(RETRY_S)
+            if not self._update_leader(leader_key, reply.leader):
+                await asyncio.sleep(RETRY_INTERVAL_S)
 
-    async def _ask(
-        self, place: int, method: Method, request: Any, timeout_s: float
+    async def _call_leader(
+        self, leader_key: int, method: Method, request: Any, timeout_s: float
     ) -> Any:
-        address = self._leaders.get(place, self._addresses[0])
+        address = self._leaders.get(leader_key, self._addresses[0])
         peer = self._peers.get(address)
         if peer is None:
             peer = self._peers[address] = Peer(Address.parse(address))
         try:
             return await peer.call(method, request, timeout_s)
         except TransportError:
-            if address == self._leaders.get(place, self._addresses[0]):
-                self._leaders[place] = self._after(address)
+            if address == self._leaders.get(leader_key, self._addresses[0]):
+                self._leaders[leader_key] = self._next_address(address)
             raise
 
-    def _follow(self, place: int, leader: str) -> bool:
+    def _update_leader(self, leader_key: int, leader: str) -> bool:
         """Ask another next time; whether it is known to lead."""
-        asked = self._leaders.get(place, self._addresses[0])
-        self._leaders[place] = leader or self._after(asked)
+        asked = self._leaders.get(leader_key, self._addresses[0])
+        self._leaders[leader_key] = leader or self._next_address(asked)
         return leader not in ("", asked)
 
-    def _after(self, address: str) -> str:
+    def _next_address(self, address: str) -> str:
         if address not in self._addresses:
             return self._addresses[0]
-        place = self._addresses.index(address) + 1
-        return self._addresses[place % len(self._addresses)]
+        index = self._addresses.index(address) + 1
+        return self._addresses[index % len(self._addresses)]
--- a/ashlatch/clock.py
+++ b/ashlatch/clock.py
@@ -17,15 +17,15 @@
 import asyncio
 import time
 
-__all__ = ["ClockLoop", "monotonic_ms", "monotonic_s", "unix_ms"]
+__all__ = ["SuspendAwareLoop", "monotonic_ms", "monotonic_s", "unix_ms"]
 
 # Systems without it have a steady clock that counts suspension, or never suspend.
-_COUNTS_SUSPENSION: int = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+_CLOCK: int = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 def monotonic_s() -> float:
     """Seconds of a clock that only goes forward, also while the VM is suspended."""
-    return time.clock_gettime(_COUNTS_SUSPENSION)
+    return time.clock_gettime(_CLOCK)
 
 
 def monotonic_ms() -> float:
@@ -38,7 +38,7 @@
     return time.time_ns() // 1_000_000
 
 
-class ClockLoop(asyncio.SelectorEventLoop):
+class SuspendAwareLoop(asyncio.SelectorEventLoop):
     """An event loop whose time, and so its timers and timeouts, count suspension.
 
     A timer that has lapsed while the VM was suspended fires when anything else wakes
--- a/ashlatch/control/api.py
+++ b/ashlatch/control/api.py
@@ -27,7 +27,7 @@
 from ashlatch.http.problem import Problem, problem_response
 from ashlatch.log import LogEvent, emit
 from ashlatch.metrics import Metrics
-from ashlatch.resources import InvalidResource, canonical, parse
+from ashlatch.resources import InvalidResource, encode_canonical, parse
 from ashlatch.settings import ControlSettings
 from ashlatch.store.command import (
     ChangeAccepted,
@@ -214,7 +214,7 @@
             kind,
             name,
             _if_revision(http),
-            canonical(spec),
+            encode_canonical(spec),
             spec.references(name),
         )
         return self._commit(command)
--- a/ashlatch/control/core.py
+++ b/ashlatch/control/core.py
@@ -26,7 +26,7 @@
 from ashlatch.policy.detector import Detector
 from ashlatch.policy.slowness import LatencyHistory
 from ashlatch.registry import Handlers
-from ashlatch.resources import Spec, canonical, parse_cached
+from ashlatch.resources import Spec, encode_canonical, parse_cached
 from ashlatch.store.command import Resource
 from ashlatch.store.configuration import ResourceId
 from ashlatch.store.protocol import VersionReport
@@ -108,7 +108,7 @@
     def put_resource(self, name: str, spec: Spec) -> None:
         """Creates or changes a resource, unless it already has this spec."""
         current = self.resources.get(ResourceId(spec.name, name))
-        encoded = canonical(spec)
+        encoded = encode_canonical(spec)
         if current is not None and current.spec == encoded:
             return
         revision = current.revision if current else 0
--- a/ashlatch/control/daemon.py
+++ b/ashlatch/control/daemon.py
@@ -47,11 +47,11 @@
 from ashlatch.errors import AshlatchError, NoLeader, TransportError
 from ashlatch.http.server import HttpServer
 from ashlatch.log import LogEvent, emit
-from ashlatch.periodic import Periodic
+from ashlatch.periodic import PeriodicTasks
 from ashlatch.registry import Handlers
 from ashlatch.resources import Pool, parse
 from ashlatch.rpc import Address, RpcLoop
-from ashlatch.settings import ControlSettings, addresses
+from ashlatch.settings import ControlSettings, parse_addresses
 from ashlatch.store.command import DeleteResource, PutResource, Resource
 from ashlatch.store.configuration import ResourceId
 from ashlatch.store.protocol import ControlPoll, ReadReply, ReadRequest
@@ -94,11 +94,13 @@
         self.core = ControlCore(self.holder)
         self.rpc = RpcLoop()
         self.client = StateClient(
-            self.rpc, addresses(settings.state_addresses), settings.state_timeout_ms
+            self.rpc,
+            parse_addresses(settings.state_addresses),
+            settings.state_timeout_ms,
         )
         self._failed = failed
         self._lock = threading.Lock()
-        self._periodic = Periodic(failed)
+        self._periodic = PeriodicTasks(failed)
         self._orders = ThreadPoolExecutor(8, "orders")
         self._ratings = RatingService(settings.rating_url)
         self._resources: dict[ResourceId, Resource] = {}
@@ -110,7 +112,7 @@
 
     def start(self) -> None:
         """Starts serving operators and polling for the control lease."""
-        self.rpc.keep(self._poll_lease(), self._failed)
+        self.rpc.supervise(self._poll_lease(), self._failed)
         settings, repeat = self.settings, self._periodic.start
         repeat("state", self._read_state, settings.control_poll_ms)
         if settings.platform_url:
--- a/ashlatch/fleet/daemon.py
+++ b/ashlatch/fleet/daemon.py
@@ -62,7 +62,7 @@
 from ashlatch.raft.effect import AddLearner, Received, RemoveMember
 from ashlatch.raft.group import Group, GroupStatus
 from ashlatch.raft.storage import Disk, DiskFailed
-from ashlatch.rpc import Address, RpcLoop, RpcService, watch_traffic
+from ashlatch.rpc import Address, RpcLoop, RpcService, register_traffic_metrics
 from ashlatch.settings import CoreSettings
 from ashlatch.store import protocol as store_protocol
 from ashlatch.store.transport import Transport
@@ -164,7 +164,7 @@
     def _on_group_failed(self, error: BaseException) -> None:
         """Called on the group's thread when the group cannot go on."""
         if isinstance(error, DiskFailed | OSError):
-            self.rpc.keep(self._reopen_group(error), self._failed)
+            self.rpc.supervise(self._reopen_group(error), self._failed)
         else:
             self._failed(error)
 
@@ -227,12 +227,14 @@
         self._operators = HttpListener(
             OperatorApi(self._commands, frozenset(self.settings.halls)).handle, bounds
         )
-        self._operators.failed = self._failed
+        self._operators.on_handler_error = self._failed
         listen = Address.parse(self.settings.listen)
         await self._operators.start(listen.host, listen.port)
-        watch_traffic(self.metrics)
+        register_traffic_metrics(self.metrics)
         reader = self._list_poller.reader
-        self.metrics.watch("list_entries_left_out", lambda: reader.left_out_total)
+        self.metrics.register_callback(
+            "list_entries_left_out", lambda: reader.left_out_total
+        )
         await serve_metrics(
             self.metrics, self.settings.host, self.settings.metrics_port
         )
@@ -248,10 +250,10 @@
             watch_suspension(),
         )
         for task in tasks:
-            self.rpc.keep(task, self._failed)
+            self.rpc.supervise(task, self._failed)
 
     async def _stop(self) -> None:
-        self._operators.refuse_new()
+        self._operators.stop_accepting()
         self._operators.abort()
         await self._service.stop()
 
@@ -353,7 +355,7 @@
         engines = self._engines()
         if engines:
             self._prefix_caches_term = term
-            self.rpc.keep(self._read_prefix_caches(engines), self._failed)
+            self.rpc.supervise(self._read_prefix_caches(engines), self._failed)
 
     async def _read_prefix_caches(self, engines: tuple[Endpoint, ...]) -> None:
         self._soft_state.add_prefills(await read_prefix_caches(engines))
--- a/ashlatch/fleet/discovery.py
+++ b/ashlatch/fleet/discovery.py
@@ -101,9 +101,9 @@
         connection = await self._connect()
         host = (b"Host", self._address.encode())
         connection.send("GET", page_target(page_token), [host], b"")
-        head = await connection.head()
+        head = await connection.read_head()
         chunks = []
-        while (chunk := await connection.part()) is not None:
+        while (chunk := await connection.read_chunk()) is not None:
             chunks.append(chunk)
         if not connection.release(asyncio.get_running_loop().time()):
             self._connection = None
@@ -116,7 +116,7 @@
         if connection is None or not connection.usable:
             connection = await Upstream.connect(self._address, CONNECT_TIMEOUT_S)
             self._connection = connection
-        connection.take()
+        connection.acquire()
         return connection
 
     def _close_connection(self) -> None:
--- a/ashlatch/fleet/prefix_caches.py
+++ b/ashlatch/fleet/prefix_caches.py
@@ -85,12 +85,12 @@
     try:
         async with asyncio.timeout(TIMEOUT_S):
             connection = await Upstream.connect(engine.address, TIMEOUT_S)
-            connection.take()
+            connection.acquire()
             headers = prefix_cache_headers(engine.address, engine.instance)
             connection.send("GET", PREFIX_CACHE_TARGET, headers, b"")
-            head = await connection.head()
+            head = await connection.read_head()
             chunks = []
-            while (chunk := await connection.part()) is not None:
+            while (chunk := await connection.read_chunk()) is not None:
                 chunks.append(chunk)
         if head.status_code != 200:
             raise MemoryUnreadable(engine.instance, f"status {head.status_code}")
--- a/ashlatch/gateway/attempt.py
+++ b/ashlatch/gateway/attempt.py
@@ -139,7 +139,9 @@
         except UpstreamBroken as error:
             raise AttemptFailed(FailureKind.BROKEN, error.reason) from error
         head = decode_answer(
-            await self._receive(connection.head, timeout, "no answer head received")
+            await self._receive(
+                connection.read_head, timeout, "no answer head received"
+            )
         )
         self.state.progressed(self._now_ms())
         if not head.backoff_ms:
@@ -161,7 +163,7 @@
         """
         assert self._connection is not None
         part = await self._receive(
-            self._connection.part, timeout, "no further part received"
+            self._connection.read_chunk, timeout, "no further part received"
         )
         self.state.progressed(self._now_ms())
         return part
--- a/ashlatch/gateway/daemon.py
+++ b/ashlatch/gateway/daemon.py
@@ -42,7 +42,7 @@
 from ashlatch.platform.headers import MalformedRequest, decode_request
 from ashlatch.platform.operator import READY_TARGET
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
-from ashlatch.rpc import Address, RpcLoop, watch_traffic
+from ashlatch.rpc import Address, RpcLoop, register_traffic_metrics
 from ashlatch.settings import GatewaySettings
 from ashlatch.suspension import watch_suspension
 
@@ -123,8 +123,8 @@
 
     async def _start(self) -> None:
         self.listener = HttpListener(self._handle)
-        self.listener.failed = self._handler_failed
-        self.listener.unreadable = self._unreadable
+        self.listener.on_handler_error = self._handler_failed
+        self.listener.on_malformed = self._unreadable
         self._ready_listener = HttpListener(self._handle_ready)
         local = GatewayVm(self.settings.rpc_address, self.settings.hall)
         self._sync = CoreSync(
@@ -144,8 +144,8 @@
         ):
             address = Address.parse(text)
             await listener.start(address.host, address.port, early)
-        watch_traffic(self.context.metrics)
-        self.context.metrics.watch("configuration_version", self._version)
+        register_traffic_metrics(self.context.metrics)
+        self.context.metrics.register_callback("configuration_version", self._version)
         metrics_port = self.settings.metrics_port
         await serve_metrics(self.context.metrics, self.settings.host, metrics_port)
         prober = LivenessProber(self.context.directory)
@@ -160,21 +160,24 @@
             watch_suspension(),
         )
         for task in tasks:
-            self.rpc.keep(task, self._failed)
+            self.rpc.supervise(task, self._failed)
 
     async def _stop(self) -> int:
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         ends_s = started_s + STOP_ABORT_RATIO * self.settings.stop_s
         self.listener.stopping = True
-        emit(log, StopBegun(self.listener.handling, len(self.listener.connections)))
+        emit(
+            log,
+            StopBegun(self.listener.active_requests, len(self.listener.connections)),
+        )
         while loop.time() < started_s + STOP_ACCEPTS_S:
             await asyncio.sleep(STOP_POLL_S)
-        self.listener.refuse_new()
+        self.listener.stop_accepting()
         while loop.time() < ends_s and self.listener.connections:
             self.listener.close_idle()
             await asyncio.sleep(STOP_POLL_S)
-        aborted = self.listener.handling
+        aborted = self.listener.active_requests
         self.listener.abort()
         self._ready_listener.abort()
         return aborted
--- a/ashlatch/gateway/pool.py
+++ b/ashlatch/gateway/pool.py
@@ -54,7 +54,7 @@
                 return None
             else:
                 connections.pop()
-                idle.connection.take()
+                idle.connection.acquire()
                 return idle.connection
         return None
 
--- a/ashlatch/http/client.py
+++ b/ashlatch/http/client.py
@@ -72,14 +72,14 @@
 class _Transfer:
     def __init__(self, call: Call) -> None:
         self.call = call
-        self.forbidden = False
+        self.send_denied = False
         # Set when a connection stands and the request is about to leave on it.
         self.sending = False
         self.reply = Reply()
-        self.parts: list[bytes] = []
-        self.started = False
+        self.chunks: list[bytes] = []
+        self.status_reported = False
 
-    def header(self, line: bytes) -> None:
+    def on_header_line(self, line: bytes) -> None:
         text = line.decode("latin-1").strip()
         if text.startswith("HTTP/"):
             self.reply.status = int(text.split()[1])
@@ -89,30 +89,30 @@
         if colon:
             self.reply.headers[name.strip().lower()] = value.strip()
 
-    def begin(self) -> None:
+    def report_status(self) -> None:
         """The head is whole; called again at the end, for a reply without a body."""
-        if self.started:
+        if self.status_reported:
             return
-        self.started = True
+        self.status_reported = True
         if self.call.on_status is not None:
             self.call.on_status(self.reply)
 
-    def body(self, data: bytes) -> None:
-        self.begin()
+    def on_body(self, data: bytes) -> None:
+        self.report_status()
         if self.call.on_body is not None:
             self.call.on_body(data)
         else:
-            self.parts.append(data)
+            self.chunks.append(data)
 
-    def prerequisite(self, *addresses: object) -> int:
+    def on_connected(self, *addresses: object) -> int:
         before_send = self.call.before_send
-        self.forbidden = before_send is not None and not before_send()
-        if self.forbidden:
+        self.send_denied = before_send is not None and not before_send()
+        if self.send_denied:
             return int(pycurl.PREREQFUNC_ABORT)
         self.sending = True
         return int(pycurl.PREREQFUNC_OK)
 
-    def progress(self, *totals: float) -> int:
+    def on_progress(self, *totals: float) -> int:
         cancelled = self.call.cancelled
         return 1 if cancelled is not None and cancelled() else 0
 
@@ -127,23 +127,23 @@
     if handle is None:
         handle = _local.handle = pycurl.Curl()
     transfer = _Transfer(call)
-    _prepare(handle, call, transfer)
+    _configure_handle(handle, call, transfer)
     try:
         handle.perform()
     except pycurl.error as error:
         code, reason = error.args[0], error.args[1]
-        if transfer.forbidden:
+        if transfer.send_denied:
             raise TransportError(call.url, "not sent any more", False) from error
         if code == pycurl.E_ABORTED_BY_CALLBACK:
             raise Cancelled(call.url, "cancelled", sent=True) from error
-        sent = _was_sent(handle, code, transfer)
+        sent = _may_have_been_sent(handle, code, transfer)
         raise TransportError(call.url, reason, sent) from error
-    transfer.begin()
-    transfer.reply.body = b"".join(transfer.parts)
+    transfer.report_status()
+    transfer.reply.body = b"".join(transfer.chunks)
     return transfer.reply
 
 
-def _was_sent(handle: pycurl.Curl, code: int, transfer: _Transfer) -> bool:
+def _may_have_been_sent(handle: pycurl.Curl, code: int, transfer: _Transfer) -> bool:
     if transfer.sending:
         # Also when curl could not connect: a kept connection that dies has carried
         # the request, and curl sends it once more, to an endpoint that has ended.
@@ -156,7 +156,7 @@
     return True
 
 
-def _prepare(handle: pycurl.Curl, call: Call, transfer: _Transfer) -> None:
+def _configure_handle(handle: pycurl.Curl, call: Call, transfer: _Transfer) -> None:
     handle.reset()
     handle.setopt(pycurl.URL, call.url)
     handle.setopt(pycurl.NOSIGNAL, 1)
@@ -173,13 +173,13 @@
     headers = ["Expect:"]
     headers += [f"{name}: {value}" for name, value in call.headers.items()]
     handle.setopt(pycurl.HTTPHEADER, headers)
-    handle.setopt(pycurl.HEADERFUNCTION, transfer.header)
-    handle.setopt(pycurl.WRITEFUNCTION, transfer.body)
-    handle.setopt(pycurl.PREREQFUNCTION, transfer.prerequisite)
+    handle.setopt(pycurl.HEADERFUNCTION, transfer.on_header_line)
+    handle.setopt(pycurl.WRITEFUNCTION, transfer.on_body)
+    handle.setopt(pycurl.PREREQFUNCTION, transfer.on_connected)
     if not call.repeatable:
         # On a kept connection that dies, curl sends the request once more.
         handle.setopt(pycurl.FRESH_CONNECT, 1)
         handle.setopt(pycurl.FORBID_REUSE, 1)
     if call.cancelled is not None:
         handle.setopt(pycurl.NOPROGRESS, 0)
-        handle.setopt(pycurl.XFERINFOFUNCTION, transfer.progress)
+        handle.setopt(pycurl.XFERINFOFUNCTION, transfer.on_progress)
--- a/ashlatch/http/connection.py
+++ b/ashlatch/http/connection.py
@@ -26,7 +26,7 @@
     "Headers",
     "HttpBounds",
     "HttpRequest",
-    "Owner",
+    "ListenerProtocol",
     "Responder",
 ]
 
@@ -113,32 +113,32 @@
 Handler = Callable[[HttpRequest, Responder], Awaitable[None]]
 
 
-class Owner(Protocol):
+class ListenerProtocol(Protocol):
     """What a connection needs of the listener that accepted it."""
 
     handler: Handler
     bounds: HttpBounds
     connections: "set[Connection]"
-    handling: int
+    active_requests: int
     stopping: bool
-    unreadable: Callable[[str, str], None]
-    failed: Callable[[BaseException], None]
+    on_malformed: Callable[[str, str], None]
+    on_handler_error: Callable[[BaseException], None]
 
 
 @dataclass
-class _Incoming:
+class _IncomingRequest:
     """The request that is being read."""
 
     head: h11.Request
     received_s: float
-    parts: list[bytes] = field(default_factory=list)
+    chunks: list[bytes] = field(default_factory=list)
     size_bytes: int = 0
 
 
 class Connection(asyncio.Protocol):
     """One caller's connection; requests are handled one after another."""
 
-    def __init__(self, listener: Owner) -> None:
+    def __init__(self, listener: ListenerProtocol) -> None:
         self._listener = listener
         self._loop = asyncio.get_running_loop()
         bounds = listener.bounds
@@ -146,12 +146,12 @@
             h11.SERVER, max_incomplete_event_size=bounds.head_max_bytes
         )
         self._transport: asyncio.Transport | None = None
-        self._incoming: _Incoming | None = None
+        self._incoming: _IncomingRequest | None = None
         self._task: asyncio.Task[None] | None = None
         self._writable = asyncio.Event()
         self._writable.set()
         self._peer = ""
-        self.quiet_since_s = self._loop.time()
+        self.last_activity_s = self._loop.time()
         self.head_begun_s: float | None = None
 
     # What asyncio calls.
@@ -171,16 +171,16 @@
         if between_requests and self.head_begun_s is None:
             self.head_begun_s = self._loop.time()
         self._http.receive_data(data)
-        self._read()
+        self._process_events()
 
     def eof_received(self) -> bool:
         """The caller sends no more; it waits for no answer either."""
-        self._gone()
+        self._on_disconnect()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
         """The connection is gone."""
-        self._gone()
+        self._on_disconnect()
         self._transport = None
         self._listener.connections.discard(self)
 
@@ -246,19 +246,19 @@
         if data and self._transport is not None:
             self._transport.write(data)
 
-    def _gone(self) -> None:
+    def _on_disconnect(self) -> None:
         self._writable.set()
         if self._task is not None:
             self._task.cancel()
         elif self._transport is not None:
             self._transport.close()
 
-    def _read(self) -> None:
+    def _process_events(self) -> None:
         while not self.busy:
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError as error:
-                self._listener.unreadable(self._peer, str(error))
+                self._listener.on_malformed(self._peer, str(error))
                 self.refuse(error.error_status_hint)
                 return
             if event is h11.NEED_DATA:
@@ -268,7 +268,7 @@
                 self.close()
                 return
             assert isinstance(event, h11.Event)
-            self._take(event)
+            self._process_event(event)
             if self._transport is None or self._transport.is_closing():
                 return
         ahead = len(self._http.trailing_data[0])
@@ -279,17 +279,17 @@
         if self._http.they_are_waiting_for_100_continue:
             self._write(h11.InformationalResponse(status_code=100, headers=[]))
 
-    def _take(self, event: h11.Event) -> None:
+    def _process_event(self, event: h11.Event) -> None:
         if isinstance(event, h11.Request):
-            self._incoming = _Incoming(event, self._loop.time())
+            self._incoming = _IncomingRequest(event, self._loop.time())
             self.head_begun_s = None
-            self.quiet_since_s = self._loop.time()
+            self.last_activity_s = self._loop.time()
             self._check_head(event)
         elif isinstance(event, h11.Data):
             assert self._incoming is not None
-            self.quiet_since_s = self._loop.time()
+            self.last_activity_s = self._loop.time()
             self._incoming.size_bytes += len(event.data)
-            self._incoming.parts.append(bytes(event.data))
+            self._incoming.chunks.append(bytes(event.data))
             if self._incoming.size_bytes > self._listener.bounds.body_max_bytes:
                 self.refuse(413)
         elif isinstance(event, h11.EndOfMessage):
@@ -299,12 +299,12 @@
         """Refuse heads that another reader could frame in another way."""
         names = [name for name, _ in head.headers]
         if b"transfer-encoding" in names and b"content-length" in names:
-            self._listener.unreadable(self._peer, "a length and chunks")
+            self._listener.on_malformed(self._peer, "a length and chunks")
             self.refuse(400)
         elif names.count(b"transfer-encoding") > 1 or head.http_version != b"1.1":
-            self._listener.unreadable(self._peer, "framing that is not HTTP/1.1")
+            self._listener.on_malformed(self._peer, "framing that is not HTTP/1.1")
             self.refuse(400)
-        elif _head_bytes(head) > self._listener.bounds.head_max_bytes:
+        elif _head_size_bytes(head) > self._listener.bounds.head_max_bytes:
             self.refuse(431)
 
     def _dispatch(self) -> None:
@@ -315,7 +315,7 @@
             incoming.head.method.decode("ascii"),
             incoming.head.target.decode("ascii"),
             incoming.head.headers.raw_items(),
-            b"".join(incoming.parts),
+            b"".join(incoming.chunks),
             incoming.received_s,
             self._peer,
         )
@@ -323,7 +323,7 @@
 
     async def _handle(self, request: HttpRequest) -> None:
         responder = Responder(self)
-        self._listener.handling += 1
+        self._listener.active_requests += 1
         try:
             await self._listener.handler(request, responder)
             if not responder.ended:
@@ -331,15 +331,15 @@
         except (CallerGone, asyncio.CancelledError):
             self.abort()
         except Exception as error:
-            self._listener.failed(error)
+            self._listener.on_handler_error(error)
             self.abort()
         finally:
-            self._listener.handling -= 1
+            self._listener.active_requests -= 1
             self._task = None
-            self._next_cycle()
+            self._start_next_cycle()
 
-    def _next_cycle(self) -> None:
-        self.quiet_since_s = self._loop.time()
+    def _start_next_cycle(self) -> None:
+        self.last_activity_s = self._loop.time()
         if self._transport is None or self._transport.is_closing():
             return
         if self._http.our_state is not h11.DONE or self._listener.stopping:
@@ -351,8 +351,8 @@
         ahead = self._http.trailing_data[0]
         self.head_begun_s = self._loop.time() if ahead else None
         self._transport.resume_reading()
-        self._read()
+        self._process_events()
 
 
-def _head_bytes(head: h11.Request) -> int:
+def _head_size_bytes(head: h11.Request) -> int:
     return len(head.target) + sum(len(n) + len(v) + 4 for n, v in head.headers)
--- a/ashlatch/http/listener.py
+++ b/ashlatch/http/listener.py
@@ -19,7 +19,7 @@
 __all__ = ["HttpListener"]
 
 # How often idle and slow connections are looked for.
-SWEEP_S = 0.25
+SWEEP_INTERVAL_S = 0.25
 
 
 class HttpListener:
@@ -33,21 +33,21 @@
         self.handler = handler
         self.bounds = bounds or HttpBounds()
         self.connections: set[Connection] = set()
-        self.handling = 0
+        self.active_requests = 0
         self.stopping = False
-        self.unreadable: Callable[[str, str], None] = lambda peer, reason: None
-        self.failed: Callable[[BaseException], None] = lambda error: None
+        self.on_malformed: Callable[[str, str], None] = lambda peer, reason: None
+        self.on_handler_error: Callable[[BaseException], None] = lambda error: None
         self._server: asyncio.Server | None = None
         self._sweeper: asyncio.Task[None] | None = None
 
     async def start(
-        self, host: str, port: int, early: socket.socket | None = None
+        self, host: str, port: int, early_socket: socket.socket | None = None
     ) -> None:
         """Begin to accept connections, at a socket that listens already if any."""
         loop = asyncio.get_running_loop()
-        if early is not None:
+        if early_socket is not None:
             self._server = await loop.create_server(
-                lambda: Connection(self), sock=early, backlog=BACKLOG
+                lambda: Connection(self), sock=early_socket, backlog=BACKLOG
             )
         else:
             self._server = await loop.create_server(
@@ -59,7 +59,7 @@
             )
         self._sweeper = loop.create_task(self._sweep())
 
-    def refuse_new(self) -> None:
+    def stop_accepting(self) -> None:
         """Accept no more connections."""
         if self._server is not None:
             self._server.close()
@@ -79,17 +79,17 @@
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             now_s = asyncio.get_running_loop().time()
             for connection in list(self.connections):
-                self._sweep_one(connection, now_s)
+                self._close_if_expired(connection, now_s)
 
-    def _sweep_one(self, connection: Connection, now_s: float) -> None:
+    def _close_if_expired(self, connection: Connection, now_s: float) -> None:
         if connection.busy:
             return
         begun_s = connection.head_begun_s
         if begun_s is not None:
             if now_s - begun_s > self.bounds.head_timeout_s:
                 connection.refuse(408)
-        elif now_s - connection.quiet_since_s > self.bounds.idle_timeout_s:
+        elif now_s - connection.last_activity_s > self.bounds.idle_timeout_s:
             connection.close()
--- a/ashlatch/http/server.py
+++ b/ashlatch/http/server.py
@@ -34,11 +34,13 @@
 Application = Callable[[Request], Response]
 
 REFUSAL_THREADS = 4
-REFUSAL_S = 0.2
-REFUSAL_READS = 64
-READ_BYTES = 65_536
+REFUSAL_TIMEOUT_S = 0.2
+REFUSAL_READS_MAX = 64
+REFUSAL_READ_BYTES = 65_536
 
-_FULL = Problem(problems.OVERLOADED, "too many open connections", retry_ms=1000.0)
+_TOO_MANY_CONNECTIONS = Problem(
+    problems.OVERLOADED, "too many open connections", retry_ms=1000.0
+)
 
 
 class _Handler(WSGIRequestHandler):
@@ -69,11 +71,11 @@
         super().__init__(address.host, address.port, application, handler)
         self._slots = threading.BoundedSemaphore(limits.max_connections)
         self._pool = ThreadPoolExecutor(limits.max_connections, "http")
-        self._refusals = ThreadPoolExecutor(REFUSAL_THREADS, "refuse")
+        self._refusal_pool = ThreadPoolExecutor(REFUSAL_THREADS, "refuse")
 
     def process_request(self, request: Any, client_address: Any) -> None:
         if not self._slots.acquire(blocking=False):
-            self._refusals.submit(self._refuse, request)
+            self._refusal_pool.submit(self._refuse, request)
             return
         self._pool.submit(self._serve, request, client_address)
 
@@ -87,18 +89,20 @@
             self._slots.release()
 
     def _refuse(self, request: Any) -> None:
-        body = _FULL.document()
+        body = _TOO_MANY_CONNECTIONS.document()
         lines = ["HTTP/1.1 503 Service Unavailable", "Connection: close"]
-        lines += [f"{key}: {value}" for key, value in _FULL.headers().items()]
+        lines += [
+            f"{key}: {value}" for key, value in _TOO_MANY_CONNECTIONS.headers().items()
+        ]
         lines.append(f"Content-Length: {len(body)}")
         with contextlib.suppress(OSError):
-            request.settimeout(REFUSAL_S)
+            request.settimeout(REFUSAL_TIMEOUT_S)
             request.sendall("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
             request.shutdown(socket.SHUT_WR)
             # Closing before the caller's request is read would reset the
             # connection, and the caller might never see the answer.
-            for _ in range(REFUSAL_READS):
-                if not request.recv(READ_BYTES):
+            for _ in range(REFUSAL_READS_MAX):
+                if not request.recv(REFUSAL_READ_BYTES):
                     break
         self.shutdown_request(request)
 
@@ -106,10 +110,10 @@
         """A caller that went away is not an error of ours."""
         log.debug("", exc_info=True, extra={"event": "connection_failed"})
 
-    def end(self) -> None:
+    def wait_closed(self) -> None:
         """Wait for all open connections."""
         self._pool.shutdown(wait=True)
-        self._refusals.shutdown(wait=True)
+        self._refusal_pool.shutdown(wait=True)
 
 
 class HttpServer:
@@ -138,7 +142,7 @@
         self._server.shutdown()
         self._thread.join()
         self._server.server_close()
-        self._server.end()
+        self._server.wait_closed()
 
     def _wsgi(self, environ: Any, start_response: Any) -> Iterable[bytes]:
         request = Request(environ)
--- a/ashlatch/http/upstream.py
+++ b/ashlatch/http/upstream.py
@@ -63,10 +63,10 @@
         self._loop = asyncio.get_running_loop()
         self._http = h11.Connection(h11.CLIENT)
         self._transport: asyncio.Transport | None = None
-        self._news: asyncio.Future[None] | None = None
+        self._data_waiter: asyncio.Future[None] | None = None
         self._in_use = True
-        self._lost = ""
-        self._unread_bytes = 0
+        self._lost_reason = ""
+        self._read_ahead_bytes = 0
 
     @classmethod
     async def connect(cls, address: str, timeout_s: float) -> "Upstream":
@@ -100,10 +100,13 @@
             return
         self.received_bytes += len(data)
         self._http.receive_data(data)
-        self._unread_bytes += len(data)
-        if self._unread_bytes > READ_AHEAD_MAX_BYTES and self._transport is not None:
+        self._read_ahead_bytes += len(data)
+        if (
+            self._read_ahead_bytes > READ_AHEAD_MAX_BYTES
+            and self._transport is not None
+        ):
             self._transport.pause_reading()
-        self._wake()
+        self._wake_reader()
 
     def eof_received(self) -> bool:
         """The endpoint sends no more."""
@@ -111,14 +114,14 @@
             self.abort()
             return False
         self._http.receive_data(b"")
-        self._wake()
+        self._wake_reader()
         return True
 
     def connection_lost(self, error: Exception | None) -> None:
         """The connection is gone."""
-        self._lost = type(error).__name__ if error else "closed"
+        self._lost_reason = type(error).__name__ if error else "closed"
         self._transport = None
-        self._wake()
+        self._wake_reader()
 
     # What the request's task calls.
 
@@ -129,7 +132,7 @@
         ready = self._http.our_state is h11.IDLE
         return ready and transport is not None and not transport.is_closing()
 
-    def take(self) -> None:
+    def acquire(self) -> None:
         """Use the connection for a request; its bytes are counted from here."""
         self._in_use = True
         self.sent_bytes = self.received_bytes = 0
@@ -137,7 +140,7 @@
     def send(self, method: str, target: str, headers: Headers, body: bytes) -> None:
         """Send a whole request; raises `UpstreamBroken`."""
         if self._transport is None or self._transport.is_closing():
-            raise UpstreamBroken(self.address, self._lost or "closing")
+            raise UpstreamBroken(self.address, self._lost_reason or "closing")
         self.requests += 1
         head = h11.Request(method=method, target=target, headers=headers)
         data = self._http.send(head)
@@ -147,18 +150,18 @@
         self._transport.write(data)
         self.sent_bytes += len(data)
 
-    async def head(self) -> h11.Response:
+    async def read_head(self) -> h11.Response:
         """The head of the answer; raises `UpstreamBroken`."""
         while True:
-            event = await self._next()
+            event = await self._next_event()
             if isinstance(event, h11.Response):
                 return event
             if not isinstance(event, h11.InformationalResponse):
                 raise UpstreamBroken(self.address, "no answer")
 
-    async def part(self) -> bytes | None:
+    async def read_chunk(self) -> bytes | None:
         """The next part of the body, or none at its end."""
-        event = await self._next()
+        event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
@@ -191,30 +194,30 @@
 
     # Inside.
 
-    def _wake(self) -> None:
-        if self._news is not None and not self._news.done():
-            self._news.set_result(None)
+    def _wake_reader(self) -> None:
+        if self._data_waiter is not None and not self._data_waiter.done():
+            self._data_waiter.set_result(None)
 
-    async def _next(self) -> h11.Event:
+    async def _next_event(self) -> h11.Event:
         while True:
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError as error:
                 raise UpstreamBroken(self.address, str(error)) from error
             if event is h11.NEED_DATA:
-                await self._more()
+                await self._wait_for_data()
             elif isinstance(event, h11.Event):
                 return event
             else:
                 raise UpstreamBroken(self.address, "data after the answer")
 
-    async def _more(self) -> None:
-        if self._lost or self._transport is None:
-            raise UpstreamBroken(self.address, self._lost or "closed")
-        self._unread_bytes = 0
+    async def _wait_for_data(self) -> None:
+        if self._lost_reason or self._transport is None:
+            raise UpstreamBroken(self.address, self._lost_reason or "closed")
+        self._read_ahead_bytes = 0
         self._transport.resume_reading()
-        self._news = self._loop.create_future()
+        self._data_waiter = self._loop.create_future()
         try:
-            await self._news
+            await self._data_waiter
         finally:
-            self._news = None
+            self._data_waiter = None
--- a/ashlatch/link.py
+++ b/ashlatch/link.py
@@ -33,7 +33,7 @@
 # More calls at once are not read before some are answered.
 OPEN_CALLS_MAX = 1024
 
-Answer = Callable[[Any], Awaitable[Any]]
+CallHandler = Callable[[Any], Awaitable[Any]]
 
 
 @dataclass(frozen=True)
@@ -100,7 +100,9 @@
         self._frames.append(frame)
         self._ready.set()
 
-    async def pump(self, send: Callable[[tuple[Any, ...]], Awaitable[None]]) -> None:
+    async def send_queued(
+        self, send: Callable[[tuple[Any, ...]], Awaitable[None]]
+    ) -> None:
         """Send for as long as the stream lasts."""
         while True:
             await self._ready.wait()
@@ -115,11 +117,11 @@
     def __init__(self, host: str, port: int) -> None:
         self._channel = Channel(host, port, codec=MessageCodec())
         self._outbox = _Outbox()
-        self._waiting: dict[int, asyncio.Future[bytes]] = {}
+        self._pending: dict[int, asyncio.Future[bytes]] = {}
         self._numbers = itertools.count()
         self._connected = False
         self._lost: LinkLost | None = None
-        self.heard_s = asyncio.get_running_loop().time()
+        self.last_received_s = asyncio.get_running_loop().time()
         self._task = asyncio.create_task(self._run())
 
     @property
@@ -127,7 +129,7 @@
         """Whether the stream has ended; a new link is needed."""
         return self._lost is not None
 
-    async def ask(self, method: Method, request: Any) -> Any:
+    async def call(self, method: Method, request: Any) -> Any:
         """Send a request and wait for its reply.
 
         Raises `LinkLost` or `CallRefused`.
@@ -136,16 +138,16 @@
             raise LinkLost(self._lost.reason, self._lost.sent)
         number = next(self._numbers)
         reply = asyncio.get_running_loop().create_future()
-        self._waiting[number] = reply
+        self._pending[number] = reply
         self._outbox.put(CallFrame(number, method.path, encode(request)))
         try:
             return decode(await reply, method.reply_type)
         finally:
-            self._waiting.pop(number, None)
+            self._pending.pop(number, None)
 
     def close(self) -> None:
         """End the stream; whoever waits for a reply gets `LinkLost`."""
-        self._lose("closed")
+        self._fail_pending("closed")
         self._task.cancel()
 
     async def _run(self) -> None:
@@ -154,28 +156,28 @@
             async with calls.open() as stream:
                 await stream.send_request()
                 self._connected = True
-                await self._converse(stream)
-            self._lose("the other side ended the stream")
+                await self._exchange_frames(stream)
+            self._fail_pending("the other side ended the stream")
         except* (GRPCError, StreamTerminatedError, OSError) as group:
-            self._lose(repr(group.exceptions[0]))
+            self._fail_pending(repr(group.exceptions[0]))
         finally:
-            self._lose("the stream was ended here")
+            self._fail_pending("the stream was ended here")
             self._channel.close()
 
-    async def _converse(self, stream: Any) -> None:
+    async def _exchange_frames(self, stream: Any) -> None:
         async def send(frames: tuple[CallFrame, ...]) -> None:
             await stream.send_message(Calls(frames))
 
         async with asyncio.TaskGroup() as tasks:
-            pump = tasks.create_task(self._outbox.pump(send))
+            pump = tasks.create_task(self._outbox.send_queued(send))
             async for replies in stream:
-                self._take(replies)
+                self._apply_replies(replies)
             pump.cancel()
 
-    def _take(self, replies: Replies) -> None:
-        self.heard_s = asyncio.get_running_loop().time()
+    def _apply_replies(self, replies: Replies) -> None:
+        self.last_received_s = asyncio.get_running_loop().time()
         for frame in replies.frames:
-            waiting = self._waiting.get(frame.number)
+            waiting = self._pending.get(frame.number)
             if waiting is None or waiting.done():
                 continue
             if frame.refusal:
@@ -183,11 +185,11 @@
             else:
                 waiting.set_result(frame.body)
 
-    def _lose(self, reason: str) -> None:
+    def _fail_pending(self, reason: str) -> None:
         if self._lost is not None:
             return
         self._lost = LinkLost(reason, self._connected)
-        for waiting in self._waiting.values():
+        for waiting in self._pending.values():
             if not waiting.done():
                 waiting.set_exception(LinkLost(reason, self._connected))
 
@@ -196,11 +198,11 @@
     """The serving side: methods, and the coroutine that answers each."""
 
     def __init__(self) -> None:
-        self._methods: dict[str, tuple[Method, Answer]] = {}
+        self._methods: dict[str, tuple[Method, CallHandler]] = {}
 
-    def add(self, method: Method, answer: Answer) -> None:
+    def add(self, method: Method, handler: CallHandler) -> None:
         """Serve one kind of call."""
-        self._methods[method.path] = (method, answer)
+        self._methods[method.path] = (method, handler)
 
     def __mapping__(self) -> dict[str, Handler]:
         handler = Handler(self._serve, Cardinality.STREAM_STREAM, Calls, Replies)
@@ -215,12 +217,12 @@
 
         async def answer(frame: CallFrame) -> None:
             try:
-                outbox.put(await self._answer(frame))
+                outbox.put(await self._handle_call(frame))
             finally:
                 slots.release()
 
         async with asyncio.TaskGroup() as tasks:
-            pump = tasks.create_task(outbox.pump(send))
+            pump = tasks.create_task(outbox.send_queued(send))
             open_calls: set[asyncio.Task[None]] = set()
             async for calls in _messages(stream):
                 for frame in calls.frames:
@@ -232,7 +234,7 @@
             for task in (pump, *open_calls):
                 task.cancel()
 
-    async def _answer(self, frame: CallFrame) -> ReplyFrame:
+    async def _handle_call(self, frame: CallFrame) -> ReplyFrame:
         found = self._methods.get(frame.path)
         if found is None:
             return ReplyFrame(frame.number, refusal=f"no method {frame.path}")
--- a/ashlatch/log.py
+++ b/ashlatch/log.py
@@ -29,7 +29,7 @@
     "DaemonFailed",
     "DaemonStarted",
     "DaemonStopped",
-    "LinesLeftOut",
+    "LinesDropped",
     "LogEvent",
     "QueueHandler",
     "emit",
@@ -38,13 +38,13 @@
 ]
 
 # Lines that wait for the reader of the logs; about 2 MB.
-QUEUE_LINES = 8192
+QUEUE_LINES_MAX = 8192
 # Lines that come within this time are written together.
-BATCH_S = 0.1
+BATCH_INTERVAL_S = 0.1
 # How long the end of a process waits for the reader of the logs.
 FLUSH_TIMEOUT_S = 0.2
 
-_PLAIN = frozenset(
+_UNQUOTED_CHARACTERS = frozenset(
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:/,@%+|()"
 )
 
@@ -88,25 +88,25 @@
     detail: str
 
 
-def _text(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, float):
         value = round(value, 3)
     if isinstance(value, bool) or value is None:
         return str(value).lower()
     text = str(value)
-    if text and _PLAIN.issuperset(text):
+    if text and _UNQUOTED_CHARACTERS.issuperset(text):
         return text
     return json.dumps(text, ensure_ascii=False)
 
 
-def _key_value_line(record: dict[str, Any], **_: Any) -> str:
+def _format_line(record: dict[str, Any], **_: Any) -> str:
     """The serializer handed to python-json-logger: `key=value key="a b"`."""
     record.pop("message", None)
-    return " ".join(f"{key}={_text(value)}" for key, value in record.items())
+    return " ".join(f"{key}={_format_value(value)}" for key, value in record.items())
 
 
 @dataclass(frozen=True)
-class LinesLeftOut(LogEvent):
+class LinesDropped(LogEvent):
     """The reader of the logs was too slow; this many lines are missing."""
 
     event: ClassVar[str] = "lines_left_out"
@@ -116,14 +116,14 @@
 class QueueHandler(logging.Handler):
     """Formats lines at once and has a thread write them, several together."""
 
-    def __init__(self, stream: TextIO, lines_max: int = QUEUE_LINES) -> None:
+    def __init__(self, stream: TextIO, lines_max: int = QUEUE_LINES_MAX) -> None:
         super().__init__()
         self._stream = stream
         self._lines: deque[str] = deque()
         self._lines_max = lines_max
-        self._left_out = 0
+        self._dropped = 0
         self._ready = threading.Event()
-        self._writing = threading.Lock()
+        self._write_lock = threading.Lock()
         self._thread = threading.Thread(target=self._run, name="log", daemon=True)
         self._thread.start()
         atexit.register(self.flush)
@@ -131,32 +131,32 @@
     def emit(self, record: logging.LogRecord) -> None:
         """Queue one line, unless the queue is full."""
         if len(self._lines) >= self._lines_max:
-            self._left_out += 1
+            self._dropped += 1
             return
         self._lines.append(self.format(record))
         self._ready.set()
 
     def flush(self) -> None:
         """Write what is queued, unless the reader holds the thread up."""
-        if self._writing.acquire(timeout=FLUSH_TIMEOUT_S):
+        if self._write_lock.acquire(timeout=FLUSH_TIMEOUT_S):
             try:
                 self._write()
             finally:
-                self._writing.release()
+                self._write_lock.release()
 
     def _run(self) -> None:
         while True:
             self._ready.wait()
             self._ready.clear()
-            with self._writing:
+            with self._write_lock:
                 self._write()
-            threading.Event().wait(BATCH_S)
+            threading.Event().wait(BATCH_INTERVAL_S)
 
     def _write(self) -> None:
         lines = [self._lines.popleft() for _ in range(len(self._lines))]
-        if self._left_out:
-            left_out, self._left_out = self._left_out, 0
-            lines.append(f"event={LinesLeftOut.event} lines={left_out}")
+        if self._dropped:
+            left_out, self._dropped = self._dropped, 0
+            lines.append(f"event={LinesDropped.event} lines={left_out}")
         if not lines:
             return
         try:
@@ -165,7 +165,7 @@
         except (OSError, ValueError):
             # The reader of the logs has gone; there is nowhere to say so, and
             # requests are served on. The count is told if it comes back.
-            self._left_out += len(lines)
+            self._dropped += len(lines)
 
 
 def setup(stream: TextIO | None = None, level: str = "INFO") -> None:
@@ -174,7 +174,7 @@
     formatter = JsonFormatter(
         "%(asctime)s %(levelname)s %(name)s",
         rename_fields={"asctime": "at", "levelname": "level", "name": "logger"},
-        json_serializer=_key_value_line,
+        json_serializer=_format_line,
     )
     formatter.default_time_format = "%Y-%m-%dT%H:%M:%S"
     formatter.default_msec_format = "%s.%03d"
--- a/ashlatch/metrics.py
+++ b/ashlatch/metrics.py
@@ -19,9 +19,9 @@
 
 __all__ = ["Metrics", "serve_metrics"]
 
-LOWEST_US = 1
-HIGHEST_US = 600_000_000
-DIGITS = 2
+LATENCY_MIN_US = 1
+LATENCY_MAX_US = 600_000_000
+SIGNIFICANT_DIGITS = 2
 PERCENTILES = (50.0, 95.0, 99.0)
 
 
@@ -32,25 +32,25 @@
         self._lock = threading.Lock()
         self._counters: Counter[str] = Counter()
         self._histograms: dict[str, HdrHistogram] = {}
-        self._watched: dict[str, Callable[[], int]] = {}
+        self._callbacks: dict[str, Callable[[], int]] = {}
 
     def count(self, name: str, amount: int = 1) -> None:
         """Add to a counter."""
         with self._lock:
             self._counters[name] += amount
 
-    def watch(self, name: str, read: Callable[[], int]) -> None:
+    def register_callback(self, name: str, read: Callable[[], int]) -> None:
         """Show a number that something else keeps, under this name."""
-        self._watched[name] = read
+        self._callbacks[name] = read
 
     def record_ms(self, name: str, value_ms: float) -> None:
         """Record one latency in milliseconds."""
         with self._lock:
             found = self._histograms.get(name)
             if found is None:
-                found = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+                found = HdrHistogram(LATENCY_MIN_US, LATENCY_MAX_US, SIGNIFICANT_DIGITS)
                 self._histograms[name] = found
-            found.record_value(max(LOWEST_US, int(value_ms * 1000.0)))
+            found.record_value(max(LATENCY_MIN_US, int(value_ms * 1000.0)))
 
     def text(self) -> str:
         """One `name value` line for each number, sorted."""
@@ -60,7 +60,7 @@
                 lines.append(f"ashlatch_{name}_total {value}")
             for name, histogram in self._histograms.items():
                 lines += _histogram_lines(name, histogram)
-        for name, read in self._watched.items():
+        for name, read in self._callbacks.items():
             lines.append(f"ashlatch_{name} {read()}")
         return "\n".join(sorted(lines)) + "\n"
 
--- a/ashlatch/periodic.py
+++ b/ashlatch/periodic.py
@@ -11,10 +11,10 @@
 import threading
 from collections.abc import Callable
 
-__all__ = ["Periodic"]
+__all__ = ["PeriodicTasks"]
 
 
-class Periodic:
+class PeriodicTasks:
     """Repeats functions, each on its own thread.
 
     `failed` is called with what a function raises; that ends its thread::
@@ -25,7 +25,7 @@
     """
 
     def __init__(self, failed: Callable[[BaseException], None]) -> None:
-        self._failed = failed
+        self._on_failure = failed
         self._stopping = threading.Event()
         self._threads: list[threading.Thread] = []
 
@@ -34,10 +34,10 @@
         """Whether `stop` has been called."""
         return self._stopping.is_set()
 
-    def start(self, name: str, work: Callable[[], None], every_ms: float) -> None:
+    def start(self, name: str, work: Callable[[], None], interval_ms: float) -> None:
         """Run the work again and again, this long after its last end."""
         thread = threading.Thread(
-            target=self._run, args=(work, every_ms), name=name, daemon=True
+            target=self._run, args=(work, interval_ms), name=name, daemon=True
         )
         self._threads.append(thread)
         thread.start()
@@ -48,10 +48,10 @@
         for thread in self._threads:
             thread.join()
 
-    def _run(self, work: Callable[[], None], every_ms: float) -> None:
-        while not self._stopping.wait(every_ms / 1000.0):
+    def _run(self, work: Callable[[], None], interval_ms: float) -> None:
+        while not self._stopping.wait(interval_ms / 1000.0):
             try:
                 work()
             except BaseException as error:
-                self._failed(error)
+                self._on_failure(error)
                 raise
--- a/ashlatch/resources.py
+++ b/ashlatch/resources.py
@@ -36,7 +36,7 @@
     "Spec",
     "Version",
     "Withdrawal",
-    "canonical",
+    "encode_canonical",
     "field_errors",
     "parse",
     "parse_cached",
@@ -46,7 +46,7 @@
 Sha256 = Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")]
 Quality = Annotated[float, Field(ge=0.0, le=1.0)]
 # So much of a wrong value is shown.
-SHOWN_MAX = 80
+VALUE_CHARACTERS_MAX = 80
 
 
 class InvalidResource(ExceptionGroup):
@@ -64,7 +64,7 @@
     name: ClassVar[str] = ""
     priority: ClassVar[int] = 0
 
-    def references(self, own_name: str) -> tuple[Reference, ...]:
+    def references(self, resource_name: str) -> tuple[Reference, ...]:
         """What a resource of this kind, called `own_name`, refers to."""
         return ()
 
@@ -298,7 +298,7 @@
     found = []
     for problem in error.errors(include_url=False):
         field = ".".join(str(part) for part in problem["loc"]) or "(document)"
-        value = json.dumps(problem["input"], default=str)[:SHOWN_MAX]
+        value = json.dumps(problem["input"], default=str)[:VALUE_CHARACTERS_MAX]
         found.append(FieldError(field, value, problem["msg"]))
     return found
 
@@ -322,7 +322,7 @@
     return parse(kind, spec)
 
 
-def canonical(spec: Spec) -> bytes:
+def encode_canonical(spec: Spec) -> bytes:
     """A spec as JSON, the same bytes for the same content."""
     document = spec.model_dump(mode="json")
     return json.dumps(document, sort_keys=True, separators=(",", ":")).encode()
--- a/ashlatch/router/daemon.py
+++ b/ashlatch/router/daemon.py
@@ -31,7 +31,7 @@
 from ashlatch.http.problem import Problem, problem_response
 from ashlatch.http.server import HttpServer
 from ashlatch.log import LogEvent, emit
-from ashlatch.periodic import Periodic
+from ashlatch.periodic import PeriodicTasks
 from ashlatch.policy.table import RoutingTable, TableBuilder
 from ashlatch.router.api import (
     ArrivalTime,
@@ -117,7 +117,7 @@
         self._builder = TableBuilder()
         self._failed = failed
         self._ready = threading.Event()
-        self._periodic = Periodic(failed)
+        self._periodic = PeriodicTasks(failed)
         self._server = HttpServer(
             Address.parse(settings.listen), self._handle, settings.http
         )
@@ -133,8 +133,8 @@
         all requests.
         """
         self.host.on_crash = self._crash_found.set
-        self.host.rpc.keep(self._poll_state(), self._failed)
-        self.host.rpc.keep(self._report_crashes(), self._failed)
+        self.host.rpc.supervise(self._poll_state(), self._failed)
+        self.host.rpc.supervise(self._report_crashes(), self._failed)
         settings, repeat = self.settings, self._periodic.start
         repeat("load", self._poll_loads, settings.load_poll_ms)
         if settings.rating_url:
--- a/ashlatch/router/host.py
+++ b/ashlatch/router/host.py
@@ -64,7 +64,7 @@
     RequestKind,
 )
 from ashlatch.rpc import RpcLoop
-from ashlatch.settings import RouterSettings, addresses
+from ashlatch.settings import RouterSettings, parse_addresses
 
 __all__ = [
     "Chunk",
@@ -127,7 +127,9 @@
         self.metrics = Metrics()
         self.rpc = RpcLoop()
         self.client = StateClient(
-            self.rpc, addresses(settings.state_addresses), settings.state_timeout_ms
+            self.rpc,
+            parse_addresses(settings.state_addresses),
+            settings.state_timeout_ms,
         )
         self.core = RouterCore(
             RouterConfig(self.router, settings.vm, settings.hall, settings.policy)
--- a/ashlatch/rpc.py
+++ b/ashlatch/rpc.py
@@ -18,23 +18,25 @@
 
 from grpclib.server import Server
 
-from ashlatch.clock import ClockLoop
+from ashlatch.clock import SuspendAwareLoop
 from ashlatch.codec import TRAFFIC, MessageCodec
 from ashlatch.errors import TransportError
 from ashlatch.link import CallRefused, Link, LinkLost, LinkService, Method
 from ashlatch.metrics import Metrics
 
-__all__ = ["Address", "Peer", "RpcLoop", "RpcService", "watch_traffic"]
+__all__ = ["Address", "Peer", "RpcLoop", "RpcService", "register_traffic_metrics"]
 
 R = TypeVar("R")
 
 
-def watch_traffic(metrics: Metrics) -> None:
+def register_traffic_metrics(metrics: Metrics) -> None:
     """Show among the metrics what passes between this and other processes."""
-    metrics.watch("calls_sent_total", lambda: TRAFFIC.sent)
-    metrics.watch("calls_sent_bytes_total", lambda: TRAFFIC.sent_bytes)
-    metrics.watch("calls_received_total", lambda: TRAFFIC.received)
-    metrics.watch("calls_received_bytes_total", lambda: TRAFFIC.received_bytes)
+    metrics.register_callback("calls_sent_total", lambda: TRAFFIC.sent)
+    metrics.register_callback("calls_sent_bytes_total", lambda: TRAFFIC.sent_bytes)
+    metrics.register_callback("calls_received_total", lambda: TRAFFIC.received)
+    metrics.register_callback(
+        "calls_received_bytes_total", lambda: TRAFFIC.received_bytes
+    )
 
 
 @dataclass(frozen=True)
@@ -58,30 +60,30 @@
     """An asyncio loop in its own thread, bridged to futures."""
 
     def __init__(self) -> None:
-        self.loop = ClockLoop()
+        self.loop = SuspendAwareLoop()
         self._thread = threading.Thread(
             target=self.loop.run_forever, name="rpc", daemon=True
         )
         self._thread.start()
 
-    def submit(self, work: Coroutine[Any, Any, R]) -> "Future[R]":
+    def submit(self, coroutine: Coroutine[Any, Any, R]) -> "Future[R]":
         """Run a coroutine on the loop; the future is thread-safe."""
-        return asyncio.run_coroutine_threadsafe(work, self.loop)
+        return asyncio.run_coroutine_threadsafe(coroutine, self.loop)
 
-    def keep(
+    def supervise(
         self,
-        work: Coroutine[Any, Any, None],
-        failed: Callable[[BaseException], None],
+        coroutine: Coroutine[Any, Any, None],
+        on_failure: Callable[[BaseException], None],
     ) -> None:
         """Run a coroutine that should not end; `failed` gets what ends it."""
 
         async def guarded() -> None:
             try:
-                await work
+                await coroutine
             except asyncio.CancelledError:
                 raise
             except BaseException as error:
-                failed(error)
+                on_failure(error)
                 raise
 
         self.submit(guarded())
@@ -144,10 +146,10 @@
         asked_s = asyncio.get_running_loop().time()
         try:
             async with asyncio.timeout(timeout_s):
-                return await link.ask(method, request)
+                return await link.call(method, request)
         except TimeoutError as error:
             # While others are answered, the link itself is well.
-            if link.heard_s < asked_s:
+            if link.last_received_s < asked_s:
                 link.close()
             raise TransportError(str(self.address), "timeout", True) from error
         except LinkLost as error:
--- a/ashlatch/settings.py
+++ b/ashlatch/settings.py
@@ -31,9 +31,9 @@
     "RouterSettings",
     "StateSettings",
     "VmSettings",
-    "addresses",
+    "parse_addresses",
     "load",
-    "read",
+    "parse",
 ]
 
 S = TypeVar("S", bound="Settings")
@@ -41,7 +41,7 @@
 PORT_MAX = 65_535
 GROUPS_MAX = 32
 # So much of a wrong value is shown.
-SHOWN_MAX = 80
+VALUE_CHARACTERS_MAX = 80
 
 
 # A host, and a port from 1 to 65,535.
@@ -53,10 +53,10 @@
 AddressText = Annotated[str, Meta(pattern=ADDRESS_PATTERN)]
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9.-]{0,62}$")]
 Sha256 = Annotated[str, Meta(pattern=r"^[0-9a-f]{64}$")]
-Positive = Annotated[float, Meta(gt=0)]
-NotNegative = Annotated[float, Meta(ge=0)]
+PositiveFloat = Annotated[float, Meta(gt=0)]
+NonNegativeFloat = Annotated[float, Meta(ge=0)]
 Ratio = Annotated[float, Meta(ge=0, le=1)]
-Count = Annotated[int, Meta(ge=1)]
+PositiveInt = Annotated[int, Meta(ge=1)]
 
 
 class Settings(msgspec.Struct, frozen=True, kw_only=True):
@@ -72,7 +72,7 @@
     """Bounds on what one caller may take of an HTTP listener."""
 
     max_body_bytes: Annotated[int, Meta(ge=1024)] = 1_048_576
-    max_connections: Count = 256
+    max_connections: PositiveInt = 256
     idle_timeout_ms: Annotated[int, Meta(ge=100)] = 10_000
 
 
@@ -91,11 +91,11 @@
     data_folder: str
     groups: Annotated[int, Meta(ge=1, le=GROUPS_MAX)] = 1
     peers: tuple[AddressText, ...] = ()
-    heartbeat_ms: Positive = 100.0
-    election_min_ms: Positive = 500.0
-    election_max_ms: Positive = 900.0
-    router_lease_ms: Positive = 2000.0
-    control_lease_ms: Positive = 3000.0
+    heartbeat_ms: PositiveFloat = 100.0
+    election_min_ms: PositiveFloat = 500.0
+    election_max_ms: PositiveFloat = 900.0
+    router_lease_ms: PositiveFloat = 2000.0
+    control_lease_ms: PositiveFloat = 3000.0
     clock_drift_ratio: Annotated[float, Meta(ge=0, lt=0.5)] = 0.05
     snapshot_every_records: Annotated[int, Meta(ge=10)] = 2000
     retention_ms: Annotated[int, Meta(ge=1000)] = 86_400_000
@@ -115,9 +115,9 @@
     subset_size: Annotated[int, Meta(ge=2)] = 24
     retry_ratio: Ratio = 0.1
     hedge_ratio: Ratio = 0.05
-    hedge_samples_min: Count = 100
-    breaker_failures: Count = 3
-    breaker_open_ms: Positive = 2000.0
+    hedge_samples_min: PositiveInt = 100
+    breaker_failures: PositiveInt = 3
+    breaker_open_ms: PositiveFloat = 2000.0
     seed: int = 0
 
 
@@ -132,13 +132,13 @@
     policy: PolicySettings = PolicySettings()
     rating_url: str = ""
     rating_sample_ratio: Ratio = 0.2
-    rating_poll_ms: Positive = 500.0
-    state_timeout_ms: Positive = 4000.0
-    poll_wait_ms: Positive = 400.0
-    load_poll_ms: Positive = 250.0
-    connect_timeout_ms: Count = 500
-    deadline_max_ms: Positive = 120_000.0
-    drain_ms: NotNegative = 500.0
+    rating_poll_ms: PositiveFloat = 500.0
+    state_timeout_ms: PositiveFloat = 4000.0
+    poll_wait_ms: PositiveFloat = 400.0
+    load_poll_ms: PositiveFloat = 250.0
+    connect_timeout_ms: PositiveInt = 500
+    deadline_max_ms: PositiveFloat = 120_000.0
+    drain_ms: NonNegativeFloat = 500.0
     log_level: str = "INFO"
 
 
@@ -161,9 +161,9 @@
     rating_url: str = ""
     weight_store_url: str = ""
     http: HttpLimits = HttpLimits()
-    state_timeout_ms: Positive = 4000.0
-    control_poll_ms: Positive = 500.0
-    platform_poll_ms: Positive = 500.0
+    state_timeout_ms: PositiveFloat = 4000.0
+    control_poll_ms: PositiveFloat = 500.0
+    platform_poll_ms: PositiveFloat = 500.0
     log_level: str = "INFO"
 
 
@@ -183,8 +183,8 @@
     halls: dict[str, str] = {}
     seeds: Annotated[tuple[AddressText, ...], Meta(min_length=1)]
     list_address: AddressText
-    list_read_ms: Positive = 1000.0
-    sync_wait_ms: Positive = 500.0
+    list_read_ms: PositiveFloat = 1000.0
+    sync_wait_ms: PositiveFloat = 500.0
     metrics_port: Annotated[int, Meta(gt=0, le=PORT_MAX)] = 9464
     log_level: str = "INFO"
 
@@ -206,7 +206,7 @@
     """
 
     share: Annotated[float, Meta(gt=0, le=1)] = 0.15
-    extra: NotNegative = 30.0
+    extra: NonNegativeFloat = 30.0
 
 
 class CoreSettings(VmSettings, frozen=True, kw_only=True):
@@ -222,9 +222,9 @@
     first_start: bool = False
     losses_max: Annotated[int, Meta(ge=0)] = 1
     exposure: ExposureSettings = ExposureSettings()
-    heartbeat_ms: Positive = 100.0
-    election_min_ms: Positive = 400.0
-    election_max_ms: Positive = 800.0
+    heartbeat_ms: PositiveFloat = 100.0
+    election_min_ms: PositiveFloat = 400.0
+    election_max_ms: PositiveFloat = 800.0
     clock_drift_ratio: Annotated[float, Meta(ge=0, lt=0.5)] = 0.05
     snapshot_every_records: Annotated[int, Meta(ge=10)] = 200
 
@@ -234,9 +234,9 @@
     of a service's requests in a window, and `extra` more.
     """
 
-    ratio: NotNegative = 0.1
-    extra: NotNegative = 10.0
-    window_s: Positive = 10.0
+    ratio: NonNegativeFloat = 0.1
+    extra: NonNegativeFloat = 10.0
+    window_s: PositiveFloat = 10.0
 
 
 class GatewaySettings(VmSettings, frozen=True, kw_only=True):
@@ -248,8 +248,8 @@
 
     listen: AddressText
     ready: AddressText
-    session_s: Positive = 5.0
-    stop_s: Positive = 8.0
+    session_s: PositiveFloat = 5.0
+    stop_s: PositiveFloat = 8.0
     repeats: RepeatSettings = RepeatSettings()
     endpoint_policy: str = "hall_affinity"
 
@@ -261,25 +261,29 @@
     except (OSError, ValueError) as error:
         found = FieldError("(document)", str(path), f"must be a JSON file: {error}")
         raise SettingsError("settings", [found]) from error
-    return read(document, kind)
+    return parse(document, kind)
 
 
-def read(document: Any, kind: type[S]) -> S:
+def parse(document: Any, kind: type[S]) -> S:
     """Check settings that were read from a file.
 
     Raises a `SettingsError`, an exception group with one `FieldError` for
     each field that is wrong.
     """
-    wrong = list(_errors(document, kind, ""))
+    wrong = list(_settings_errors(document, kind, ""))
     if wrong:
         raise SettingsError("settings", wrong)
     return msgspec.convert(document, kind)
 
 
-def _errors(document: Any, kind: type[Settings], path: str) -> Iterator[FieldError]:
+def _settings_errors(
+    document: Any, kind: type[Settings], path: str
+) -> Iterator[FieldError]:
     """What is wrong, field by field: `msgspec` itself tells the first only."""
     if not isinstance(document, dict):
-        yield _error(path.rstrip(".") or "(document)", document, "must be an object")
+        yield _field_error(
+            path.rstrip(".") or "(document)", document, "must be an object"
+        )
         return
     fields = {field.name: field for field in msgspec.structs.fields(kind)}
     for name, field in fields.items():
@@ -287,11 +291,11 @@
             if field.required:
                 yield FieldError(path + name, "", "must be given")
         elif isinstance(field.type, type) and issubclass(field.type, Settings):
-            yield from _errors(document[name], field.type, f"{path}{name}.")
+            yield from _settings_errors(document[name], field.type, f"{path}{name}.")
         else:
             yield from _value_errors(document[name], field.type, path + name)
     for name in sorted(document.keys() - fields.keys()):
-        yield _error(path + name, document[name], "is no setting")
+        yield _field_error(path + name, document[name], "is no setting")
 
 
 def _value_errors(value: Any, kind: Any, path: str) -> Iterator[FieldError]:
@@ -299,13 +303,13 @@
         msgspec.convert(value, kind)
     except msgspec.ValidationError as error:
         rule = ADDRESS_RULE if repr(ADDRESS_PATTERN) in str(error) else str(error)
-        yield _error(path, value, rule)
+        yield _field_error(path, value, rule)
 
 
-def _error(path: str, value: Any, rule: str) -> FieldError:
-    return FieldError(path, json.dumps(value, default=str)[:SHOWN_MAX], rule)
+def _field_error(path: str, value: Any, rule: str) -> FieldError:
+    return FieldError(path, json.dumps(value, default=str)[:VALUE_CHARACTERS_MAX], rule)
 
 
-def addresses(texts: tuple[str, ...]) -> tuple[Address, ...]:
+def parse_addresses(texts: tuple[str, ...]) -> tuple[Address, ...]:
     """Checked address texts as addresses."""
     return tuple(Address.parse(text) for text in texts)
--- a/ashlatch/store/daemon.py
+++ b/ashlatch/store/daemon.py
@@ -114,8 +114,8 @@
         address = Address.parse(self.settings.listen)
         self.rpc.submit(service.start(address)).result(timeout=10.0)
         for member in self.groups:
-            self.rpc.keep(self._housekeep(member), self._failed)
-            self.rpc.keep(self._join_peers(member), self._failed)
+            self.rpc.supervise(self._housekeep(member), self._failed)
+            self.rpc.supervise(self._join_peers(member), self._failed)
 
     def stop(self) -> None:
         """Stop answering, then stop the group; nothing synced is lost."""
--- a/ashlatch/suspension.py
+++ b/ashlatch/suspension.py
@@ -18,13 +18,13 @@
 from ashlatch.clock import monotonic_s
 from ashlatch.log import LogEvent, emit
 
-__all__ = ["SuspensionMeter", "VmSuspended", "watch_suspension"]
+__all__ = ["SuspensionDetector", "VmSuspended", "watch_suspension"]
 
 log = logging.getLogger("ashlatch")
 
 # The two clocks are read one after the other; less than this is no suspension.
 SUSPENDED_MIN_MS = 100.0
-LOOK_S = 0.25
+CHECK_INTERVAL_S = 0.25
 
 
 @dataclass(frozen=True)
@@ -35,32 +35,32 @@
     suspended_ms: int
 
 
-class SuspensionMeter:
+class SuspensionDetector:
     """Measures for how long the VM was suspended since it was last asked."""
 
     def __init__(self) -> None:
-        self._apart_ms = _apart_ms()
+        self._last_offset_ms = _clock_offset_ms()
 
-    def suspended_ms(self) -> float:
+    def take_suspended_ms(self) -> float:
         """The time of suspension that is news; 0 for none."""
-        apart_ms = _apart_ms()
-        suspended_ms = apart_ms - self._apart_ms
+        apart_ms = _clock_offset_ms()
+        suspended_ms = apart_ms - self._last_offset_ms
         if suspended_ms < SUSPENDED_MIN_MS:
             return 0.0
-        self._apart_ms = apart_ms
+        self._last_offset_ms = apart_ms
         return suspended_ms
 
 
 async def watch_suspension() -> None:
     """Log each suspension; never ends."""
-    meter = SuspensionMeter()
+    meter = SuspensionDetector()
     while True:
-        await asyncio.sleep(LOOK_S)
-        suspended_ms = meter.suspended_ms()
+        await asyncio.sleep(CHECK_INTERVAL_S)
+        suspended_ms = meter.take_suspended_ms()
         if suspended_ms:
             emit(log, VmSuspended(int(suspended_ms)), logging.WARNING)
 
 
-def _apart_ms() -> float:
+def _clock_offset_ms() -> float:
     """How far the steady clock is behind the one that counts suspension."""
     return (monotonic_s() - time.monotonic()) * 1000.0
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -19,7 +19,7 @@
     StateRead,
     VmsListed,
 )
-from ashlatch.resources import canonical, parse
+from ashlatch.resources import encode_canonical, parse
 from ashlatch.store.command import (
     Claim,
     PutResource,
@@ -87,7 +87,9 @@
         spec = {"pool": "lm", "url": f"http://10.0.0.{place}:8000", "vm": f"vm-{place}"}
         specs.append(("endpoint", f"vm-{place}", {**spec, "hall": f"h{place % 7}"}))
     return tuple(
-        Resource(kind, name, number, canonical(parse(kind, json.dumps(s).encode())))
+        Resource(
+            kind, name, number, encode_canonical(parse(kind, json.dumps(s).encode()))
+        )
         for number, (kind, name, s) in enumerate(specs, 1)
     )
 
--- a/bench/state.py
+++ b/bench/state.py
@@ -219,7 +219,7 @@
     async def all_pollers() -> None:
         end_s = time.monotonic() + POLL_FOR_S
         # One HTTP/2 connection takes 100 calls at once.
-        clients = [client.another() for _ in range(count // POLLERS_A_CLIENT + 1)]
+        clients = [client.clone() for _ in range(count // POLLERS_A_CLIENT + 1)]
         await asyncio.gather(
             *(poller(clients[n // POLLERS_A_CLIENT], n, end_s) for n in range(count))
         )
--- a/bench/watch.py
+++ b/bench/watch.py
@@ -7,7 +7,7 @@
 import time
 
 from ashlatch.catalog import Endpoint, EndpointList
-from ashlatch.clock import ClockLoop
+from ashlatch.clock import SuspendAwareLoop
 from ashlatch.gateway.directory import Directory
 from ashlatch.gateway.liveness import LivenessProber
 from bench.table import row, spread, title
@@ -38,7 +38,7 @@
 def main() -> None:
     title("A look for silent endpoints, processor time")
     for endpoints in ENDPOINTS:
-        with asyncio.Runner(loop_factory=ClockLoop) as runner:
+        with asyncio.Runner(loop_factory=SuspendAwareLoop) as runner:
             times = [runner.run(look_ms(endpoints)) for _ in range(ROUNDS)]
         row(f"{endpoints} endpoints", ms=spread(times))
 
--- a/tests/gateway.py
+++ b/tests/gateway.py
@@ -7,7 +7,7 @@
 import testtools
 
 from ashlatch.catalog import Endpoint, EndpointList
-from ashlatch.clock import ClockLoop
+from ashlatch.clock import SuspendAwareLoop
 from ashlatch.gateway.admission import Refused, admit, refuse
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.context import GatewayContext
@@ -64,7 +64,7 @@
             self.context = self.build_context(workers, extra)
             listener = HttpListener(self.handle)
             failures: list[BaseException] = []
-            listener.failed = failures.append
+            listener.on_handler_error = failures.append
             await listener.start("127.0.0.1", 0)
             assert listener._server is not None
             self.port = listener._server.sockets[0].getsockname()[1]
@@ -74,7 +74,7 @@
                 worker.stop()
             self.assertEqual([], failures)
 
-        with asyncio.Runner(loop_factory=ClockLoop) as runner:
+        with asyncio.Runner(loop_factory=SuspendAwareLoop) as runner:
             runner.run(run())
 
     def build_context(self, workers: list[StubServer], extra: float) -> GatewayContext:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -517,7 +517,7 @@
     Mutant(
         "loop-leaves-suspension-out",
         "ashlatch/rpc.py",
-        "        self.loop = ClockLoop()\n",
+        "        self.loop = SuspendAwareLoop()\n",
         "        self.loop = asyncio.new_event_loop()\n",
         CLOCK,
     ),
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -13,12 +13,12 @@
 import testtools
 
 from ashlatch.catalog import GatewayVm
-from ashlatch.clock import ClockLoop, monotonic_ms
+from ashlatch.clock import SuspendAwareLoop, monotonic_ms
 from ashlatch.fleet.seeds import Seeds
 from ashlatch.gateway.sync import SUSPENDED_MS, CoreSync
 from ashlatch.raft.group import GroupStatus
 from ashlatch.rpc import RpcLoop
-from ashlatch.suspension import SuspensionMeter
+from ashlatch.suspension import SuspensionDetector
 from tests.gateway import GatewayHarness, build_request
 from tests.stub_server import ReceivedRequest, StubServer, answer_with
 
@@ -54,12 +54,12 @@
 
     def test_the_meter_tells_each_suspension_once(self) -> None:
         with Suspension() as vm:
-            meter = SuspensionMeter()
-            self.assertEqual(0.0, meter.suspended_ms())
+            meter = SuspensionDetector()
+            self.assertEqual(0.0, meter.take_suspended_ms())
             vm.suspended_s = SUSPENDED_S
-            told_ms = meter.suspended_ms()
+            told_ms = meter.take_suspended_ms()
             self.assertTrue(abs(told_ms - 1000.0 * SUSPENDED_S) < 50.0, str(told_ms))
-            self.assertEqual(0.0, meter.suspended_ms())
+            self.assertEqual(0.0, meter.take_suspended_ms())
 
     def test_a_leader_that_wakes_has_no_lease(self) -> None:
         with Suspension() as vm:
@@ -75,7 +75,7 @@
     def test_every_process_has_this_loop(self) -> None:
         rpc = RpcLoop()
         self.addCleanup(rpc.stop)
-        self.assertIsInstance(rpc.loop, ClockLoop)
+        self.assertIsInstance(rpc.loop, SuspendAwareLoop)
 
     def test_deadlines_lapse_while_suspended(self) -> None:
         async def run(vm: Suspension) -> float:
@@ -88,7 +88,10 @@
                         await asyncio.sleep(0.01)
             return time.monotonic() - begun_s
 
-        with Suspension() as vm, asyncio.Runner(loop_factory=ClockLoop) as runner:
+        with (
+            Suspension() as vm,
+            asyncio.Runner(loop_factory=SuspendAwareLoop) as runner,
+        ):
             self.assertTrue(runner.run(run(vm)) < 1.0)
 
 
@@ -132,7 +135,10 @@
                 asyncio.get_running_loop().call_later(heard_s, link._core_regained, "")
             found.append(await link.wait_updated(0.3))
 
-        with Suspension() as vm, asyncio.Runner(loop_factory=ClockLoop) as runner:
+        with (
+            Suspension() as vm,
+            asyncio.Runner(loop_factory=SuspendAwareLoop) as runner,
+        ):
             runner.run(run(vm))
         return found[0], found[1]
 
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -128,7 +128,7 @@
             writer.close()
             await asyncio.sleep(0.1)
             self.assertEqual(1, self.cancelled)
-            self.assertEqual(0, listener.handling)
+            self.assertEqual(0, listener.active_requests)
             listener.abort()
 
         asyncio.run(run())
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -3,7 +3,7 @@
 import testtools
 
 from ashlatch.errors import FieldError, UnknownName
-from ashlatch.resources import InvalidResource, canonical, parse
+from ashlatch.resources import InvalidResource, encode_canonical, parse
 
 
 class ParseTest(testtools.TestCase):
@@ -30,4 +30,4 @@
     def test_canonical_form_does_not_depend_on_order(self) -> None:
         one = parse("cascade", b'{"rungs": ["a", "b"]}')
         other = parse("cascade", b'{ "rungs":["a","b"] }')
-        self.assertEqual(canonical(one), canonical(other))
+        self.assertEqual(encode_canonical(one), encode_canonical(other))
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -9,7 +9,7 @@
 from ashlatch.policy.load import LoadReport
 from ashlatch.policy.table import RoutingTable, TableBuilder
 from ashlatch.policy.version import VERSION_POLICIES
-from ashlatch.resources import canonical, parse
+from ashlatch.resources import encode_canonical, parse
 from ashlatch.router import admission, attempt, hedge, updates
 from ashlatch.router.core import RouterConfig, RouterCore
 from ashlatch.router.effect import (
@@ -88,7 +88,7 @@
     for number, (key, spec) in enumerate(every.items(), 1):
         kind, name = key.split("__")
         parsed = parse(kind, json.dumps(spec).encode())
-        resources.append(Resource(kind, name, number, canonical(parsed)))
+        resources.append(Resource(kind, name, number, encode_canonical(parsed)))
     return TableBuilder().update(revision, tuple(resources), ())
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -16,7 +16,7 @@
     RouterSettings,
     StateSettings,
     load,
-    read,
+    parse,
 )
 
 GATEWAY: dict[str, Any] = {
@@ -40,17 +40,17 @@
     def wrong(self, kind: Any, **changed: Any) -> dict[str, str]:
         """The rules that are broken, by field."""
         document = {**GATEWAY, **changed}
-        group = self.assertRaises(SettingsError, read, document, kind)
+        group = self.assertRaises(SettingsError, parse, document, kind)
         return {e.field: e.rule for e in group.exceptions if isinstance(e, FieldError)}
 
     def test_what_is_left_out(self) -> None:
-        settings = read(GATEWAY, GatewaySettings)
+        settings = parse(GATEWAY, GatewaySettings)
         self.assertEqual((8.0, 10.0), (settings.stop_s, settings.repeats.extra))
         self.assertEqual("127.0.0.1:7000", settings.rpc_address)
         self.assertEqual(("127.0.0.2:7000",), settings.seed_rpc_addresses)
 
     def test_whole_numbers_are_numbers(self) -> None:
-        settings = read({**GATEWAY, "stop_s": 9}, GatewaySettings)
+        settings = parse({**GATEWAY, "stop_s": 9}, GatewaySettings)
         self.assertEqual(9.0, settings.stop_s)
 
     def test_all_that_is_wrong(self) -> None:
@@ -91,7 +91,7 @@
     def test_no_object(self) -> None:
         documents: tuple[Any, ...] = ([], "text", None, 3)
         for document in documents:
-            self.assertRaises(SettingsError, read, document, StateSettings)
+            self.assertRaises(SettingsError, parse, document, StateSettings)
         rules = self.wrong(GatewaySettings, repeats=[1])
         self.assertEqual({"repeats"}, rules.keys())
 
@@ -102,7 +102,7 @@
             "listen": "127.0.0.1:1",
             "state_addresses": ["127.0.0.1:2", "nowhere"],
         }
-        group = self.assertRaises(SettingsError, read, document, RouterSettings)
+        group = self.assertRaises(SettingsError, parse, document, RouterSettings)
         (error,) = group.exceptions
         assert isinstance(error, FieldError)
         self.assertEqual("state_addresses", error.field)
--- a/tests/test_shared_slowness.py
+++ b/tests/test_shared_slowness.py
@@ -21,7 +21,14 @@
 from ashlatch.control.latency import LatencyCompared
 from ashlatch.log import LogEvent
 from ashlatch.policy.detector import VersionTally
-from ashlatch.resources import Cascade, Rollout, RolloutStage, Spec, Version, canonical
+from ashlatch.resources import (
+    Cascade,
+    Rollout,
+    RolloutStage,
+    Spec,
+    Version,
+    encode_canonical,
+)
 from ashlatch.router import updates
 from ashlatch.router.core import RouterConfig, RouterCore
 from ashlatch.router.event import VersionTotals, VersionTotalsReceived
@@ -79,7 +86,7 @@
         self.core.step(0.0, LeaseAnswered("me", 1, float("inf")))
 
     def resource(self, name: str, spec: Spec) -> Resource:
-        return Resource(spec.name, name, self.revision, canonical(spec))
+        return Resource(spec.name, name, self.revision, encode_canonical(spec))
 
     def start_rollout(self, answers_min: int = 30) -> None:
         shares = (10.0, 50.0, 100.0)
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -22,12 +22,12 @@
 from ashlatch.gateway.sync import CoreSync
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
-from ashlatch.settings import GatewaySettings, read
+from ashlatch.settings import GatewaySettings, parse
 from tests.test_fleet import leader_status
 
 CORE = CoreVm("127.0.0.2:7001", "hall-1")
 LOCAL = GatewayVm("127.0.0.1:7000", "hall-1")
-SETTINGS = read(
+SETTINGS = parse(
     {
         "vm": "vm-1",
         "hall": "hall-1",
--- a/tests/traffic.py
+++ b/tests/traffic.py
@@ -18,7 +18,7 @@
 from ashlatch.http import problem as problems
 from ashlatch.policy.load import LoadReport
 from ashlatch.policy.table import TableBuilder
-from ashlatch.resources import canonical, parse
+from ashlatch.resources import encode_canonical, parse
 from ashlatch.router import admission, attempt, hedge, updates
 from ashlatch.router.core import RouterConfig, RouterCore
 from ashlatch.router.daemon import configuration_changed
@@ -268,7 +268,7 @@
                 kind,
                 name,
                 current.revision if current else 0,
-                canonical(parsed),
+                encode_canonical(parsed),
                 parsed.references(name),
             )
         )
