--- a/ashlatch/store/daemon.py
+++ b/ashlatch/store/daemon.py
@@ -33,7 +33,10 @@
 from ashlatch.store.status import build_status
 from ashlatch.store.transport import Transport
 
-__all__ = ["StateDaemon"]
+__all__ = [
+    "StateDaemon",
+]
+
 
 log = logging.getLogger("ashlatch.state")
 
@@ -117,8 +120,8 @@
         address = Address.parse(self.settings.listen)
         self.rpc.submit(service.start(address)).result(timeout=10.0)
         for member in self.groups:
-            self.rpc.keep(self._housekeeping_loop(member), self._on_failure)
-            self.rpc.keep(self._join_peers(member), self._on_failure)
+            self.rpc.supervise(self._housekeeping_loop(member), self._on_failure)
+            self.rpc.supervise(self._join_peers(member), self._on_failure)
 
     def stop(self) -> None:
         """Stops answering calls, then stops the groups; nothing synced is lost."""
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -8,6 +8,8 @@
 import tracemalloc
 from typing import Any
 
+from tests.small_system import start_small_system
+
 from ashlatch.adapter.platform import ListedVm
 from ashlatch.codec import encode
 from ashlatch.control import membership, placement, rollout
@@ -19,7 +21,7 @@
     StateRead,
     VmsListed,
 )
-from ashlatch.resources import canonical, parse
+from ashlatch.resources import encode_canonical, parse
 from ashlatch.store.command import (
     Claim,
     PutResource,
@@ -34,7 +36,6 @@
 from ashlatch.store.protocol import RouterPoll, RouterReply, VersionReport
 from bench.router import memory_mb, processor_s
 from bench.table import row, title
-from tests.small_system import start_small_system
 
 _HANDLERS_OF = (membership, placement, rollout)
 
@@ -87,7 +88,9 @@
         spec = {"pool": "lm", "url": f"http://10.0.0.{place}:8000", "vm": f"vm-{place}"}
         specs.append(("endpoint", f"vm-{place}", {**spec, "hall": f"h{place % 7}"}))
     return tuple(
-        Resource(kind, name, number, canonical(parse(kind, json.dumps(s).encode())))
+        Resource(
+            kind, name, number, encode_canonical(parse(kind, json.dumps(s).encode()))
+        )
         for number, (kind, name, s) in enumerate(specs, 1)
     )
 
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -6,28 +6,28 @@
 from typing import Any
 
 import testtools
+from ashlatch.fleet.leader_link import LeaderLink
+from ashlatch.fleet.soft_state import SoftState
+from ashlatch.gateway.context import GatewayContext
 
 from ashlatch.catalog import CoreVm, GatewayVm, Rollout, RolloutStage, SessionHashes
 from ashlatch.errors import TransportError
-from ashlatch.fleet.leader_link import LeaderLink
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.peers import CoreConnections
 from ashlatch.fleet.protocol import SyncReply, SyncRequest
 from ashlatch.fleet.seeds import Seeds
-from ashlatch.fleet.soft_state import SoftState
 from ashlatch.gateway import sync
 from ashlatch.gateway.budget import BudgetTerms
-from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.sessions import SessionVersions, session_hash
 from ashlatch.gateway.sync import CoreSync
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
-from ashlatch.settings import GatewaySettings, read
+from ashlatch.settings import GatewaySettings, parse
 from tests.test_fleet import leader_status
 
 CORE = CoreVm("127.0.0.2:7001", "hall-1")
 LOCAL = GatewayVm("127.0.0.1:7000", "hall-1")
-SETTINGS = read(
+SETTINGS = parse(
     {
         "vm": "vm-1",
         "hall": "hall-1",
