--- a/ashlatch/platform/__init__.py
+++ b/ashlatch/platform/__init__.py
@@ -2,8 +2,8 @@
 ashlatch.platform
 ~~~~~~~~~~~~~~~~~
 
-The names, formats and calls of the platform that ashlatch is deployed on.
-Nothing here decides: documents and headers are turned into the types of
+Names, formats and calls of the platform that ashlatch is deployed on. This package
+makes no decisions: it only converts documents and headers to the types of
 `ashlatch.catalog` and `ashlatch.gateway.message`, and back.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
--- a/ashlatch/platform/boot.py
+++ b/ashlatch/platform/boot.py
@@ -2,7 +2,7 @@
 ashlatch.platform.boot
 ~~~~~~~~~~~~~~~~~~~~~~
 
-How the platform tells a process where its settings are.
+Defines how the platform passes the location of the settings file to a process.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -10,6 +10,6 @@
 
 __all__ = ["SETTINGS_VARIABLE"]
 
-# The environment variable that holds the path of the settings file, which the
-# platform fills from the templates in `deploy/`.
+# The environment variable with the path of the settings file. The platform generates
+# the file from the templates in `deploy/`.
 SETTINGS_VARIABLE = "ASHLATCH_BOOT"
--- a/ashlatch/platform/document.py
+++ b/ashlatch/platform/document.py
@@ -2,8 +2,8 @@
 ashlatch.platform.document
 ~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Reads the configuration document that operators send, checks it whole, and
-turns it into a `Catalog`. Also reads orders to roll out a version.
+Decodes the configuration document that operators send, validates all of it and
+converts it to a `Catalog`. Also decodes requests to roll out a version.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -41,11 +41,11 @@
 
 
 class DocumentError(ExceptionGroup):
-    """All that is wrong with a document, one `FieldError` each."""
+    """All errors in a document, one `FieldError` for each."""
 
     @property
     def problems(self) -> list[FieldError]:
-        """The errors by their type."""
+        """Returns the errors as a list of `FieldError`."""
         return [e for e in self.exceptions if isinstance(e, FieldError)]
 
 
@@ -56,9 +56,9 @@
 
 class _Engine(msgspec.Struct, frozen=True, rename="camel"):
     slots: int = 1
-    # Tokens of prompts and answers that fit into an engine's memory.
+    # Capacity of the KV cache in tokens of prompts and answers.
     kv_capacity: int = 0
-    # Tokens that one event of a stream holds.
+    # Tokens per stream event.
     stride: int = 1
     models: tuple[_Model, ...] = ()
 
@@ -67,8 +67,8 @@
     name: str
     # Connections that one endpoint accepts from all gateways together.
     max_conns: int = 64
-    # How long an endpoint is cold after its start, and the requests a second, of all
-    # gateways, that it bears until then; 0 where it bears as many as ever.
+    # How long an endpoint is cold after its start, and how many requests per second it
+    # accepts from all gateways together until then; 0 means no such limit.
     cold_s: float = 0.0
     cold_per_s: float = 0.0
     engine: _Engine | None = None
@@ -91,10 +91,10 @@
     priority: int = 0
     max_attempts: int = 1
     anonymous: bool = False
-    # Set on routes whose requests share parts of prompts; not a session rule.
+    # Set if the requests of the route share parts of prompts; unrelated to sessions.
     sticky: bool = False
     resumable: bool = False
-    # The names of models, not numbers.
+    # Names of models, not numbers.
     sizes: tuple[str, ...] = ()
     service: str = ""
     split: tuple[_Share, ...] = ()
@@ -127,15 +127,15 @@
 
 
 def decode_catalog(body: bytes) -> Catalog:
-    """Read a document; raises `DocumentError` when anything in it is wrong."""
+    """Decodes a document; raises `DocumentError` if anything in it is invalid."""
     try:
         document: _Document = decode_json(body, _Document)
     except JsonUnreadable as error:
         unreadable = FieldError("(document)", f"{len(body)} bytes", error.reason)
         raise DocumentError("configuration", [unreadable]) from error
-    wrong = list(_document_errors(document))
-    if wrong:
-        raise DocumentError("configuration", wrong)
+    errors = list(_document_errors(document))
+    if errors:
+        raise DocumentError("configuration", errors)
     return Catalog(
         document.version,
         tuple(_route(route) for route in document.routes),
@@ -155,17 +155,17 @@
     yield from _duplicate_errors("tenants.name", [t.name for t in document.tenants])
     keys = [key for tenant in document.tenants for key in tenant.api_keys]
     yield from _duplicate_errors("tenants.apiKeys", keys)
-    places = [f"{route.host}{route.path_prefix}" for route in document.routes]
-    yield from _duplicate_errors("routes.pathPrefix", places)
+    prefixes = [f"{route.host}{route.path_prefix}" for route in document.routes]
+    yield from _duplicate_errors("routes.pathPrefix", prefixes)
     services = {service.name for service in document.services}
     for route in document.routes:
         yield from _route_errors(route, services)
 
 
 def _duplicate_errors(field: str, values: list[str]) -> Iterator[FieldError]:
-    for value, times in Counter(values).items():
-        if times > 1:
-            yield FieldError(field, value, "must not stand twice")
+    for value, count in Counter(values).items():
+        if count > 1:
+            yield FieldError(field, value, "must be unique")
 
 
 def _route_errors(route: _Route, services: set[str]) -> Iterator[FieldError]:
@@ -181,10 +181,12 @@
         yield FieldError(f"{field}.pathPrefix", prefix, rule)
     shares = _shares(route)
     if not shares or sum(share.weight for share in shares) <= 0:
-        yield FieldError(f"{field}.split", "", "must have weights that add up")
+        yield FieldError(f"{field}.split", "", "must have a positive sum of weights")
     for share in shares:
         if share.service not in services:
-            yield FieldError(f"{field}.service", share.service, "must be a service")
+            yield FieldError(
+                f"{field}.service", share.service, "must be a known service"
+            )
         if share.weight < 0:
             rule = "must not be negative"
             yield FieldError(f"{field}.split", str(share.weight), rule)
@@ -250,7 +252,7 @@
 
 @dataclass(frozen=True)
 class RolloutRequest:
-    """Move a service's traffic to the endpoints of a version within a time."""
+    """Asks to move the traffic of a service to a version within a duration."""
 
     service: str
     version: str
@@ -269,17 +271,17 @@
 
 
 def decode_rollout_request(body: bytes) -> RolloutRequest:
-    """Read an order to roll out; raises `DocumentError`."""
+    """Decodes a request to roll out a version; raises `DocumentError`."""
     try:
-        order: _RolloutRequest = decode_json(body, _RolloutRequest)
+        request: _RolloutRequest = decode_json(body, _RolloutRequest)
     except JsonUnreadable as error:
         unreadable = FieldError("(document)", f"{len(body)} bytes", error.reason)
         raise DocumentError("rollout", [unreadable]) from error
-    if order.duration_s <= 0 or not order.service or not order.target_version:
-        wrong = FieldError("durationS", str(order.duration_s), "must be above 0")
-        raise DocumentError("rollout", [wrong])
+    if request.duration_s <= 0 or not request.service or not request.target_version:
+        invalid = FieldError("durationS", str(request.duration_s), "must be above 0")
+        raise DocumentError("rollout", [invalid])
     return RolloutRequest(
-        order.service, order.target_version, order.duration_s * 1000.0
+        request.service, request.target_version, request.duration_s * 1000.0
     )
 
 
@@ -294,7 +296,7 @@
 
 
 def encode_rollout_state(rollout: Rollout) -> bytes:
-    """The answer to a question about a roll-out."""
+    """Encodes the state of a roll-out as the platform's operators read it."""
     return msgspec.json.encode(
         _RolloutState(_STATE_NAMES[rollout.stage], rollout.version)
     )
--- a/ashlatch/platform/headers.py
+++ b/ashlatch/platform/headers.py
@@ -2,8 +2,8 @@
 ashlatch.platform.headers
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-The platform's HTTP headers: read from callers' requests and endpoints'
-answers, and written to both.
+Decodes the platform's HTTP headers in callers' requests and endpoints' answers, and
+encodes those that the gateway sends.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -36,45 +36,45 @@
     "refusal_headers",
 ]
 
-# Names the request for as long as it lives, at callers and endpoints alike.
+# Identifies the request, to the caller and to all endpoints that it is sent to.
 _REQUEST_ID = b"x-attempt-id"
-# How long the caller waits, counted from the request; not a point in time.
+# How long the caller waits, counted from the request; a duration, not a point in time.
 _TIMEOUT = b"x-deadline-ms"
 _KEY = b"authorization"
 _ORGANISATION = b"x-tenant"
 _INSTANCE = b"x-expect-instance"
 _URGENCY = b"x-request-priority"
 _MODEL = b"x-model"
-# The prompt's tokens and the most tokens of the answer.
+# The number of tokens of the prompt, and the largest number in the answer.
 _TOKENS = b"x-token-count"
 _PROMPT = b"x-prompt-prefix"
 _SESSION = b"session"
 _LAST_EVENT = b"last-event-id"
-# Stands on every answer that an endpoint's own program made.
+# Set on every answer that the endpoint's own program produced.
 _SEAL = b"x-server-seal"
-# On a 503, 429, 421 or 400 of an endpoint: the request has not run there.
+# On an endpoint's 503, 429, 421 or 400: it has not run the request.
 _NOT_RUN = b"x-not-executed"
 _CONFIDENCE = b"x-confidence"
 _LOAD = b"x-server-load"
-# Requests a second that the endpoint takes from all gateways together.
+# Requests per second that the endpoint accepts from all gateways together.
 _RATE_LIMIT = b"server-limit"
-# Set to 1 in the answers of an endpoint that is about to end.
+# Set to 1 in the answers of an endpoint that is about to stop.
 _LEAVING = b"server-leaving"
 _RETRY_AFTER = b"retry-after"
 _KEEP_ALIVE = b"keep-alive"
 
-# Requests running, requests waiting, places: numbers that an endpoint may have.
+# Running requests, waiting requests, slots; no endpoint has numbers above 7 digits.
 _LOAD_FIGURES = re.compile(r"\s*([0-9]{1,7})\s*,\s*([0-9]{1,7})\s*,\s*([0-9]{1,7})\s*")
 # More tokens than any prompt has.
 _TOKENS_MAX = 1_000_000_000
 
-# Another endpoint than the expected one answers with this, and runs nothing.
+# The status from an endpoint other than the expected one; it does not run the request.
 _MISDIRECTED = 421
 
-# Engines know the urgencies 0 to 9.
+# Engines accept urgencies from 0 to 9.
 _URGENCY_MAX = 9
 
-# A caller's model of this name leaves the choice to the gateway.
+# A caller that sends this as the model lets the gateway choose one.
 _ANY_MODEL = "*"
 
 _HOP_BY_HOP = frozenset(
@@ -91,8 +91,8 @@
         b"expect",
     }
 )
-# Callers may send these, but only the gateway may set them at an endpoint:
-# orders about an engine's memory, its queue and its identity.
+# Endpoints get these headers from the gateway only, never from a caller: commands about
+# an engine's KV cache, its queue and its identity.
 _GATEWAY_ONLY = frozenset(
     {
         _KEY,
@@ -110,7 +110,7 @@
     }
 )
 _NOT_FORWARDED = _HOP_BY_HOP | _GATEWAY_ONLY | {b"content-length"}
-# A caller's `Connection` header cannot have these dropped on the way.
+# These are forwarded even if the caller's `Connection` header names them.
 _ALWAYS_FORWARDED = frozenset(
     {b"host", _REQUEST_ID, _MODEL, _TOKENS, _PROMPT, _LAST_EVENT}
 )
@@ -119,18 +119,18 @@
 
 @dataclass
 class MalformedRequest(AshlatchError):
-    """A header that is needed is missing, or has no meaning."""
+    """A required header is missing, or a header has an invalid value."""
 
     header: str
     value: str
 
 
 def decode_request(request: HttpRequest) -> CallerRequest:
-    """Read a caller's request; raises `MalformedRequest`."""
+    """Decodes a caller's request; raises `MalformedRequest`."""
     by_name = _group_by_name(request.headers)
     for header in (_REQUEST_ID, _TIMEOUT, _KEY, b"host"):
         if len(by_name.get(header, [])) > 1:
-            raise MalformedRequest(header.decode(), "must not stand twice")
+            raise MalformedRequest(header.decode(), "must not be repeated")
     request_id = _first_value(by_name, _REQUEST_ID)
     if not request_id:
         raise MalformedRequest(_REQUEST_ID.decode(), "")
@@ -157,12 +157,12 @@
 
 
 def endpoint_headers(request: CallerRequest, dispatch: Dispatch) -> Headers:
-    """The headers of a request as it goes to an endpoint."""
-    set_here = {_MODEL} if dispatch.model else set()
+    """Returns the headers with which a request is sent to an endpoint."""
+    replaced = {_MODEL} if dispatch.model else set()
     if dispatch.resume_after:
-        set_here.add(_LAST_EVENT)
+        replaced.add(_LAST_EVENT)
     headers = [
-        pair for pair in request.forwarded_headers if pair[0].lower() not in set_here
+        pair for pair in request.forwarded_headers if pair[0].lower() not in replaced
     ]
     if dispatch.model:
         headers.append((b"X-Model", dispatch.model.encode()))
@@ -182,7 +182,7 @@
 
 
 def decode_answer(response: h11.Response) -> AnswerHead:
-    """Read the head of an endpoint's answer."""
+    """Decodes the head of an endpoint's answer."""
     raw = response.headers.raw_items()
     by_name = _group_by_name(raw)
     status = response.status_code
@@ -206,7 +206,7 @@
 def refusal_headers(
     request_id: str, reason: RefusalReason, retry_after_s: float | None
 ) -> Headers:
-    """The headers of an answer that the gateway gives by itself."""
+    """Returns the headers of an answer that the gateway produces itself."""
     headers = [(b"Content-Type", b"application/problem+json")]
     if request_id:
         headers.append((b"X-Attempt-Id", request_id.encode()))
@@ -233,15 +233,15 @@
 
 
 def _forwarded(headers: Headers, by_name: dict[bytes, list[bytes]]) -> Headers:
-    named = b",".join(by_name.get(b"connection", []))
-    of_connection = {
-        name.strip().lower() for name in named.split(b",")
+    listed = b",".join(by_name.get(b"connection", []))
+    hop_by_hop = {
+        name.strip().lower() for name in listed.split(b",")
     } - _ALWAYS_FORWARDED
     return [
         (name, value)
         for name, value in headers
         if name.lower() not in _NOT_FORWARDED
-        and name.lower() not in of_connection
+        and name.lower() not in hop_by_hop
         and not name.lower().startswith(_CACHE_COMMAND_PREFIXES)
     ]
 
@@ -254,14 +254,14 @@
 def _timeout_ms(text: str) -> float | None:
     if not text:
         return None
-    patience_ms = _number(text)
-    if patience_ms is None or patience_ms < 0:
+    timeout_ms = _number(text)
+    if timeout_ms is None or timeout_ms < 0:
         raise MalformedRequest(_TIMEOUT.decode(), text)
-    return patience_ms
+    return timeout_ms
 
 
 def _number(text: str) -> float | None:
-    """A number that can be calculated with; none for `nan`, `inf` and the like."""
+    """Parses a finite number; returns None for `nan`, `inf` and other text."""
     try:
         number = float(text) if text else None
     except ValueError:
@@ -287,15 +287,15 @@
 
 
 def _load_figures(text: str) -> LoadFigures | None:
-    found = _LOAD_FIGURES.fullmatch(text)
-    if found is None:
+    match = _LOAD_FIGURES.fullmatch(text)
+    if match is None:
         return None
-    running, waiting, slots = (int(number) for number in found.groups())
+    running, waiting, slots = (int(number) for number in match.groups())
     return LoadFigures(running, waiting, max(1, slots))
 
 
 def _limit_per_s(by_name: dict[bytes, list[bytes]]) -> float | None:
-    """The limit that an answer names; the least, if it names several."""
+    """Returns the limit in an answer, the lowest one if there are several."""
     if _RATE_LIMIT not in by_name:
         return NO_LIMIT
     rates = [_number(value) for value in _all_values(by_name, _RATE_LIMIT)]
--- a/ashlatch/platform/instances.py
+++ b/ashlatch/platform/instances.py
@@ -2,9 +2,9 @@
 ashlatch.platform.instances
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Reads the platform's list of running endpoints, page by page. An entry may come from
-another writer: one that is not of the form below names no endpoint, and the others
-hold.
+Decodes the platform's list of running endpoints, page by page. Entries may come from
+other programs: one that does not match the schema below is skipped, and the others
+remain valid.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -22,20 +22,20 @@
 
 __all__ = ["Page", "decode_page", "page_target"]
 
-# Printable text without blanks: ids go into headers and all of it into logs.
+# Printable text without spaces: ids are sent in headers, and all of it is logged.
 _Name = Annotated[str, msgspec.Meta(pattern=r"^[!-~]{1,200}$")]
 _Text = Annotated[str, msgspec.Meta(pattern=r"^[!-~]{0,200}$")]
 _Address = Annotated[str, msgspec.Meta(pattern=r"^\d{1,3}(\.\d{1,3}){3}:[1-9]\d{0,4}$")]
-# More requests at once than any endpoint runs: a figure beyond it is none.
+# More concurrent requests than any endpoint runs; larger numbers are invalid.
 _Slots = Annotated[int, msgspec.Meta(ge=0, le=1_000_000)]
-# Longer than a day is no time after a start.
+# No endpoint is cold for more than a day after its start; larger values are invalid.
 _ColdLeft = Annotated[float, msgspec.Meta(ge=0, le=86_400_000)]
 # Unix milliseconds, up to the year 2255.
 _UnixMs = Annotated[int, msgspec.Meta(ge=0, le=9_007_199_254_740_991)]
 _PORT_MAX = 65_535
 _OCTET_MAX = 255
 
-# The states of an endpoint, and whether it takes no new work in them.
+# The states of an endpoint, and whether it is leaving: it accepts no new requests then.
 _LEAVING_BY_STATE = {"ready": False, "draining": True}
 
 
@@ -46,23 +46,23 @@
     zone: _Text
     version: _Text
     slots: _Slots
-    # `draining` comes before the end of an endpoint, `ready` otherwise.
+    # `draining` before the endpoint stops, otherwise `ready`.
     state: str
-    # When the endpoint's process began; not every list tells.
+    # Start time of the endpoint's process; not in every list.
     born: _UnixMs = 0
-    # How much longer it bears less than others; not every list tells.
+    # How much longer the endpoint is cold; not in every list.
     cold_left_ms: _ColdLeft = 0.0
 
 
 class _Page(msgspec.Struct, frozen=True, rename="camel"):
-    # Named like a token of a prompt, but it names the page that follows.
+    # The page token of the next page; not a token of a prompt.
     next_token: str | None = None
 
 
 class Page(msgspec.Struct, frozen=True):
-    """Some endpoints, and the mark of the next page if there is one.
+    """A page of endpoints, and the token of the next page if there is one.
 
-    `left_out` counts the entries that name no endpoint, by the reason.
+    `left_out` counts the invalid entries by the reason.
     """
 
     endpoints: tuple[Endpoint, ...]
@@ -71,12 +71,12 @@
 
 
 def page_target(page: str | None) -> str:
-    """The request target of a page of the list."""
+    """Returns the request target of a page of the list."""
     return f"/instances?pageToken={quote(page)}" if page else "/instances"
 
 
 def decode_page(body: bytes) -> Page:
-    """Read one page; raises `JsonUnreadable`."""
+    """Decodes one page; raises `JsonUnreadable`."""
     entries = decode_elements(body, "instances", _Instance)
     page = decode_json(entries.rest, _Page)
     left_out = Counter(entries.left_out)
@@ -91,7 +91,7 @@
         if entry.state not in _LEAVING_BY_STATE:
             left_out["unknown state"] += 1
         elif not _is_valid_address(entry.address):
-            left_out["no address"] += 1
+            left_out["invalid address"] += 1
         else:
             yield _to_endpoint(entry)
 
--- a/ashlatch/platform/json_decoding.py
+++ b/ashlatch/platform/json_decoding.py
@@ -1,9 +1,9 @@
 """
-ashlatch.platform.reading
-~~~~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.platform.json_decoding
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Reads JSON of other writers. What cannot be read is an error of one type, whatever the
-bytes are; of a list, the elements that can be read are kept.
+Decodes JSON from other programs. Invalid input raises one type of error, whatever the
+bytes are; invalid elements of an array are skipped and the others are kept.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -22,26 +22,28 @@
 
 E = TypeVar("E")
 
-# Strings and what gives an array its shape; all else belongs to an element.
+# Strings, brackets and commas, which delimit elements; all else is inside an element.
 _TOKEN = re.compile(rb'"(?:[^"\\]|\\.)*"|[\[\]{},]', re.DOTALL)
-# Positions and values differ with each entry: kept, they would make as many reasons as
-# there are entries, each of them news for the log.
+# Positions and values differ between entries. They are removed from reasons, or there
+# would be as many different reasons as entries and each of them would be logged.
 _NUMBER = re.compile(r"\d+")
-# The longest part of a decoder's words that goes into a log line.
+# The maximum length of a decoder's message in a log line.
 REASON_CHARACTERS_MAX = 80
 
 
 @dataclass
 class JsonUnreadable(AshlatchError):
-    """The bytes are no JSON, or none of the expected form."""
+    """The bytes are not JSON, or do not match the expected schema."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class Elements(Generic[E]):
-    """The readable elements of an array, why others were left out and how many, and
-    the document without the array.
+    """The valid elements of an array.
+
+    `left_out` counts the invalid elements by the reason. `rest` is the document with
+    the array emptied.
     """
 
     items: tuple[E, ...]
@@ -50,7 +52,7 @@
 
 
 def decode_json(body: bytes, kind: Any) -> Any:
-    """A document as a value of a type; raises `JsonUnreadable`."""
+    """Decodes a document as a value of a type; raises `JsonUnreadable`."""
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -60,9 +62,9 @@
 
 
 def decode_elements(body: bytes, name: str, kind: Any) -> Elements[Any]:
-    """The elements of an array under a name of the outermost object.
+    """Decodes the elements of the array with this name in the outermost object.
 
-    Raises `JsonUnreadable` when there is no such array or it has no end::
+    Raises `JsonUnreadable` if there is no such array or it is not closed::
 
         decode_elements(b'{"names":["a",5,"b"]}', "names", str).items  # ("a", "b")
     """
@@ -78,43 +80,43 @@
 
 
 def _split_array(body: bytes, name: str) -> tuple[list[bytes], bytes]:
-    """The elements of an array, each unread, and the document with it emptied.
+    """Returns the undecoded elements of an array, and the document with it emptied.
 
-    It is cut by brackets and commas outside of strings, so that an element that is no
-    JSON, is nested too deeply or holds no UTF-8 does not spoil the others.
+    The array is split at brackets and commas outside of strings, so that an element
+    that is not JSON, is nested too deeply or is not UTF-8 does not affect the others.
     """
     begin = _find_array(body, name)
     depth = 1
     parts: list[bytes] = []
-    from_at = begin
+    element_start = begin
     for token in _TOKEN.finditer(body, begin):
-        mark = token.group()
-        if mark in (b"[", b"{"):
+        delimiter = token.group()
+        if delimiter in (b"[", b"{"):
             depth += 1
-        elif mark in (b"]", b"}"):
+        elif delimiter in (b"]", b"}"):
             depth -= 1
-        if depth == 0 or (depth == 1 and mark == b","):
-            parts.append(body[from_at : token.start()])
-            from_at = token.end()
+        if depth == 0 or (depth == 1 and delimiter == b","):
+            parts.append(body[element_start : token.start()])
+            element_start = token.end()
         if depth == 0:
-            only_blanks = len(parts) == 1 and not parts[0].strip()
+            is_empty = len(parts) == 1 and not parts[0].strip()
             rest = body[:begin] + body[token.start() :]
-            return [] if only_blanks else parts, rest
-    raise JsonUnreadable(f"no end of {name}")
+            return [] if is_empty else parts, rest
+    raise JsonUnreadable(f"the array {name} is not closed")
 
 
 def _find_array(body: bytes, name: str) -> int:
-    """Where the first element of an array under a name of the object begins."""
+    """Returns the position of the first element of the array with this name."""
     depth = 0
-    wanted = b'"' + name.encode() + b'"'
+    quoted_name = b'"' + name.encode() + b'"'
     for token in _TOKEN.finditer(body):
-        mark = token.group()
-        if mark in (b"[", b"{"):
+        text = token.group()
+        if text in (b"[", b"{"):
             depth += 1
-        elif mark in (b"]", b"}"):
+        elif text in (b"]", b"}"):
             depth -= 1
-        elif depth == 1 and mark == wanted:
-            opened = re.compile(rb"\s*:\s*\[").match(body, token.end())
-            if opened is not None:
-                return opened.end()
-    raise JsonUnreadable(f"no list of {name}")
+        elif depth == 1 and text == quoted_name:
+            opening = re.compile(rb"\s*:\s*\[").match(body, token.end())
+            if opening is not None:
+                return opening.end()
+    raise JsonUnreadable(f"there is no array {name}")
--- a/ashlatch/platform/operator.py
+++ b/ashlatch/platform/operator.py
@@ -2,7 +2,7 @@
 ashlatch.platform.operator
 ~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-The calls that the platform's operators make, recognised by method and path.
+Parses the calls of the platform's operators from the method and path of a request.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -32,7 +32,7 @@
 
 
 class OperatorAction(enum.Enum):
-    """What an operator asks for."""
+    """The action that an operator requests."""
 
     REPLACE_CONFIGURATION = "replace_configuration"
     READ_CONFIGURATION = "read_configuration"
@@ -45,8 +45,10 @@
 
 @dataclass(frozen=True)
 class OperatorCall:
-    """One call; `service` is set when a roll-out is asked for, `hall` when the
-    evacuation of one begins or finishes.
+    """An operator's call.
+
+    `service` is set on requests for the state of a roll-out, `hall` on those that begin
+    or finish an evacuation.
     """
 
     action: OperatorAction
@@ -55,7 +57,7 @@
 
 
 def parse_operator_call(method: str, target: str) -> OperatorCall | None:
-    """The call that a request makes, or none."""
+    """Returns the operator call of a request, None if it is not one."""
     path = target.partition("?")[0]
     if (method, path) == _REPLACE:
         return OperatorCall(OperatorAction.REPLACE_CONFIGURATION)
@@ -78,7 +80,7 @@
 
 
 def evacuation_request(call: OperatorCall) -> tuple[str, str]:
-    """Method and path of a call about evacuations, as an operator makes it."""
+    """Returns the method and path of an operator's call about evacuations."""
     match call.action:
         case OperatorAction.BEGIN_EVACUATION:
             return "POST", _EVACUATE_PREFIX + quote(call.hall, safe="")
--- a/ashlatch/platform/prefix_cache.py
+++ b/ashlatch/platform/prefix_cache.py
@@ -1,8 +1,8 @@
 """
-ashlatch.platform.memory
-~~~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.platform.prefix_cache
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Reads what an engine tells of its memory: the parts of prompts that it keeps.
+Decodes an engine's report of its prefix cache: the parts of prompts that it holds.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -26,15 +26,15 @@
 PREFIX_CACHE_TARGET = "/-/kv-list"
 
 
-# More than any engine's memory holds.
+# More tokens than any engine's cache holds.
 _Tokens = Annotated[int, msgspec.Meta(ge=0, le=1_000_000_000)]
-# An empty text, the part's id, its tokens and the model.
-_Held = tuple[str, str, _Tokens, str]
+# An empty text, the id of the part, its number of tokens and the model.
+_CachedEntry = tuple[str, str, _Tokens, str]
 
 
 @dataclass(frozen=True)
 class CachedPart:
-    """A part of a prompt that an engine keeps for a model."""
+    """A part of a prompt that an engine has cached for a model."""
 
     part_id: str
     tokens: int
@@ -42,14 +42,17 @@
 
 
 def prefix_cache_headers(address: str, instance: str) -> Headers:
-    """The headers of the question; another endpoint there will not answer it."""
+    """Returns the headers of the request for an engine's cache.
+
+    Another endpoint at the same address does not answer a request with these.
+    """
     return [(b"Host", address.encode()), (b"X-Expect-Instance", instance.encode())]
 
 
 def decode_prefix_cache(body: bytes) -> tuple[CachedPart, ...]:
-    """Read an engine's answer, without what is of another form.
+    """Decodes an engine's answer; invalid entries are skipped.
 
     Raises `JsonUnreadable`.
     """
-    held = decode_elements(body, "held", _Held).items
-    return tuple(CachedPart(part, tokens, model) for _, part, tokens, model in held)
+    cached = decode_elements(body, "held", _CachedEntry).items
+    return tuple(CachedPart(part, tokens, model) for _, part, tokens, model in cached)
