--- a/ashlatch/http/__init__.py
+++ b/ashlatch/http/__init__.py
@@ -2,8 +2,8 @@
 ashlatch.http
 ~~~~~~~~~~~~~
 
-HTTP by library: serving by `werkzeug` on a bounded pool of threads, calling by
-`pycurl`, and problem documents.
+HTTP servers (`werkzeug` on a bounded thread pool, `h11` on asyncio), HTTP clients
+(`pycurl`, `h11` on asyncio) and problem documents.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
--- a/ashlatch/http/client.py
+++ b/ashlatch/http/client.py
@@ -2,7 +2,7 @@
 ashlatch.http.client
 ~~~~~~~~~~~~~~~~~~~~
 
-HTTP calls by `pycurl`. Each thread keeps one handle, and with it the open
+An HTTP client based on `pycurl`. Each thread has one handle, which keeps the open
 connections.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
@@ -21,7 +21,7 @@
 
 _local = threading.local()
 
-# Failures before which no byte of the request can have been sent.
+# Errors after which no byte of the request can have been sent.
 _NEVER_SENT = frozenset(
     {
         pycurl.E_COULDNT_CONNECT,
@@ -34,17 +34,19 @@
 
 @dataclass
 class Cancelled(TransportError):
-    """The caller of `fetch` gave the call up."""
+    """The caller of `fetch` cancelled the call."""
 
 
 @dataclass(frozen=True)
 class Call:
-    """One HTTP request. `on_body` takes the body in pieces as it comes in.
-
-    `cancelled` is asked often; when true the connection is closed, which
-    tells the other side to stop. `on_status` is called once, before the
-    first piece. `before_send` is asked when the connection stands and no byte
-    of the request has left; when false none will.
+    """An HTTP request.
+
+    `on_body` receives the chunks of the body as they arrive. `on_status` is called
+    once, before the first chunk. `cancelled` is polled frequently; once it returns
+    true, the connection is closed, which tells the server to stop. `before_send` is
+    called when the connection is open and no byte of the request has been sent; if it
+    returns false, the request is not sent. `repeatable` tells whether the request may
+    be sent again, as curl does when a kept connection breaks.
     """
 
     url: str
@@ -73,7 +75,7 @@
     def __init__(self, call: Call) -> None:
         self.call = call
         self.send_denied = False
-        # Set when a connection stands and the request is about to leave on it.
+        # Set when a connection is open and the request is about to be sent on it.
         self.sending = False
         self.reply = Reply()
         self.chunks: list[bytes] = []
@@ -90,14 +92,17 @@
             self.reply.headers[name.strip().lower()] = value.strip()
 
     def report_status(self) -> None:
-        """The head is whole; called again at the end, for a reply without a body."""
+        """Reports the status once; called before a chunk and at the end of the reply.
+
+        The call at the end is for replies without a body.
+        """
         if self.status_reported:
             return
         self.status_reported = True
         if self.call.on_status is not None:
             self.call.on_status(self.reply)
 
-    def on_body(self, data: bytes) -> None:
+    def on_chunk(self, data: bytes) -> None:
         self.report_status()
         if self.call.on_body is not None:
             self.call.on_body(data)
@@ -118,10 +123,10 @@
 
 
 def fetch(call: Call) -> Reply:
-    """Make a call on this thread and wait for its end.
+    """Makes a call on this thread and waits for the reply.
 
-    Raises `TransportError` when there is no whole reply; its `sent` is false
-    only if no byte of the request can have left.
+    Raises `TransportError` if there is no complete reply; its `sent` is false only if
+    no byte of the request can have been sent.
     """
     handle = getattr(_local, "handle", None)
     if handle is None:
@@ -133,7 +138,7 @@
     except pycurl.error as error:
         code, reason = error.args[0], error.args[1]
         if transfer.send_denied:
-            raise TransportError(call.url, "not sent any more", False) from error
+            raise TransportError(call.url, "send denied", False) from error
         if code == pycurl.E_ABORTED_BY_CALLBACK:
             raise Cancelled(call.url, "cancelled", sent=True) from error
         sent = _may_have_been_sent(handle, code, transfer)
@@ -145,13 +150,14 @@
 
 def _may_have_been_sent(handle: pycurl.Curl, code: int, transfer: _Transfer) -> bool:
     if transfer.sending:
-        # Also when curl could not connect: a kept connection that dies has carried
-        # the request, and curl sends it once more, to an endpoint that has ended.
+        # Also if the error is that curl could not connect: when a kept connection
+        # breaks, curl has sent the request on it and then sends it again on a new one,
+        # which fails if the endpoint has stopped.
         return True
     if code in _NEVER_SENT:
         return False
     if code == pycurl.E_OPERATION_TIMEDOUT:
-        # The time ran out before there was a connection to send on.
+        # False if the timeout expired before a connection was open.
         return handle.getinfo(pycurl.CONNECT_TIME) > 0
     return True
 
@@ -174,10 +180,10 @@
     headers += [f"{name}: {value}" for name, value in call.headers.items()]
     handle.setopt(pycurl.HTTPHEADER, headers)
     handle.setopt(pycurl.HEADERFUNCTION, transfer.on_header_line)
-    handle.setopt(pycurl.WRITEFUNCTION, transfer.on_body)
+    handle.setopt(pycurl.WRITEFUNCTION, transfer.on_chunk)
     handle.setopt(pycurl.PREREQFUNCTION, transfer.on_connected)
     if not call.repeatable:
-        # On a kept connection that dies, curl sends the request once more.
+        # When a kept connection breaks, curl would send the request again.
         handle.setopt(pycurl.FRESH_CONNECT, 1)
         handle.setopt(pycurl.FORBID_REUSE, 1)
     if call.cancelled is not None:
--- a/ashlatch/http/connection.py
+++ b/ashlatch/http/connection.py
@@ -2,8 +2,8 @@
 ashlatch.http.connection
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-One caller's HTTP/1.1 connection: requests read whole by `h11`, handled one
-after another, and their answers.
+The server side of an HTTP/1.1 connection. Requests are parsed by `h11`, read
+completely and handled one after another.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -32,18 +32,18 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# A caller that sends ahead is not read beyond this before it is answered.
+# The limit on bytes read of pipelined requests while a request is handled.
 READ_AHEAD_MAX_BYTES = 65_536
 
 
 @dataclass
 class CallerGone(AshlatchError):
-    """The caller closed its connection before its answer was whole."""
+    """The caller closed its connection before its answer was complete."""
 
 
 @dataclass(frozen=True)
 class HttpBounds:
-    """What one caller may send, and how slowly; see `CatalogLimits`."""
+    """Limits on the size and duration of a caller's requests; see `CatalogLimits`."""
 
     head_max_bytes: int = 16_384
     body_max_bytes: int = 4_194_304
@@ -53,9 +53,9 @@
 
 @dataclass(frozen=True)
 class HttpRequest:
-    """A whole request. Header names are as the caller wrote them.
+    """A complete request; header names are in the case that the caller used.
 
-    `received_s` is when its head was read, on the loop's clock.
+    `received_s` is when its head was read, by the loop's clock.
     """
 
     method: str
@@ -69,8 +69,8 @@
 class Responder:
     """Writes the answer to one request; every method raises `CallerGone`.
 
-    Either `respond` alone, or `begin`, then `send` for each part, then `end`.
-    `abort` ends the connection so that the answer cannot seem complete.
+    Call either `respond` alone, or `begin`, then `send` for each chunk, then `end`.
+    `abort` closes the connection so that the answer cannot look complete.
     """
 
     def __init__(self, connection: "Connection") -> None:
@@ -79,7 +79,7 @@
         self.ended = False
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Sends a complete answer."""
         length = (b"Content-Length", str(len(body)).encode())
         self.begin(status, [*headers, length])
         if body:
@@ -87,25 +87,25 @@
         self.end()
 
     def begin(self, status: int, headers: Headers) -> None:
-        """Send the head. Without a length, the body is sent in chunks."""
+        """Sends the head. Without a length, the body uses chunked encoding."""
         self.begun = True
         self._connection.begin(status, headers)
 
     def send(self, data: bytes) -> None:
-        """Send a part of the body."""
+        """Sends a chunk of the body."""
         self._connection.send(h11.Data(data=data))
 
     async def drain(self) -> None:
-        """Wait while the caller does not read."""
+        """Waits until the write buffer has space; a slow caller fills it."""
         await self._connection.drain()
 
     def end(self) -> None:
-        """End the answer as complete."""
+        """Completes the answer."""
         self.ended = True
         self._connection.send(h11.EndOfMessage())
 
     def abort(self) -> None:
-        """Close the connection in the middle of the answer."""
+        """Closes the connection before the answer is complete."""
         self.ended = True
         self._connection.abort()
 
@@ -114,7 +114,7 @@
 
 
 class ListenerProtocol(Protocol):
-    """What a connection needs of the listener that accepted it."""
+    """The part of a listener that its connections use."""
 
     handler: Handler
     bounds: HttpBounds
@@ -127,7 +127,7 @@
 
 @dataclass
 class _IncomingRequest:
-    """The request that is being read."""
+    """A request that is being read."""
 
     head: h11.Request
     received_s: float
@@ -136,7 +136,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """One caller's connection; requests are handled one after another."""
+    """A connection from a caller; handles one request at a time."""
 
     def __init__(self, listener: ListenerProtocol) -> None:
         self._listener = listener
@@ -154,10 +154,10 @@
         self.last_activity_s = self._loop.time()
         self.head_begun_s: float | None = None
 
-    # What asyncio calls.
+    # Called by asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection stands."""
+        """The connection is open."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         keep_alive(transport)
@@ -166,7 +166,7 @@
         self._listener.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come."""
+        """Data has arrived."""
         between_requests = not self.busy and self._incoming is None
         if between_requests and self.head_begun_s is None:
             self.head_begun_s = self._loop.time()
@@ -174,48 +174,48 @@
         self._process_events()
 
     def eof_received(self) -> bool:
-        """The caller sends no more; it waits for no answer either."""
+        """The caller has closed its side; it does not wait for an answer either."""
         self._on_disconnect()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is gone."""
+        """The connection is closed."""
         self._on_disconnect()
         self._transport = None
         self._listener.connections.discard(self)
 
     def pause_writing(self) -> None:
-        """The caller reads too slowly."""
+        """The write buffer is full because the caller reads too slowly."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """The caller reads again."""
+        """The write buffer has space again."""
         self._writable.set()
 
-    # What the listener and the responder ask for.
+    # Called by the listener and the responder.
 
     @property
     def busy(self) -> bool:
-        """Whether a request is being handled."""
+        """Tells whether a request is being handled."""
         return self._task is not None
 
     @property
     def reading(self) -> bool:
-        """Whether a request has been read in part."""
+        """Tells whether a request has been read partially."""
         return self.head_begun_s is not None or self._incoming is not None
 
     def close(self) -> None:
-        """End the connection in order."""
+        """Closes the connection after the write buffer is sent."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """End the connection with a reset."""
+        """Closes the connection at once and drops the write buffer."""
         if self._transport is not None:
             self._transport.abort()
 
     def refuse(self, status: int) -> None:
-        """Answer what cannot be read as a request, and close."""
+        """Rejects a malformed request with this status and closes the connection."""
         if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             headers = [(b"Content-Length", b"0"), (b"Connection", b"close")]
             self._write(h11.Response(status_code=status, headers=headers))
@@ -223,23 +223,23 @@
         self.close()
 
     def begin(self, status: int, headers: Headers) -> None:
-        """Write the head of an answer."""
+        """Writes the head of an answer."""
         if self._listener.stopping:
             headers = [*headers, (b"Connection", b"close")]
         self.send(h11.Response(status_code=status, headers=headers))
 
     def send(self, event: h11.Event) -> None:
-        """Write a part of the answer."""
+        """Writes a part of the answer; raises `CallerGone`."""
         if self._transport is None or self._transport.is_closing():
             raise CallerGone
         self._write(event)
 
     async def drain(self) -> None:
-        """Wait until the transport takes more."""
+        """Waits until the write buffer has space."""
         if not self._writable.is_set():
             await self._writable.wait()
 
-    # Inside.
+    # Internal.
 
     def _write(self, event: h11.Event) -> None:
         data = self._http.send(event)
@@ -271,8 +271,8 @@
             self._process_event(event)
             if self._transport is None or self._transport.is_closing():
                 return
-        ahead = len(self._http.trailing_data[0])
-        if ahead > READ_AHEAD_MAX_BYTES and self._transport is not None:
+        read_ahead_bytes = len(self._http.trailing_data[0])
+        if read_ahead_bytes > READ_AHEAD_MAX_BYTES and self._transport is not None:
             self._transport.pause_reading()
 
     def _continue_if_asked(self) -> None:
@@ -296,10 +296,15 @@
             self._dispatch()
 
     def _check_head(self, head: h11.Request) -> None:
-        """Refuse heads that another reader could frame in another way."""
+        """Rejects a head that other HTTP parsers could frame differently.
+
+        Such requests can be used for request smuggling.
+        """
         names = [name for name, _ in head.headers]
         if b"transfer-encoding" in names and b"content-length" in names:
-            self._listener.on_malformed(self._peer, "a length and chunks")
+            self._listener.on_malformed(
+                self._peer, "both a length and chunked encoding"
+            )
             self.refuse(400)
         elif names.count(b"transfer-encoding") > 1 or head.http_version != b"1.1":
             self._listener.on_malformed(self._peer, "framing that is not HTTP/1.1")
@@ -343,13 +348,14 @@
         if self._transport is None or self._transport.is_closing():
             return
         if self._http.our_state is not h11.DONE or self._listener.stopping:
-            # Also when the head was sent before the stop and could not say so:
-            # what the caller sends next would be cut when the time is over.
+            # Closed on a stop even if the head of the answer was sent before it and so
+            # has no `Connection: close`: the caller's next request would be cut off
+            # when the time to stop is over.
             self.close()
             return
         self._http.start_next_cycle()
-        ahead = self._http.trailing_data[0]
-        self.head_begun_s = self._loop.time() if ahead else None
+        next_request = self._http.trailing_data[0]
+        self.head_begun_s = self._loop.time() if next_request else None
         self._transport.resume_reading()
         self._process_events()
 
--- a/ashlatch/http/early.py
+++ b/ashlatch/http/early.py
@@ -2,12 +2,12 @@
 ashlatch.http.early
 ~~~~~~~~~~~~~~~~~~~
 
-Listens before the program is loaded. To import a daemon takes some tenths of
-a second of a small VM; callers that come meanwhile would be refused, and some
-of them try only twice. The system takes their connections, and their requests
-are read as soon as the daemon runs.
+Opens the listening socket before the daemon is imported. The import takes some tenths
+of a second on a small VM; connections during that time would be refused, and some
+callers try only twice. With the socket open, the kernel accepts the connections, and
+the requests are read as soon as the daemon runs.
 
-This module imports nothing but the standard library, and little of that.
+This module imports little of the standard library and nothing else.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -19,14 +19,15 @@
 
 __all__ = ["BACKLOG", "listen_early", "settings_path"]
 
-# Connections that wait to be accepted: some seconds' worth at a restart.
+# The maximum number of connections that wait to be accepted: as many as arrive within
+# some seconds of a restart.
 BACKLOG = 1024
 
 
 def settings_path(arguments: Sequence[str], default: str) -> str:
-    """The settings file that a command line names.
+    """Returns the settings file that a command line specifies.
 
-    Empty when the command line asks for anything but to run::
+    The result is empty if the command line requests anything but to run::
 
         settings_path(["--settings", "gateway-1.json"], default="")
     """
@@ -37,10 +38,10 @@
 
 
 def listen_early(path: str) -> socket.socket | None:
-    """Listen on the `listen` address of a settings file, unless it is wrong.
+    """Listens on the `listen` address of a settings file.
 
-    The file is read and checked whole later on, and what is wrong with it, or
-    with the address, is reported then.
+    Returns None if the file or the address is invalid: the complete check of the
+    settings, which comes later, reports the error.
     """
     try:
         with open(path, encoding="utf-8") as settings:
@@ -52,13 +53,13 @@
 
 
 def _listen(host: str, port: int) -> socket.socket:
-    # asyncio turns off the delay of small writes only where the protocol is told.
-    opened = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
+    # asyncio sets `TCP_NODELAY` only on sockets created with an explicit protocol.
+    listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     try:
-        opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        opened.bind((host, port))
-        opened.listen(BACKLOG)
+        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listening.bind((host, port))
+        listening.listen(BACKLOG)
     except OSError:
-        opened.close()
+        listening.close()
         raise
-    return opened
+    return listening
--- a/ashlatch/http/keepalive.py
+++ b/ashlatch/http/keepalive.py
@@ -2,8 +2,8 @@
 ashlatch.http.keepalive
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-Notices peers that have silently gone: a VM without power, or behind a cut,
-answers nothing and ends nothing.
+Detects lost peers with TCP keepalive: a VM that has lost power, or is behind a network
+partition, neither answers nor closes its connections.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -14,17 +14,17 @@
 
 __all__ = ["keep_alive"]
 
-# Probes on a silent connection: a peer without power is noticed after
+# Keepalive probes on an idle connection: a lost peer is detected after
 # KEEPALIVE_IDLE_S + KEEPALIVE_PROBES * KEEPALIVE_INTERVAL_S seconds.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-# Data that stays unacknowledged this long ends the connection.
+# The connection is closed if sent data is not acknowledged within this time.
 UNACKNOWLEDGED_MAX_MS = 3000
 
 
 def keep_alive(transport: asyncio.BaseTransport) -> None:
-    """Have the system notice a peer that has silently gone."""
+    """Enables keepalive, so that the kernel closes connections to lost peers."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
--- a/ashlatch/http/listener.py
+++ b/ashlatch/http/listener.py
@@ -2,8 +2,8 @@
 ashlatch.http.listener
 ~~~~~~~~~~~~~~~~~~~~~~
 
-An HTTP/1.1 server for asyncio with connections that are kept: it accepts them,
-closes those that are idle or slow, and ends them in order when it stops.
+An HTTP/1.1 server for asyncio with persistent connections. It accepts connections,
+closes idle and slow ones, and closes all of them gracefully when it stops.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -18,15 +18,15 @@
 
 __all__ = ["HttpListener"]
 
-# How often idle and slow connections are looked for.
+# The interval of the check for idle and slow connections.
 SWEEP_INTERVAL_S = 0.25
 
 
 class HttpListener:
-    """Listens on one address and hands whole requests to `handler`.
+    """Listens on one address and passes complete requests to `handler`.
 
-    `unreadable` is called with the peer and the reason when a request is
-    refused before it was whole, `failed` with what a handler raised.
+    `on_malformed` is called with the peer and the reason if a malformed request is
+    rejected, `on_handler_error` with an exception that a handler raised.
     """
 
     def __init__(self, handler: Handler, bounds: HttpBounds | None = None) -> None:
@@ -43,7 +43,7 @@
     async def start(
         self, host: str, port: int, early_socket: socket.socket | None = None
     ) -> None:
-        """Begin to accept connections, at a socket that listens already if any."""
+        """Starts to accept connections, on `early_socket` if there is one."""
         loop = asyncio.get_running_loop()
         if early_socket is not None:
             self._server = await loop.create_server(
@@ -60,18 +60,18 @@
         self._sweeper = loop.create_task(self._sweep())
 
     def stop_accepting(self) -> None:
-        """Accept no more connections."""
+        """Stops accepting connections."""
         if self._server is not None:
             self._server.close()
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is read or answered."""
+        """Closes the connections with no request that is read or handled."""
         for connection in list(self.connections):
             if not connection.busy and not connection.reading:
                 connection.close()
 
     def abort(self) -> None:
-        """Cut whatever is left."""
+        """Aborts all remaining connections."""
         if self._sweeper is not None:
             self._sweeper.cancel()
         for connection in list(self.connections):
--- a/ashlatch/http/problem.py
+++ b/ashlatch/http/problem.py
@@ -2,7 +2,7 @@
 ashlatch.http.problem
 ~~~~~~~~~~~~~~~~~~~~~
 
-Problem documents (RFC 9457) for everything that is not an answer.
+Problem documents (RFC 9457), which are returned for every error.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -33,11 +33,11 @@
 
 @dataclass(frozen=True)
 class Problem:
-    """One problem as told to a caller or an operator.
+    """A problem that is returned to a caller or an operator.
 
-    `not_run` is true when no part of the request has run or will, false when
-    it ran without an answer, and `None` when neither is known. `retry_ms` is
-    when to come back.
+    `not_run` is true if no part of the request has run or will run, false if it ran
+    without an answer, and `None` if neither is known. `retry_ms` is the delay before a
+    retry.
     """
 
     kind: ProblemType
@@ -48,7 +48,7 @@
     extra: dict[str, object] = field(default_factory=dict)
 
     def document(self) -> bytes:
-        """The problem as JSON."""
+        """Encodes the problem as JSON."""
         body: dict[str, object] = {
             "type": TYPE_PREFIX + self.kind.name,
             "title": self.kind.title,
@@ -66,7 +66,7 @@
         return json.dumps({**body, **self.extra}).encode()
 
     def headers(self) -> dict[str, str]:
-        """The headers that go with the document."""
+        """Returns the headers of a response with the document."""
         headers = {"Content-Type": CONTENT_TYPE}
         if self.retry_ms is not None:
             headers["Retry-After"] = str(max(1, math.ceil(self.retry_ms / 1000.0)))
@@ -109,7 +109,7 @@
 
 
 def problem_response(problem: Problem) -> Response:
-    """A problem as a `werkzeug` response."""
+    """Converts a problem to a `werkzeug` response."""
     return Response(
         problem.document(), status=problem.kind.status, headers=problem.headers()
     )
--- a/ashlatch/http/retry_after.py
+++ b/ashlatch/http/retry_after.py
@@ -2,7 +2,7 @@
 ashlatch.http.retry_after
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Reads `Retry-After` (RFC 9110, section 10.2.3) in the answers of endpoints.
+Parses `Retry-After` (RFC 9110, section 10.2.3) in the answers of endpoints.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -18,21 +18,21 @@
     "parse_retry_after_ms",
 ]
 
-# The header of these answers asks to send the endpoint nothing meanwhile; that of a
-# redirect tells something else.
+# With these statuses, the header asks to send the endpoint no requests for that time.
+# With a redirect it has another meaning.
 BACKOFF_STATUSES = frozenset({429, 503})
 
 _SECONDS = re.compile(r"[0-9]+(\.[0-9]*)?|\.[0-9]+")
 SECOND_MS = 1000.0
 # Longer delays count as a day.
 BACKOFF_MAX_MS = 86_400.0 * SECOND_MS
-# For a time that cannot be read. Dates count as such: clocks of endpoints and gateways
-# may differ by more than the delay.
+# The delay for values that cannot be parsed. Dates count as such, because the clocks of
+# endpoints and gateways may differ by more than the delay.
 UNREADABLE_BACKOFF_MS = 1000.0
 
 
 def parse_retry_after_ms(values: Iterable[str]) -> float:
-    """The longest delay that the values of the header ask for, 0 without any::
+    """Returns the longest delay in the values of the header, 0 if there are none::
 
     parse_retry_after_ms(["2.5"])  # 2500.0
     parse_retry_after_ms(["3, 5"])  # 5000.0
--- a/ashlatch/http/server.py
+++ b/ashlatch/http/server.py
@@ -2,9 +2,8 @@
 ashlatch.http.server
 ~~~~~~~~~~~~~~~~~~~~
 
-An HTTP listener: `werkzeug` on a bounded `concurrent.futures` pool. A
-connection over the bound is answered with 503 at once and closed, never
-queued.
+An HTTP server: `werkzeug` on a bounded `concurrent.futures` pool. A connection above
+the limit is answered with 503 and closed at once, never queued.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -51,7 +50,7 @@
         self.connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def log(self, type: str, message: str, *args: Any) -> None:
-        """The daemons log their own events."""
+        """Does nothing: the daemons log their own events."""
 
     def handle_one_request(self) -> None:
         try:
@@ -99,19 +98,19 @@
             request.settimeout(REFUSAL_TIMEOUT_S)
             request.sendall("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
             request.shutdown(socket.SHUT_WR)
-            # Closing before the caller's request is read would reset the
-            # connection, and the caller might never see the answer.
+            # Closing the connection before the request is read would reset it, and the
+            # caller might never receive the answer.
             for _ in range(REFUSAL_READS_MAX):
                 if not request.recv(REFUSAL_READ_BYTES):
                     break
         self.shutdown_request(request)
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """A caller that went away is not an error of ours."""
+        """Logs at debug level: a lost caller is not an error of the server."""
         log.debug("", exc_info=True, extra={"event": "connection_failed"})
 
     def wait_closed(self) -> None:
-        """Wait for all open connections."""
+        """Waits until all connections are closed."""
         self._pool.shutdown(wait=True)
         self._refusal_pool.shutdown(wait=True)
 
@@ -119,8 +118,8 @@
 class HttpServer:
     """Serves one application at one address.
 
-    The application takes a `werkzeug` request and gives a response; what it
-    raises becomes a problem document, never a trace.
+    The application gets a `werkzeug` request and returns a response. An exception is
+    answered with a problem document, never with a traceback.
     """
 
     def __init__(
@@ -134,11 +133,11 @@
         )
 
     def start(self) -> None:
-        """Begin to accept."""
+        """Starts to accept connections."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop accepting and wait for what is open."""
+        """Stops accepting connections and waits for the open ones."""
         self._server.shutdown()
         self._thread.join()
         self._server.server_close()
@@ -157,6 +156,6 @@
             response = problem_response(Problem(problems.BAD_REQUEST, detail))
         except Exception:
             log.exception("", extra={"event": "request_failed"})
-            # What had been sent by then is not known here.
+            # It is not known here whether the request had been sent to an endpoint.
             response = problem_response(Problem(problems.INTERNAL, not_run=None))
         return response(environ, start_response)
--- a/ashlatch/http/upstream.py
+++ b/ashlatch/http/upstream.py
@@ -2,9 +2,9 @@
 ashlatch.http.upstream
 ~~~~~~~~~~~~~~~~~~~~~~
 
-One HTTP/1.1 connection to an endpoint, for asyncio, read and written by
-`h11`. It serves one request at a time and says exactly how it ended: whether
-the answer was whole, and whether the connection may be used again.
+The client side of an HTTP/1.1 connection to an endpoint, for asyncio, based on `h11`.
+It sends one request at a time and reports exactly how that ended: whether the answer
+was complete, and whether the connection can be reused.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -27,17 +27,17 @@
     "UpstreamBroken",
 ]
 
-# The reason of a `ConnectFailed` after which nothing at all had come back.
+# The reason of a `ConnectFailed` if the other side has not answered at all.
 CONNECT_TIMED_OUT = "timeout"
-# The reason of a `ConnectFailed` when the VM is there, and nobody listens.
+# The reason of a `ConnectFailed` if the VM is reachable but nothing listens there.
 CONNECT_REFUSED = ConnectionRefusedError.__name__
-# More than this is not read ahead of who passes it on.
+# The limit on bytes that are received and not yet consumed by the request's task.
 READ_AHEAD_MAX_BYTES = 1_048_576
 
 
 @dataclass
 class ConnectFailed(AshlatchError):
-    """No connection came to be, so nothing was sent."""
+    """No connection could be opened, so nothing was sent."""
 
     address: str
     reason: str
@@ -45,14 +45,14 @@
 
 @dataclass
 class UpstreamBroken(AshlatchError):
-    """The connection ended, or carried what is no answer, before the end."""
+    """The connection closed or carried invalid data before the answer was complete."""
 
     address: str
     reason: str
 
 
 class Upstream(asyncio.Protocol):
-    """A connection to one address; made by `Upstream.connect`."""
+    """A connection to one address, opened by `Upstream.connect`."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -70,7 +70,7 @@
 
     @classmethod
     async def connect(cls, address: str, timeout_s: float) -> "Upstream":
-        """Open a connection; raises `ConnectFailed`."""
+        """Opens a connection; raises `ConnectFailed`."""
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         try:
@@ -84,18 +84,18 @@
             raise ConnectFailed(address, type(error).__name__) from error
         return protocol
 
-    # What asyncio calls.
+    # Called by asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection stands."""
+        """The connection is open."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         keep_alive(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come; while idle, none may."""
+        """Data has arrived; on an idle connection this is an error."""
         if not self._in_use:
-            # It belongs to no request, so nothing after it can be trusted.
+            # The data belongs to no request, so later data cannot be trusted either.
             self.abort()
             return
         self.received_bytes += len(data)
@@ -109,7 +109,7 @@
         self._wake_reader()
 
     def eof_received(self) -> bool:
-        """The endpoint sends no more."""
+        """The endpoint has closed its side."""
         if not self._in_use:
             self.abort()
             return False
@@ -118,27 +118,27 @@
         return True
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is gone."""
+        """The connection is closed."""
         self._lost_reason = type(error).__name__ if error else "closed"
         self._transport = None
         self._wake_reader()
 
-    # What the request's task calls.
+    # Called by the request's task.
 
     @property
     def usable(self) -> bool:
-        """Whether another request may be sent."""
+        """Tells whether another request can be sent."""
         transport = self._transport
         ready = self._http.our_state is h11.IDLE
         return ready and transport is not None and not transport.is_closing()
 
     def acquire(self) -> None:
-        """Use the connection for a request; its bytes are counted from here."""
+        """Reserves the connection for a request and resets the byte counters."""
         self._in_use = True
         self.sent_bytes = self.received_bytes = 0
 
     def send(self, method: str, target: str, headers: Headers, body: bytes) -> None:
-        """Send a whole request; raises `UpstreamBroken`."""
+        """Sends a complete request; raises `UpstreamBroken`."""
         if self._transport is None or self._transport.is_closing():
             raise UpstreamBroken(self.address, self._lost_reason or "closing")
         self.requests += 1
@@ -151,28 +151,29 @@
         self.sent_bytes += len(data)
 
     async def read_head(self) -> h11.Response:
-        """The head of the answer; raises `UpstreamBroken`."""
+        """Reads the head of the answer; raises `UpstreamBroken`."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Response):
                 return event
             if not isinstance(event, h11.InformationalResponse):
-                raise UpstreamBroken(self.address, "no answer")
+                raise UpstreamBroken(self.address, "no head of an answer")
 
     async def read_chunk(self) -> bytes | None:
-        """The next part of the body, or none at its end."""
+        """Reads the next chunk of the body; returns None at its end."""
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise UpstreamBroken(self.address, "no body")
+        raise UpstreamBroken(self.address, "no body of an answer")
 
     def release(self, now_s: float) -> bool:
-        """After a whole answer: whether the connection may be kept.
+        """Ends the use for a request; returns whether the connection can be reused.
 
-        It may not when the other side will close it, when more came than the
-        answer, or when the request was answered before all of it was sent.
+        It is closed if the answer is not complete, if the other side will close it, if
+        there was data after the answer, or if the request was answered before all of it
+        was sent.
         """
         transport = self._transport
         done = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
@@ -188,11 +189,11 @@
         return True
 
     def abort(self) -> None:
-        """End the connection at once; the endpoint drops what it runs."""
+        """Closes the connection at once; the endpoint then cancels the request."""
         if self._transport is not None:
             self._transport.abort()
 
-    # Inside.
+    # Internal.
 
     def _wake_reader(self) -> None:
         if self._data_waiter is not None and not self._data_waiter.done():
