--- a/ashlatch/codec.py
+++ b/ashlatch/codec.py
@@ -3,10 +3,10 @@
 ~~~~~~~~~~~~~~
 
 The codec of messages between daemons and of durable records: MessagePack by
-`msgspec`. Unknown fields are skipped and missing ones take their defaults, so
-that neighbouring versions of the program read each other. What is sent many
-times a second goes as an array without the names of its fields, which are then
-only ever added at the end.
+`msgspec`. Unknown fields are skipped and missing ones get their defaults, so that
+successive versions of the program can read each other's data. Messages that are sent
+many times per second are encoded as arrays without field names; new fields of these may
+only be added at the end.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -31,18 +31,18 @@
 
 
 def encode(value: Any) -> bytes:
-    """A message or record as bytes."""
+    """Encodes a message or record."""
     return _ENCODER.encode(value)
 
 
 def decode(data: bytes, kind: Any) -> Any:
-    """Bytes as a value of the given type; raises `msgspec.DecodeError`."""
+    """Decodes a value of the given type; raises `msgspec.DecodeError`."""
     return _decoder(kind).decode(data)
 
 
 @dataclass
 class Traffic:
-    """What this process has exchanged with others of ashlatch, without framing."""
+    """Counts messages to and from other ashlatch processes; sizes exclude framing."""
 
     sent: int = 0
     sent_bytes: int = 0
@@ -54,24 +54,24 @@
 
 
 class MessageCodec(CodecBase):
-    """`grpclib` codec for `msgspec` structs; counts what passes in `TRAFFIC`."""
+    """A `grpclib` codec for `msgspec` structs; counts the messages in `TRAFFIC`."""
 
     __content_subtype__ = "msgpack"
 
     def encode(self, message: Any, message_type: Any) -> bytes:
-        """One message as the body of a gRPC frame."""
+        """Encodes a message as the body of a gRPC frame."""
         data = encode(message)
         TRAFFIC.sent += 1
         TRAFFIC.sent_bytes += len(data)
         return data
 
     def decode(self, data: bytes, message_type: Any) -> Any:
-        """The body of a gRPC frame as a message of the declared type."""
+        """Decodes the body of a gRPC frame as a message of the declared type."""
         TRAFFIC.received += 1
         TRAFFIC.received_bytes += len(data)
         return decode(data, message_type)
 
 
 def digest(data: bytes) -> str:
-    """A 128-bit hash of a body in hex; tells a repeat from another body."""
+    """Returns a 128-bit hash of a body in hex, to detect repeats of the same body."""
     return xxhash.xxh3_128_hexdigest(data)
--- a/ashlatch/errors.py
+++ b/ashlatch/errors.py
@@ -2,7 +2,7 @@
 ashlatch.errors
 ~~~~~~~~~~~~~~~
 
-The root of the error types, and the errors that more than one daemon raises.
+The base class of all errors, and the errors that more than one daemon raises.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -22,10 +22,10 @@
 
 
 class AshlatchError(Exception):
-    """The base of every error that this project raises.
+    """The base class of all errors of this project.
 
-    Subclasses are data classes: their fields say what went wrong, and `str`
-    is made from the fields for the log.
+    Subclasses are data classes: their fields describe the error, and `str` formats the
+    fields for the log.
     """
 
     def __str__(self) -> str:
@@ -36,10 +36,10 @@
 
 @dataclass
 class InvariantViolated(AshlatchError):
-    """A core found its own state to be impossible; the process must stop.
+    """A core found its state to be inconsistent; the process must stop.
 
-    `invariant` names the rule (`R1` to `R10`, or a name of the agreement
-    protocol) and `detail` says which values broke it.
+    `invariant` is the name of the violated rule (`R1` to `R10`, or a name from the
+    consensus protocol) and `detail` tells which values violate it.
     """
 
     invariant: str
@@ -48,7 +48,7 @@
 
 @dataclass
 class FieldError(AshlatchError):
-    """One field of a document is wrong: which one, its value, and the rule."""
+    """A field of a document is invalid: its name, its value, and the violated rule."""
 
     field: str
     value: str
@@ -56,7 +56,7 @@
 
 
 class SettingsError(ExceptionGroup):
-    """All that is wrong with one settings file, a `FieldError` each."""
+    """All errors in a settings file, one `FieldError` for each."""
 
 
 @dataclass
@@ -72,7 +72,7 @@
 class TransportError(AshlatchError):
     """A call to another process failed before its answer was read.
 
-    `sent` is false only when no byte of the request can have left.
+    `sent` is false only if no byte of the request can have been sent.
     """
 
     peer: str
--- a/ashlatch/link.py
+++ b/ashlatch/link.py
@@ -2,9 +2,9 @@
 ashlatch.link
 ~~~~~~~~~~~~~
 
-Many calls between two processes over one held gRPC stream. Opening a gRPC call
-for each took 1.3 ms of processor time at both ends, a message on an open
-stream takes 0.5 ms, and messages that are ready together share one.
+Multiplexes calls between two processes over one persistent gRPC stream. A gRPC call
+for each request took 1.3 ms of processor time on both sides together, a message on an
+open stream takes 0.5 ms, and requests that are ready together share one message.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -30,7 +30,7 @@
 log = logging.getLogger("ashlatch.link")
 
 PATH = "/ashlatch.Link/Calls"
-# More calls at once are not read before some are answered.
+# The limit on concurrent calls of a stream; no more are read until some are answered.
 OPEN_CALLS_MAX = 1024
 
 CallHandler = Callable[[Any], Awaitable[Any]]
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Method:
-    """One kind of call: its path and the types of its request and reply."""
+    """An RPC method: its path and the types of its request and reply."""
 
     path: str
     request_type: Any
@@ -46,7 +46,7 @@
 
 
 class CallFrame(msgspec.Struct, frozen=True, array_like=True):
-    """One request; its reply bears the same number."""
+    """A request; its reply has the same number."""
 
     number: int
     path: str
@@ -54,7 +54,7 @@
 
 
 class ReplyFrame(msgspec.Struct, frozen=True, array_like=True):
-    """One reply, or why there is none."""
+    """A reply, or the reason why there is none."""
 
     number: int
     body: bytes = b""
@@ -62,20 +62,20 @@
 
 
 class Calls(msgspec.Struct, frozen=True, array_like=True):
-    """Requests that were ready together."""
+    """A batch of requests that were ready together."""
 
     frames: tuple[CallFrame, ...]
 
 
 class Replies(msgspec.Struct, frozen=True, array_like=True):
-    """Replies that were ready together."""
+    """A batch of replies that were ready together."""
 
     frames: tuple[ReplyFrame, ...]
 
 
 @dataclass
 class LinkLost(AshlatchError):
-    """The stream ended before the reply; `sent` is false if it never began."""
+    """The stream ended before the reply; `sent` is false if it was never open."""
 
     reason: str
     sent: bool
@@ -83,27 +83,27 @@
 
 @dataclass
 class CallRefused(AshlatchError):
-    """The other side could not read the request or failed to answer it."""
+    """The other side could not decode the request or failed to handle it."""
 
     reason: str
 
 
 class _Outbox:
-    """Frames on their way out; one task sends all that is ready at once."""
+    """The queue of outgoing frames; one task sends all queued frames together."""
 
     def __init__(self) -> None:
         self._frames: list[Any] = []
         self._ready = asyncio.Event()
 
     def put(self, frame: Any) -> None:
-        """Send a frame soon."""
+        """Queues a frame."""
         self._frames.append(frame)
         self._ready.set()
 
     async def send_queued(
         self, send: Callable[[tuple[Any, ...]], Awaitable[None]]
     ) -> None:
-        """Send for as long as the stream lasts."""
+        """Sends queued frames until it is cancelled."""
         while True:
             await self._ready.wait()
             self._ready.clear()
@@ -112,7 +112,7 @@
 
 
 class Link:
-    """The calling side of one stream, opened at once; used on the loop only."""
+    """The client side of a stream, which it opens at once; used on the loop only."""
 
     def __init__(self, host: str, port: int) -> None:
         self._channel = Channel(host, port, codec=MessageCodec())
@@ -126,11 +126,11 @@
 
     @property
     def lost(self) -> bool:
-        """Whether the stream has ended; a new link is needed."""
+        """Tells whether the stream has ended, so that a new link is needed."""
         return self._lost is not None
 
     async def call(self, method: Method, request: Any) -> Any:
-        """Send a request and wait for its reply.
+        """Sends a request and waits for its reply.
 
         Raises `LinkLost` or `CallRefused`.
         """
@@ -146,7 +146,7 @@
             self._pending.pop(number, None)
 
     def close(self) -> None:
-        """End the stream; whoever waits for a reply gets `LinkLost`."""
+        """Closes the stream; pending calls fail with `LinkLost`."""
         self._fail_pending("closed")
         self._task.cancel()
 
@@ -157,11 +157,11 @@
                 await stream.send_request()
                 self._connected = True
                 await self._exchange_frames(stream)
-            self._fail_pending("the other side ended the stream")
+            self._fail_pending("the other side closed the stream")
         except* (GRPCError, StreamTerminatedError, OSError) as group:
             self._fail_pending(repr(group.exceptions[0]))
         finally:
-            self._fail_pending("the stream was ended here")
+            self._fail_pending("the stream was closed on this side")
             self._channel.close()
 
     async def _exchange_frames(self, stream: Any) -> None:
@@ -169,39 +169,39 @@
             await stream.send_message(Calls(frames))
 
         async with asyncio.TaskGroup() as tasks:
-            pump = tasks.create_task(self._outbox.send_queued(send))
+            sender = tasks.create_task(self._outbox.send_queued(send))
             async for replies in stream:
                 self._apply_replies(replies)
-            pump.cancel()
+            sender.cancel()
 
     def _apply_replies(self, replies: Replies) -> None:
         self.last_received_s = asyncio.get_running_loop().time()
         for frame in replies.frames:
-            waiting = self._pending.get(frame.number)
-            if waiting is None or waiting.done():
+            pending = self._pending.get(frame.number)
+            if pending is None or pending.done():
                 continue
             if frame.refusal:
-                waiting.set_exception(CallRefused(frame.refusal))
+                pending.set_exception(CallRefused(frame.refusal))
             else:
-                waiting.set_result(frame.body)
+                pending.set_result(frame.body)
 
     def _fail_pending(self, reason: str) -> None:
         if self._lost is not None:
             return
         self._lost = LinkLost(reason, self._connected)
-        for waiting in self._pending.values():
-            if not waiting.done():
-                waiting.set_exception(LinkLost(reason, self._connected))
+        for pending in self._pending.values():
+            if not pending.done():
+                pending.set_exception(LinkLost(reason, self._connected))
 
 
 class LinkService:
-    """The serving side: methods, and the coroutine that answers each."""
+    """The server side: the methods and the coroutine that handles each."""
 
     def __init__(self) -> None:
         self._methods: dict[str, tuple[Method, CallHandler]] = {}
 
     def add(self, method: Method, handler: CallHandler) -> None:
-        """Serve one kind of call."""
+        """Registers the handler of a method."""
         self._methods[method.path] = (method, handler)
 
     def __mapping__(self) -> dict[str, Handler]:
@@ -215,43 +215,43 @@
         async def send(frames: tuple[ReplyFrame, ...]) -> None:
             await stream.send_message(Replies(frames))
 
-        async def answer(frame: CallFrame) -> None:
+        async def handle(frame: CallFrame) -> None:
             try:
                 outbox.put(await self._handle_call(frame))
             finally:
                 slots.release()
 
         async with asyncio.TaskGroup() as tasks:
-            pump = tasks.create_task(outbox.send_queued(send))
+            sender = tasks.create_task(outbox.send_queued(send))
             open_calls: set[asyncio.Task[None]] = set()
             async for calls in _messages(stream):
                 for frame in calls.frames:
                     await slots.acquire()
-                    task = tasks.create_task(answer(frame))
+                    task = tasks.create_task(handle(frame))
                     open_calls.add(task)
                     task.add_done_callback(open_calls.discard)
-            # The caller has gone, and nobody waits for these.
-            for task in (pump, *open_calls):
+            # The caller has closed the stream, so these replies are not needed.
+            for task in (sender, *open_calls):
                 task.cancel()
 
     async def _handle_call(self, frame: CallFrame) -> ReplyFrame:
         found = self._methods.get(frame.path)
         if found is None:
-            return ReplyFrame(frame.number, refusal=f"no method {frame.path}")
-        method, answer = found
+            return ReplyFrame(frame.number, refusal=f"unknown method {frame.path}")
+        method, handler = found
         try:
             request = decode(frame.body, method.request_type)
         except msgspec.MsgspecError as error:
             return ReplyFrame(frame.number, refusal=str(error))
         try:
-            return ReplyFrame(frame.number, encode(await answer(request)))
+            return ReplyFrame(frame.number, encode(await handler(request)))
         except Exception as error:
             log.exception("", extra={"event": "call_failed"})
             return ReplyFrame(frame.number, refusal=type(error).__name__)
 
 
 async def _messages(stream: Any) -> Any:
-    """All messages of a stream; what is none ends it with a typed status."""
+    """Yields the messages of a stream; an invalid one ends it with a gRPC status."""
     while True:
         try:
             message = await stream.recv_message()
--- a/ashlatch/log.py
+++ b/ashlatch/log.py
@@ -2,12 +2,11 @@
 ashlatch.log
 ~~~~~~~~~~~~
 
-Logs: one line of key=value pairs for each event. An event is a data class
-with a class attribute `event`, its name in the log; its fields are the pairs.
+Logs each event as one line of key=value pairs. An event is a data class with a class
+attribute `event`, its name in the log; its fields are the pairs.
 
-Lines are written by a thread of their own, so that a reader of the logs who
-does not read never holds up a request. What does not fit into the queue
-meanwhile is left out and counted.
+A separate thread writes the lines, so that a slow or blocked reader of the log does not
+block requests. Lines that do not fit into the queue are dropped and counted.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -37,11 +36,11 @@
     "setup",
 ]
 
-# Lines that wait for the reader of the logs; about 2 MB.
+# The maximum number of queued lines; about 2 MB.
 QUEUE_LINES_MAX = 8192
-# Lines that come within this time are written together.
+# Lines that are logged within this interval are written together.
 BATCH_INTERVAL_S = 0.1
-# How long the end of a process waits for the reader of the logs.
+# How long a process that exits waits for the reader of the log.
 FLUSH_TIMEOUT_S = 0.2
 
 _UNQUOTED_CHARACTERS = frozenset(
@@ -51,14 +50,14 @@
 
 @dataclass(frozen=True)
 class LogEvent:
-    """The base of all log events; subclasses add fields and set `event`."""
+    """The base class of log events; subclasses add fields and set `event`."""
 
     event: ClassVar[str] = "event"
 
 
 @dataclass(frozen=True)
 class DaemonStarted(LogEvent):
-    """A daemon is ready to be called at `address`."""
+    """A daemon is ready and listens on `address`."""
 
     event: ClassVar[str] = "daemon_started"
     daemon: str
@@ -70,7 +69,7 @@
 
 @dataclass(frozen=True)
 class DaemonStopped(LogEvent):
-    """A daemon has ended in order; `in_flight` is what it still had to cut."""
+    """A daemon has stopped gracefully; `in_flight` requests had to be aborted."""
 
     event: ClassVar[str] = "daemon_stopped"
     daemon: str
@@ -100,21 +99,21 @@
 
 
 def _format_line(record: dict[str, Any], **_: Any) -> str:
-    """The serializer handed to python-json-logger: `key=value key="a b"`."""
+    """Formats a record as `key=value key="a b"`; the python-json-logger serializer."""
     record.pop("message", None)
     return " ".join(f"{key}={_format_value(value)}" for key, value in record.items())
 
 
 @dataclass(frozen=True)
 class LinesDropped(LogEvent):
-    """The reader of the logs was too slow; this many lines are missing."""
+    """The reader of the log was too slow, and this many lines were dropped."""
 
     event: ClassVar[str] = "lines_left_out"
     lines: int
 
 
 class QueueHandler(logging.Handler):
-    """Formats lines at once and has a thread write them, several together."""
+    """Formats lines at once; a separate thread writes them in batches."""
 
     def __init__(self, stream: TextIO, lines_max: int = QUEUE_LINES_MAX) -> None:
         super().__init__()
@@ -129,7 +128,7 @@
         atexit.register(self.flush)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue one line, unless the queue is full."""
+        """Queues one line; drops it if the queue is full."""
         if len(self._lines) >= self._lines_max:
             self._dropped += 1
             return
@@ -137,7 +136,7 @@
         self._ready.set()
 
     def flush(self) -> None:
-        """Write what is queued, unless the reader holds the thread up."""
+        """Writes the queued lines, unless the writer thread is blocked."""
         if self._write_lock.acquire(timeout=FLUSH_TIMEOUT_S):
             try:
                 self._write()
@@ -155,21 +154,21 @@
     def _write(self) -> None:
         lines = [self._lines.popleft() for _ in range(len(self._lines))]
         if self._dropped:
-            left_out, self._dropped = self._dropped, 0
-            lines.append(f"event={LinesDropped.event} lines={left_out}")
+            dropped, self._dropped = self._dropped, 0
+            lines.append(f"event={LinesDropped.event} lines={dropped}")
         if not lines:
             return
         try:
             self._stream.write("\n".join(lines) + "\n")
             self._stream.flush()
         except (OSError, ValueError):
-            # The reader of the logs has gone; there is nowhere to say so, and
-            # requests are served on. The count is told if it comes back.
+            # The reader of the log has closed the stream. That cannot be logged, and
+            # requests are still served. The count is logged if the reader returns.
             self._dropped += len(lines)
 
 
 def setup(stream: TextIO | None = None, level: str = "INFO") -> None:
-    """Send the logs of all `ashlatch.*` loggers to a stream (standard error)."""
+    """Writes the logs of all `ashlatch.*` loggers to a stream, by default stderr."""
     handler = QueueHandler(stream or sys.stderr)
     formatter = JsonFormatter(
         "%(asctime)s %(levelname)s %(name)s",
@@ -186,16 +185,15 @@
 
 
 def flush() -> None:
-    """Write what is queued; called before a process ends itself."""
+    """Writes the queued lines; called before a process exits."""
     for handler in logging.getLogger("ashlatch").handlers:
         handler.flush()
 
 
 def emit(logger: logging.Logger, event: LogEvent, level: int = logging.INFO) -> None:
-    """Write one event as one line.
+    """Writes an event as one line.
 
-    Fields that are `None` or empty are left out, so a line carries only
-    what is known::
+    Fields that are `None` or empty are omitted::
 
         emit(log, DaemonStopped("router", "bne-1", in_flight=0))
     """
--- a/ashlatch/metrics.py
+++ b/ashlatch/metrics.py
@@ -2,7 +2,7 @@
 ashlatch.metrics
 ~~~~~~~~~~~~~~~~
 
-Counters, and latencies by `hdrhistogram`, shown as plain text at `/metrics`.
+Counters, and latency histograms by `hdrhistogram`, served as plain text at `/metrics`.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -26,7 +26,7 @@
 
 
 class Metrics:
-    """All metrics of a process. Safe to use from any thread."""
+    """All metrics of a process; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -35,25 +35,27 @@
         self._callbacks: dict[str, Callable[[], int]] = {}
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Add to a counter."""
+        """Increments a counter."""
         with self._lock:
             self._counters[name] += amount
 
     def register_callback(self, name: str, read: Callable[[], int]) -> None:
-        """Show a number that something else keeps, under this name."""
+        """Registers a function that returns the value of a metric."""
         self._callbacks[name] = read
 
     def record_ms(self, name: str, value_ms: float) -> None:
-        """Record one latency in milliseconds."""
+        """Records a latency in milliseconds."""
         with self._lock:
-            found = self._histograms.get(name)
-            if found is None:
-                found = HdrHistogram(LATENCY_MIN_US, LATENCY_MAX_US, SIGNIFICANT_DIGITS)
-                self._histograms[name] = found
-            found.record_value(max(LATENCY_MIN_US, int(value_ms * 1000.0)))
+            histogram = self._histograms.get(name)
+            if histogram is None:
+                histogram = HdrHistogram(
+                    LATENCY_MIN_US, LATENCY_MAX_US, SIGNIFICANT_DIGITS
+                )
+                self._histograms[name] = histogram
+            histogram.record_value(max(LATENCY_MIN_US, int(value_ms * 1000.0)))
 
     def text(self) -> str:
-        """One `name value` line for each number, sorted."""
+        """Returns one `name value` line for each metric, sorted."""
         lines = []
         with self._lock:
             for name, value in self._counters.items():
@@ -74,7 +76,7 @@
 
 
 async def serve_metrics(metrics: Metrics, host: str, port: int) -> HttpListener:
-    """Serve the metrics as text at `/metrics` of an address."""
+    """Serves the metrics as text at `/metrics` on an address."""
 
     async def handle(request: HttpRequest, responder: Responder) -> None:
         found = request.target == "/metrics"
--- a/ashlatch/rpc.py
+++ b/ashlatch/rpc.py
@@ -2,8 +2,8 @@
 ashlatch.rpc
 ~~~~~~~~~~~~
 
-Calls between daemons: `grpclib` on one asyncio loop in a thread of its own.
-The rest of the program sees only `concurrent.futures`.
+Calls between daemons: `grpclib` on one asyncio loop in a separate thread. Code on other
+threads uses it through `concurrent.futures` only.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -30,7 +30,7 @@
 
 
 def register_traffic_metrics(metrics: Metrics) -> None:
-    """Show among the metrics what passes between this and other processes."""
+    """Registers metrics of the traffic between this process and others."""
     metrics.register_callback("calls_sent_total", lambda: TRAFFIC.sent)
     metrics.register_callback("calls_sent_bytes_total", lambda: TRAFFIC.sent_bytes)
     metrics.register_callback("calls_received_total", lambda: TRAFFIC.received)
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True)
 class Address:
-    """An IP number and a TCP port."""
+    """An IP address and a TCP port."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: str) -> "Address":
-        """Read `127.0.0.1:7000`."""
+        """Parses an address such as `127.0.0.1:7000`."""
         host, _, port = text.rpartition(":")
         return cls(host, int(port))
 
@@ -57,7 +57,7 @@
 
 
 class RpcLoop:
-    """An asyncio loop in its own thread, bridged to futures."""
+    """An asyncio loop in its own thread, used from other threads through futures."""
 
     def __init__(self) -> None:
         self.loop = SuspendAwareLoop()
@@ -67,7 +67,7 @@
         self._thread.start()
 
     def submit(self, coroutine: Coroutine[Any, Any, R]) -> "Future[R]":
-        """Run a coroutine on the loop; the future is thread-safe."""
+        """Runs a coroutine on the loop; the future is thread-safe."""
         return asyncio.run_coroutine_threadsafe(coroutine, self.loop)
 
     def supervise(
@@ -75,7 +75,7 @@
         coroutine: Coroutine[Any, Any, None],
         on_failure: Callable[[BaseException], None],
     ) -> None:
-        """Run a coroutine that should not end; `failed` gets what ends it."""
+        """Runs a coroutine on the loop; `on_failure` gets an exception that ends it."""
 
         async def guarded() -> None:
             try:
@@ -89,46 +89,46 @@
         self.submit(guarded())
 
     def post(self, function: Callable[..., Any], *arguments: Any) -> None:
-        """Run a plain function on the loop soon, without an answer."""
+        """Schedules a function on the loop; its result is dropped."""
         self.loop.call_soon_threadsafe(function, *arguments)
 
     def stop(self) -> None:
-        """End all work on the loop and wait for its thread."""
+        """Cancels all tasks on the loop and waits for its thread."""
         self.submit(self._cancel_all()).result(timeout=5.0)
         self.loop.call_soon_threadsafe(self.loop.stop)
         self._thread.join(timeout=2.0)
 
     async def _cancel_all(self) -> None:
-        own = asyncio.current_task()
-        others = [task for task in asyncio.all_tasks() if task is not own]
+        current = asyncio.current_task()
+        others = [task for task in asyncio.all_tasks() if task is not current]
         for task in others:
             task.cancel()
         await asyncio.gather(*others, return_exceptions=True)
 
 
 class RpcService(LinkService):
-    """The serving side of one address."""
+    """The RPC server of one address."""
 
     def __init__(self) -> None:
         super().__init__()
         self._server: Server | None = None
 
     async def start(self, address: Address) -> None:
-        """Listen on the address."""
+        """Starts to listen on the address."""
         self._server = Server([self], codec=MessageCodec())
         await self._server.start(address.host, address.port)
 
     async def stop(self) -> None:
-        """Stop listening and end open calls."""
+        """Stops listening and ends open calls."""
         if self._server is not None:
             self._server.close()
             await self._server.wait_closed()
 
 
 class Peer:
-    """The calling side of one process at one address; used on the loop only.
+    """An RPC client of one process at one address; used on the loop only.
 
-    It connects when first used and again after a failure.
+    It connects on the first call, and again on the first call after a failure.
     """
 
     def __init__(self, address: Address) -> None:
@@ -136,20 +136,20 @@
         self._link: Link | None = None
 
     async def call(self, method: Method, request: Any, timeout_s: float) -> Any:
-        """Send one request and wait for its reply.
+        """Sends one request and waits for its reply.
 
-        Raises `TransportError` for anything but a reply.
+        Raises `TransportError` if there is no reply.
         """
         link = self._link
         if link is None or link.lost:
             link = self._link = Link(self.address.host, self.address.port)
-        asked_s = asyncio.get_running_loop().time()
+        called_s = asyncio.get_running_loop().time()
         try:
             async with asyncio.timeout(timeout_s):
                 return await link.call(method, request)
         except TimeoutError as error:
-            # While others are answered, the link itself is well.
-            if link.last_received_s < asked_s:
+            # The link itself is healthy if other calls have been answered meanwhile.
+            if link.last_received_s < called_s:
                 link.close()
             raise TransportError(str(self.address), "timeout", True) from error
         except LinkLost as error:
@@ -158,7 +158,7 @@
             raise TransportError(str(self.address), error.reason, True) from error
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Closes the connection."""
         if self._link is not None:
             self._link.close()
             self._link = None
