--- a/ashlatch/__init__.py
+++ b/ashlatch/__init__.py
@@ -4,8 +4,8 @@
 
 A model-aware router for versions and cascades of models.
 
-The daemons and the operators' client are console scripts; from Python the
-package offers what checks its files::
+The daemons and the operators' client are console scripts. The Python API offers the
+functions that validate settings and resource files::
 
     spec = ashlatch.parse_resource("cascade", b'{"rungs": ["small", "large"]}')
 
@@ -13,8 +13,8 @@
 :license: MIT, see LICENSE for details.
 """
 
-# Type checkers take a name of this kind as true; `typing` is not imported here,
-# for the same reason as what is imported late below.
+# Type checkers treat a variable of this name as true. `typing` is not imported, for the
+# same reason as the lazy imports below.
 TYPE_CHECKING = False
 
 if TYPE_CHECKING:
@@ -25,8 +25,8 @@
 
 __version__ = "0.1.0"
 
-# Imported when they are asked for: every daemon imports this package first, and
-# a gateway is to listen before it loads what checks files.
+# Imported on first use: every daemon imports this package first, and a gateway must
+# listen before it imports the validation of files.
 _LAZY = {
     "load_settings": ("ashlatch.settings", "load"),
     "parse_resource": ("ashlatch.resources", "parse"),
@@ -34,7 +34,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """Find what is imported late (PEP 562)."""
+    """Imports a lazy attribute (PEP 562)."""
     from importlib import import_module
 
     if name not in _LAZY:
--- a/ashlatch/client.py
+++ b/ashlatch/client.py
@@ -2,9 +2,9 @@
 ashlatch.client
 ~~~~~~~~~~~~~~~
 
-Calls from routers and control processes to the replicated state: finds the
-leaders, and asks again until an answer or the time limit. Asking again is safe,
-since every command may be repeated.
+Calls from routers and control processes to the replicated state: finds the leaders and
+retries until there is an answer or the timeout expires. Retries are safe because every
+command is idempotent.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -30,12 +30,12 @@
 
 RETRY_INTERVAL_S = 0.03
 CALL_TIMEOUT_S = 1.0
-# More at once would wait for each other beyond their own time limits.
+# More concurrent calls would wait for each other until their own timeouts expire.
 OPEN_CALLS_MAX = 128
 
 
 def _leader_key(group: int) -> int:
-    """Where the leader of a group is remembered; slots have their own numbers."""
+    """Returns the key of a group in the leader cache; slots use their own numbers."""
     return -1 - group
 
 
@@ -43,10 +43,10 @@
 
 
 class StateClient:
-    """The state's calls as futures. One object serves all threads.
+    """Calls the replicated state and returns futures; thread-safe.
 
-    It remembers who answered last for each slot of the ledger, so it need not
-    know which group a slot belongs to.
+    It caches the address of the member that answered last for each slot of the ledger,
+    so it does not need to know which group a slot belongs to.
     """
 
     def __init__(
@@ -60,16 +60,16 @@
         self._open_calls = asyncio.Semaphore(OPEN_CALLS_MAX)
 
     def clone(self) -> "StateClient":
-        """A client of the same state with connections of its own."""
+        """Returns a client of the same state with separate connections."""
         addresses = tuple(Address.parse(text) for text in self._addresses)
         return StateClient(self.rpc, addresses, self._timeout_ms)
 
     def propose(
         self, command: Command, timeout_ms: float | None = None
     ) -> "Future[Outcome]":
-        """Commit a command; fails with `NoLeader` when time runs out.
+        """Commits a command; fails with `NoLeader` if the timeout expires.
 
-        After that failure the command may still take effect.
+        After that failure, the command may still take effect.
         """
         request = protocol.ProposeRequest(command)
         slot = slot_of(command)
@@ -84,7 +84,7 @@
         )
 
     def read(self, request: protocol.ReadRequest) -> "Future[protocol.ReadReply]":
-        """Read the newest committed state."""
+        """Reads the newest committed state."""
         return self.rpc.submit(
             self._call_until_answered(
                 _leader_key(request.group),
@@ -97,7 +97,7 @@
         )
 
     def status(self) -> "Future[protocol.StateStatus]":
-        """The standing of all groups together."""
+        """Returns the merged status of all groups."""
         return self.rpc.submit(self._status())
 
     async def _status(self) -> protocol.StateStatus:
@@ -114,7 +114,7 @@
     def change_member(
         self, change: protocol.MemberChange
     ) -> "Future[protocol.ReadReply]":
-        """Take a member out of the group; the reply shows the members."""
+        """Removes a member from the group; the reply lists the members."""
         return self.rpc.submit(
             self._call_until_answered(
                 _leader_key(change.group),
@@ -126,7 +126,7 @@
         )
 
     async def poll_router(self, poll: protocol.RouterPoll) -> protocol.RouterReply:
-        """One heartbeat of a router, to whoever seems to lead; on the loop."""
+        """Sends a router's heartbeat to the presumed leader; used on the loop only."""
         reply: protocol.RouterReply = await self._call_leader(
             FIRST_LEADER_KEY,
             protocol.POLL_ROUTER,
@@ -138,7 +138,7 @@
         return reply
 
     async def poll_control(self, poll: protocol.ControlPoll) -> protocol.ControlReply:
-        """One heartbeat of a control process; on the loop."""
+        """Sends a control process's heartbeat; used on the loop only."""
         reply: protocol.ControlReply = await self._call_leader(
             FIRST_LEADER_KEY, protocol.POLL_CONTROL, poll, CALL_TIMEOUT_S
         )
@@ -151,18 +151,18 @@
         leader_key: int,
         method: Method,
         request: Callable[[], Any],
-        answer: Callable[[Any], R | None],
+        extract: Callable[[Any], R | None],
         timeout_ms: float,
         wait_ms: float = 0.0,
     ) -> R:
-        began_s = monotonic_s()
-        limit_s = began_s + timeout_ms / 1000.0
+        started_s = monotonic_s()
+        deadline_s = started_s + timeout_ms / 1000.0
         while True:
-            left_s = limit_s - monotonic_s()
-            if left_s <= 0:
+            remaining_s = deadline_s - monotonic_s()
+            if remaining_s <= 0:
                 raise NoLeader(timeout_ms)
             try:
-                call_s = min(CALL_TIMEOUT_S + wait_ms / 1000.0, left_s)
+                call_s = min(CALL_TIMEOUT_S + wait_ms / 1000.0, remaining_s)
                 async with self._open_calls:
                     reply = await self._call_leader(
                         leader_key, method, request(), call_s
@@ -170,9 +170,9 @@
             except TransportError:
                 await asyncio.sleep(RETRY_INTERVAL_S)
                 continue
-            found = answer(reply)
-            if found is not None:
-                return found
+            result = extract(reply)
+            if result is not None:
+                return result
             if not self._update_leader(leader_key, reply.leader):
                 await asyncio.sleep(RETRY_INTERVAL_S)
 
@@ -191,10 +191,13 @@
             raise
 
     def _update_leader(self, leader_key: int, leader: str) -> bool:
-        """Ask another next time; whether it is known to lead."""
-        asked = self._leaders.get(leader_key, self._addresses[0])
-        self._leaders[leader_key] = leader or self._next_address(asked)
-        return leader not in ("", asked)
+        """Selects the member for the next call.
+
+        Returns whether the last reply named another member as the leader.
+        """
+        called = self._leaders.get(leader_key, self._addresses[0])
+        self._leaders[leader_key] = leader or self._next_address(called)
+        return leader not in ("", called)
 
     def _next_address(self, address: str) -> str:
         if address not in self._addresses:
--- a/ashlatch/periodic.py
+++ b/ashlatch/periodic.py
@@ -2,7 +2,7 @@
 ashlatch.periodic
 ~~~~~~~~~~~~~~~~~
 
-Work that a daemon repeats on threads of its own, until it stops.
+Runs periodic tasks of a daemon on separate threads until it stops.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -17,11 +17,11 @@
 class PeriodicTasks:
     """Repeats functions, each on its own thread.
 
-    `failed` is called with what a function raises; that ends its thread::
+    `failed` is called with an exception that a function raises, which ends its thread::
 
-        loops = Periodic(failed)
-        loops.start("load", read_loads, every_ms=250.0)
-        loops.stop()
+        tasks = PeriodicTasks(failed)
+        tasks.start("load", read_loads, interval_ms=250.0)
+        tasks.stop()
     """
 
     def __init__(self, failed: Callable[[BaseException], None]) -> None:
@@ -31,11 +31,11 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether `stop` has been called."""
+        """Tells whether `stop` has been called."""
         return self._stopping.is_set()
 
     def start(self, name: str, work: Callable[[], None], interval_ms: float) -> None:
-        """Run the work again and again, this long after its last end."""
+        """Repeats the work, with this interval between one end and the next start."""
         thread = threading.Thread(
             target=self._run, args=(work, interval_ms), name=name, daemon=True
         )
@@ -43,7 +43,7 @@
         thread.start()
 
     def stop(self) -> None:
-        """Begin no more work, and wait for what runs."""
+        """Starts no more work and waits for the running work."""
         self._stopping.set()
         for thread in self._threads:
             thread.join()
--- a/ashlatch/registry.py
+++ b/ashlatch/registry.py
@@ -2,8 +2,8 @@
 ashlatch.registry
 ~~~~~~~~~~~~~~~~~
 
-Registries that decorators fill: variants of a policy found by name, and
-handlers of a reducer found by the type of the event.
+Registries that are filled by decorators: variants of a policy by name, and handlers of
+a reducer by the type of the event.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -21,10 +21,9 @@
 
 
 class Variants(Generic[V]):
-    """A family of classes, each found by its `name` attribute.
+    """A family of classes, registered by their `name` attribute.
 
-    A variant is added with the decorator, so that adding one touches one
-    file::
+    The decorator registers a variant, so that a new one changes only one file::
 
         ENDPOINT_POLICIES = Variants[type[EndpointPolicy]]("endpoint")
 
@@ -38,28 +37,28 @@
         self._by_name: dict[str, V] = {}
 
     def add(self, variant: V) -> V:
-        """Register a class under its `name` and return it unchanged."""
+        """Registers a class under its `name` and returns it unchanged."""
         name: str = variant.name  # type: ignore[attr-defined]
         assert name not in self._by_name, name
         self._by_name[name] = variant
         return variant
 
     def get(self, name: str) -> V:
-        """Find a variant; an `UnknownName` lists those that exist."""
+        """Returns a variant; raises `UnknownName` with the names that exist."""
         if name not in self._by_name:
             raise UnknownName(self.family, name, self.names())
         return self._by_name[name]
 
     def names(self) -> tuple[str, ...]:
-        """All registered names, sorted."""
+        """Returns all registered names, sorted."""
         return tuple(sorted(self._by_name))
 
 
 class Handlers:
     """The handlers of one reducer, one for each type of event.
 
-    `call` is the whole dispatch of a core's `step`: an event without a
-    handler is a defect and raises `UnknownName`.
+    `call` dispatches every event in a core's `step`. An event without a handler is a
+    bug and raises `UnknownName`.
     """
 
     def __init__(self, reducer: str) -> None:
@@ -67,7 +66,7 @@
         self._by_type: dict[type, Callable[..., Any]] = {}
 
     def on(self, event_type: type) -> Callable[[H], H]:
-        """Register the decorated function for events of this type."""
+        """Registers the decorated function for events of this type."""
 
         def register(handler: H) -> H:
             assert event_type not in self._by_type, event_type
@@ -77,7 +76,7 @@
         return register
 
     def call(self, core: Any, event: Any, *rest: Any) -> Any:
-        """Run the handler of the event's type on the core."""
+        """Calls the handler of the event's type with the core."""
         handler = self._by_type.get(type(event))
         if handler is None:
             known = tuple(sorted(t.__name__ for t in self._by_type))
@@ -85,5 +84,5 @@
         return handler(core, event, *rest)
 
     def types(self) -> tuple[type, ...]:
-        """All event types that have a handler."""
+        """Returns all event types that have a handler."""
         return tuple(self._by_type)
--- a/ashlatch/resources.py
+++ b/ashlatch/resources.py
@@ -2,9 +2,9 @@
 ashlatch.resources
 ~~~~~~~~~~~~~~~~~~
 
-The kinds of resources that operators configure, as validated models. The
-models stand at the border: `ashlatch-control` checks with them what it is
-given, and routers read with them what is in force.
+The kinds of resources that operators configure, as validated models.
+`ashlatch-control` validates its input with them, and routers decode the configuration
+in force with them.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -45,19 +45,19 @@
 Name = Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9.-]{0,62}$")]
 Sha256 = Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")]
 Quality = Annotated[float, Field(ge=0.0, le=1.0)]
-# So much of a wrong value is shown.
+# Invalid values are cut to this length in errors.
 VALUE_CHARACTERS_MAX = 80
 
 
 class InvalidResource(ExceptionGroup):
-    """All that is wrong with one resource, a `FieldError` each."""
+    """All errors in a resource, one `FieldError` for each."""
 
 
 class Spec(BaseModel):
-    """The base of all kinds. `name` is the kind, as in the resource API.
+    """The base class of all kinds; `name` is the kind, as in the resource API.
 
-    A kind may override `references`, which gives the resources that must
-    exist for this one to make sense.
+    A kind may override `references`, which returns the resources that must exist for
+    this one to be valid.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -65,7 +65,7 @@
     priority: ClassVar[int] = 0
 
     def references(self, resource_name: str) -> tuple[Reference, ...]:
-        """What a resource of this kind, called `own_name`, refers to."""
+        """Returns the references of the resource of this kind with this name."""
         return ()
 
 
@@ -74,7 +74,7 @@
 
 @RESOURCE_KINDS.add
 class Model(Spec):
-    """A model; what runs are its versions."""
+    """A model; endpoints run versions of it."""
 
     name = "model"
     priority = 0
@@ -83,10 +83,10 @@
 
 @RESOURCE_KINDS.add
 class Version(Spec):
-    """A version of a model, with its prices and what is expected of it.
+    """A version of a model, with its prices and expected quality.
 
-    Prices are in millionths of a US dollar for a thousand tokens.
-    `quality_prior` is the expected mean rating before there are any.
+    Prices are in millionths of a US dollar per thousand tokens. `quality_prior` is the
+    expected mean rating while there are no ratings.
     """
 
     name = "version"
@@ -97,7 +97,7 @@
     quality_prior: Quality = 0.5
 
     def references(self, own_name: str) -> tuple[Reference, ...]:
-        """The model."""
+        """Returns the model."""
         return (Reference("model", self.model, "model"),)
 
 
@@ -105,11 +105,11 @@
 class Pool(Spec):
     """A set of endpoints that serve models, or one plain service.
 
-    `repeatable` is whether a call of the service may be repeated when the
-    caller does not say. `report_url` gives the load of all endpoints.
-    `versions` are kept loaded on all of them; with none given, what is loaded
-    is left as it is. `checks_fence` tells whether the endpoints refuse orders
-    of a control process that is no longer active.
+    `repeatable` is whether a call of the service may be repeated if the caller does not
+    specify it. `report_url` returns the load of all endpoints. `versions` are kept
+    loaded on all of them; if there are none, the loaded versions are not changed.
+    `checks_fence` tells whether the endpoints refuse fenced commands from a control
+    process that is no longer active.
     """
 
     name = "pool"
@@ -122,13 +122,13 @@
     price_microusd_per_call: int = Field(default=0, ge=0)
 
     def references(self, own_name: str) -> tuple[Reference, ...]:
-        """The versions."""
+        """Returns the versions."""
         return tuple(Reference("version", v, "versions") for v in self.versions)
 
 
 @RESOURCE_KINDS.add
 class Endpoint(Spec):
-    """One place that answers requests. Kept by `ashlatch-control`."""
+    """A process that answers requests; maintained by `ashlatch-control`."""
 
     name = "endpoint"
     priority = 3
@@ -139,16 +139,16 @@
     leaving: bool = False
 
     def references(self, own_name: str) -> tuple[Reference, ...]:
-        """The pool."""
+        """Returns the pool."""
         return (Reference("pool", self.pool, "pool"),)
 
 
 @RESOURCE_KINDS.add
 class Organisation(Spec):
-    """A customer: its keys, what it may use, and its limits.
+    """A customer: its keys, permissions and limits.
 
-    `allowed_models` allows all versions of a model, `allowed_versions` single
-    ones. `share_weight` is its part of the whole under shortage.
+    `allowed_models` allows all versions of a model, `allowed_versions` single ones.
+    `share_weight` is its weight when scarce capacity is shared.
     """
 
     name = "organisation"
@@ -163,7 +163,7 @@
     share_weight: float = Field(default=1.0, gt=0)
 
     def references(self, own_name: str) -> tuple[Reference, ...]:
-        """Models, versions and services that it may use."""
+        """Returns the models, versions and services that it may use."""
         models = (Reference("model", m, "allowed_models") for m in self.allowed_models)
         versions = (
             Reference("version", v, "allowed_versions") for v in self.allowed_versions
@@ -176,7 +176,7 @@
 
 @RESOURCE_KINDS.add
 class Cascade(Spec):
-    """Versions from the cheapest to the costliest."""
+    """A sequence of versions from the cheapest to the most expensive."""
 
     name = "cascade"
     priority = 2
@@ -189,17 +189,17 @@
         return self
 
     def references(self, own_name: str) -> tuple[Reference, ...]:
-        """The versions."""
+        """Returns the versions."""
         return tuple(Reference("version", rung, "rungs") for rung in self.rungs)
 
 
 @RESOURCE_KINDS.add
 class Route(Spec):
-    """What callers name as `model`: a cascade and the aims on it.
+    """A name that callers send as `model`: a cascade and its objectives.
 
-    The router picks versions so that the mean rating reaches
-    `quality_target` while `cost_weight` x cost (US dollars a thousand
-    requests) + `latency_weight` x latency (seconds) is least.
+    The router selects versions so that the mean rating reaches `quality_target` and
+    `cost_weight` x cost (US dollars per thousand requests) + `latency_weight` x latency
+    (seconds) is minimal.
     """
 
     name = "route"
@@ -212,12 +212,12 @@
     session_pin_ms: int = Field(default=3_600_000, ge=0)
 
     def references(self, own_name: str) -> tuple[Reference, ...]:
-        """The cascade."""
+        """Returns the cascade."""
         return (Reference("cascade", self.cascade, "cascade"),)
 
 
 class RolloutStage(BaseModel):
-    """A part of the traffic, kept until `answers_min` answers were good."""
+    """A share of the traffic, kept until `answers_min` answers were good."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
     share_percent: float = Field(gt=0, le=100)
@@ -226,7 +226,7 @@
 
 @RESOURCE_KINDS.add
 class Rollout(Spec):
-    """Moves the traffic of one version to another in stages."""
+    """Moves traffic from one version to another in stages."""
 
     name = "rollout"
     priority = 3
@@ -238,13 +238,13 @@
     def _ordered(self) -> "Rollout":
         shares = [stage.share_percent for stage in self.stages]
         if shares != sorted(set(shares)):
-            raise ValueError("stages must have growing shares")
+            raise ValueError("stages must have increasing shares")
         if self.from_version == self.to_version:
             raise ValueError("from_version and to_version must differ")
         return self
 
     def references(self, own_name: str) -> tuple[Reference, ...]:
-        """Both versions; neither may be withdrawn when the roll-out starts."""
+        """Returns both versions; neither may be withdrawn when the roll-out starts."""
         return (
             Reference("version", self.from_version, "from_version", live=True),
             Reference("version", self.to_version, "to_version", live=True),
@@ -253,7 +253,7 @@
 
 @RESOURCE_KINDS.add
 class RolloutProgress(Spec):
-    """How far a roll-out has come. Kept by `ashlatch-control`."""
+    """The progress of a roll-out; maintained by `ashlatch-control`."""
 
     name = "rollout-progress"
     priority = 5
@@ -264,28 +264,29 @@
     epoch: int = 0
 
     def references(self, own_name: str) -> tuple[Reference, ...]:
-        """The roll-out of the same name."""
+        """Returns the roll-out of the same name."""
         return (Reference("rollout", own_name, "name"),)
 
 
 @RESOURCE_KINDS.add
 class Withdrawal(Spec):
-    """The version of the same name receives no new work."""
+    """Withdraws the version of the same name: it receives no new requests."""
 
     name = "withdrawal"
     priority = 5
     reason: str = ""
 
     def references(self, own_name: str) -> tuple[Reference, ...]:
-        """The version."""
+        """Returns the version."""
         return (Reference("version", own_name, "name"),)
 
 
 @RESOURCE_KINDS.add
 class Evacuation(Spec):
-    """The endpoints of the hall of the same name receive no new work.
+    """Evacuates the hall of the same name: its endpoints receive no new requests.
 
-    It lasts until it is deleted, whatever endpoints come to the hall meanwhile.
+    It lasts until it is deleted, and also applies to endpoints that are added to the
+    hall meanwhile.
     """
 
     name = "evacuation"
@@ -294,20 +295,20 @@
 
 
 def field_errors(error: ValidationError) -> list[FieldError]:
-    """What `pydantic` found wrong, a typed error for each field."""
-    found = []
+    """Converts the errors of `pydantic` to one typed error for each field."""
+    errors = []
     for problem in error.errors(include_url=False):
         field = ".".join(str(part) for part in problem["loc"]) or "(document)"
         value = json.dumps(problem["input"], default=str)[:VALUE_CHARACTERS_MAX]
-        found.append(FieldError(field, value, problem["msg"]))
-    return found
+        errors.append(FieldError(field, value, problem["msg"]))
+    return errors
 
 
 def parse(kind: str, spec: bytes) -> Spec:
-    """Read a spec of a kind.
+    """Decodes a spec of a kind.
 
-    Raises `UnknownName` for the kind, or `InvalidResource` with a
-    `FieldError` for each wrong field.
+    Raises `UnknownName` if the kind is unknown, or `InvalidResource` with one
+    `FieldError` for each invalid field.
     """
     model = RESOURCE_KINDS.get(kind)
     try:
@@ -318,11 +319,11 @@
 
 @lru_cache(maxsize=8192)
 def parse_cached(kind: str, spec: bytes) -> Spec:
-    """As `parse`; the same bytes are read once."""
+    """Decodes a spec as `parse` does; the same bytes are decoded once."""
     return parse(kind, spec)
 
 
 def encode_canonical(spec: Spec) -> bytes:
-    """A spec as JSON, the same bytes for the same content."""
+    """Encodes a spec as JSON, with the same bytes for the same content."""
     document = spec.model_dump(mode="json")
     return json.dumps(document, sort_keys=True, separators=(",", ":")).encode()
--- a/ashlatch/settings.py
+++ b/ashlatch/settings.py
@@ -2,7 +2,7 @@
 ashlatch.settings
 ~~~~~~~~~~~~~~~~~
 
-The settings files of the daemons: JSON, checked whole before anything starts.
+The settings files of the daemons: JSON, validated completely before a daemon starts.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -40,15 +40,15 @@
 
 PORT_MAX = 65_535
 GROUPS_MAX = 32
-# So much of a wrong value is shown.
+# Invalid values are cut to this length in errors.
 VALUE_CHARACTERS_MAX = 80
 
 
-# A host, and a port from 1 to 65,535.
+# A host and a port from 1 to 65,535.
 ADDRESS_PATTERN = (
     r"^.+:0*([1-9]\d{0,3}|[1-5]\d{4}|6[0-4]\d{3}|65[0-4]\d\d|655[0-2]\d|6553[0-5])$"
 )
-ADDRESS_RULE = "must be an IP number and a port, as 10.0.0.1:7000"
+ADDRESS_RULE = "must be an IP address and a port, such as 10.0.0.1:7000"
 
 AddressText = Annotated[str, Meta(pattern=ADDRESS_PATTERN)]
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9.-]{0,62}$")]
@@ -60,16 +60,16 @@
 
 
 class Settings(msgspec.Struct, frozen=True, kw_only=True):
-    """The base of all settings: unknown fields are errors.
+    """The base class of all settings; unknown fields are errors.
 
-    The models are of `msgspec` and not of `pydantic`, which resources use: to import
-    that takes 0.14 s of processor time (median of three starts), 0.28 s on half a core,
-    in which the callers of a VM that starts again wait.
+    The models use `msgspec` and not `pydantic`, as resources do: the import of
+    `pydantic` takes 0.14 s of processor time (median of three starts), or 0.28 s on
+    half a core, during which callers of a VM that restarts wait.
     """
 
 
 class HttpLimits(Settings, frozen=True, kw_only=True):
-    """Bounds on what one caller may take of an HTTP listener."""
+    """Limits on the requests and connections of an HTTP server."""
 
     max_body_bytes: Annotated[int, Meta(ge=1024)] = 1_048_576
     max_connections: PositiveInt = 256
@@ -79,9 +79,9 @@
 class StateSettings(Settings, frozen=True, kw_only=True):
     """Settings of `ashlatch-state`.
 
-    `advertise` is the address at which others reach this member, when it is
-    not the one it listens on. `groups` is how many groups share the ledger,
-    equal on all members and fixed when the first one is initialised.
+    `advertise` is the address at which other processes reach this member, if it differs
+    from `listen`. `groups` is the number of groups that share the ledger; it is equal
+    on all members and fixed when the first one is initialised.
     """
 
     vm: Name
@@ -103,12 +103,12 @@
 
     @property
     def address(self) -> str:
-        """Where others reach this member."""
+        """Returns the address at which other processes reach this member."""
         return self.advertise or self.listen
 
 
 class PolicySettings(Settings, frozen=True, kw_only=True):
-    """Which variants decide, and their numbers."""
+    """The selected policy variants and their parameters."""
 
     endpoint: str = "two_choices"
     version: str = "cheapest_good"
@@ -143,7 +143,7 @@
 
 
 class Operator(Settings, frozen=True, kw_only=True):
-    """Somebody who may change the configuration, and the hash of the token."""
+    """A person who may change the configuration, and the hash of their token."""
 
     name: Name
     token_sha256: Sha256
@@ -168,12 +168,12 @@
 
 
 class VmSettings(Settings, frozen=True, kw_only=True):
-    """What the daemons of a deployment with seeds have in common.
+    """The common settings of the daemons of a deployment with seeds.
 
-    `host` is the VM's IP number; `ports` are those that ashlatch may use
-    there, equal on all VMs, the first for calls between its processes.
-    `seeds` are operators' addresses of some core VMs. `list_address` is where
-    the platform lists the endpoints. `halls` are all halls, with their regions.
+    `host` is the VM's IP address. `ports` are those that ashlatch may use there, the
+    same on all VMs; the first is for calls between its processes. `seeds` are the
+    operator addresses of some core VMs. `list_address` is the address of the platform's
+    list of endpoints. `halls` maps all halls to their regions.
     """
 
     vm: Name
@@ -190,19 +190,19 @@
 
     @property
     def rpc_address(self) -> str:
-        """Where other processes of ashlatch call this one."""
+        """Returns the address at which other ashlatch processes call this one."""
         return f"{self.host}:{self.ports[0]}"
 
     @property
     def seed_rpc_addresses(self) -> tuple[str, ...]:
-        """Where the seeds are called; the port is the same on all VMs."""
+        """Returns the RPC addresses of the seeds; the port is the same on all VMs."""
         hosts = [seed.rpartition(":")[0] for seed in self.seeds]
         return tuple(f"{host}:{self.ports[0]}" for host in hosts)
 
 
 class ExposureSettings(Settings, frozen=True, kw_only=True):
-    """What a new version that turns out bad may get: a `share` of the requests to its
-    service while it is rolled out, and `extra` requests more.
+    """Limits the requests that a bad new version may receive: a `share` of the requests
+    to its service during the roll-out, plus `extra` requests.
     """
 
     share: Annotated[float, Meta(gt=0, le=1)] = 0.15
@@ -212,9 +212,9 @@
 class CoreSettings(VmSettings, frozen=True, kw_only=True):
     """Settings of `ashlatch-core`.
 
-    `first_start` is true once, when the whole deployment starts with empty
-    disks. `losses_max` is how many core VMs may be lost at once, disks
-    included.
+    `first_start` is set once, when the whole deployment starts with empty disks.
+    `losses_max` is how many core VMs may be lost at the same time together with their
+    disks.
     """
 
     listen: AddressText
@@ -230,8 +230,8 @@
 
 
 class RepeatSettings(Settings, frozen=True, kw_only=True):
-    """How often requests may be sent again, by all gateways together: `ratio`
-    of a service's requests in a window, and `extra` more.
+    """Limits the repeated requests of all gateways together: `ratio` of a service's
+    requests in a window, plus `extra`.
     """
 
     ratio: NonNegativeFloat = 0.1
@@ -242,8 +242,8 @@
 class GatewaySettings(VmSettings, frozen=True, kw_only=True):
     """Settings of `ashlatch-gateway`.
 
-    `session_s` is the longest pause within a session. A gateway that is asked
-    to stop has `stop_s` before it is killed.
+    `session_s` is the longest pause within a session. `stop_s` is the time between a
+    request to stop and the kill.
     """
 
     listen: AddressText
@@ -255,31 +255,33 @@
 
 
 def load(path: Path, kind: type[S]) -> S:
-    """Read and check one settings file; raises a `SettingsError`."""
+    """Reads and validates a settings file; raises `SettingsError`."""
     try:
         document: Any = json.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
-        found = FieldError("(document)", str(path), f"must be a JSON file: {error}")
-        raise SettingsError("settings", [found]) from error
+        unreadable = FieldError(
+            "(document)", str(path), f"must be a JSON file: {error}"
+        )
+        raise SettingsError("settings", [unreadable]) from error
     return parse(document, kind)
 
 
 def parse(document: Any, kind: type[S]) -> S:
-    """Check settings that were read from a file.
+    """Validates settings that were read from a file.
 
-    Raises a `SettingsError`, an exception group with one `FieldError` for
-    each field that is wrong.
+    Raises `SettingsError`, an exception group with one `FieldError` for each invalid
+    field.
     """
-    wrong = list(_settings_errors(document, kind, ""))
-    if wrong:
-        raise SettingsError("settings", wrong)
+    errors = list(_settings_errors(document, kind, ""))
+    if errors:
+        raise SettingsError("settings", errors)
     return msgspec.convert(document, kind)
 
 
 def _settings_errors(
     document: Any, kind: type[Settings], path: str
 ) -> Iterator[FieldError]:
-    """What is wrong, field by field: `msgspec` itself tells the first only."""
+    """Yields the errors of all fields; `msgspec` itself reports only the first one."""
     if not isinstance(document, dict):
         yield _field_error(
             path.rstrip(".") or "(document)", document, "must be an object"
@@ -289,13 +291,13 @@
     for name, field in fields.items():
         if name not in document:
             if field.required:
-                yield FieldError(path + name, "", "must be given")
+                yield FieldError(path + name, "", "is required")
         elif isinstance(field.type, type) and issubclass(field.type, Settings):
             yield from _settings_errors(document[name], field.type, f"{path}{name}.")
         else:
             yield from _value_errors(document[name], field.type, path + name)
     for name in sorted(document.keys() - fields.keys()):
-        yield _field_error(path + name, document[name], "is no setting")
+        yield _field_error(path + name, document[name], "is not a setting")
 
 
 def _value_errors(value: Any, kind: Any, path: str) -> Iterator[FieldError]:
@@ -311,5 +313,5 @@
 
 
 def parse_addresses(texts: tuple[str, ...]) -> tuple[Address, ...]:
-    """Checked address texts as addresses."""
+    """Parses addresses that were validated before."""
     return tuple(Address.parse(text) for text in texts)
