--- a/ashlatch/http/connection.py
+++ b/ashlatch/http/connection.py
@@ -262,7 +262,7 @@
                 self.refuse(error.error_status_hint)
                 return
             if event is h11.NEED_DATA:
-                self._continue_if_asked()
+                self._send_continue_if_expected()
                 return
             if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                 self.close()
@@ -275,7 +275,7 @@
         if read_ahead_bytes > READ_AHEAD_MAX_BYTES and self._transport is not None:
             self._transport.pause_reading()
 
-    def _continue_if_asked(self) -> None:
+    def _send_continue_if_expected(self) -> None:
         if self._http.they_are_waiting_for_100_continue:
             self._write(h11.InformationalResponse(status_code=100, headers=[]))
 
--- a/ashlatch/registry.py
+++ b/ashlatch/registry.py
@@ -79,8 +79,8 @@
         """Calls the handler of the event's type with the core."""
         handler = self._by_type.get(type(event))
         if handler is None:
-            known = tuple(sorted(t.__name__ for t in self._by_type))
-            raise UnknownName(self.reducer, type(event).__name__, known)
+            registered = tuple(sorted(t.__name__ for t in self._by_type))
+            raise UnknownName(self.reducer, type(event).__name__, registered)
         return handler(core, event, *rest)
 
     def types(self) -> tuple[type, ...]:
--- a/ashlatch/resources.py
+++ b/ashlatch/resources.py
@@ -106,7 +106,7 @@
     """A set of endpoints that serve models, or one plain service.
 
     `repeatable` is whether a call of the service may be repeated if the caller does not
-    specify it. `report_url` returns the load of all endpoints. `versions` are kept
+    specify it. `report_url` serves the load of all endpoints. `versions` are kept
     loaded on all of them; if there are none, the loaded versions are not changed.
     `checks_fence` tells whether the endpoints refuse fenced commands from a control
     process that is no longer active.
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Calls by `ashlatch.http.client`: what is said of a request that got no reply."""
+"""Tests of ashlatch.http.client: `sent` of requests without a reply."""
 
 import socket
 import threading
@@ -13,15 +13,15 @@
 
 
 class KeptConnectionTest(testtools.TestCase):
-    """An endpoint answers once, and ends when the next request is there.
+    """An endpoint answers one request and stops when it has received the next one.
 
-    curl sends a request that may be repeated once more where a kept connection has
-    died. Nobody listens then, so that its error was "could not connect", and the
-    request counted as not sent, which callers are told as "not run".
+    curl sends a repeatable request again if a kept connection breaks. The endpoint no
+    longer listens then, so the error is "could not connect". The request counted as not
+    sent because of that, and callers received "not run".
     """
 
-    def test_a_request_that_an_endpoint_read_before_it_ended(self) -> None:
-        seen: list[bytes] = []
+    def test_a_request_that_the_endpoint_received_counts_as_sent(self) -> None:
+        received: list[bytes] = []
         with socket.socket() as listener:
             listener.bind((HOST, 0))
             listener.listen(1)
@@ -29,9 +29,9 @@
 
             def serve() -> None:
                 connection, _ = listener.accept()
-                seen.append(connection.recv(65536))
+                received.append(connection.recv(65536))
                 connection.sendall(ANSWER)
-                seen.append(connection.recv(65536))
+                received.append(connection.recv(65536))
                 listener.close()
                 connection.close()
 
@@ -40,10 +40,10 @@
             self.assertEqual(200, fetch(Call(url)).status)
             error = self.assertRaises(TransportError, fetch, Call(url))
             serving.join()
-        self.assertEqual(2, len(seen))
+        self.assertEqual(2, len(received))
         self.assertTrue(error.sent)
 
-    def test_a_request_for_which_nobody_listened(self) -> None:
+    def test_a_refused_connection_counts_as_not_sent(self) -> None:
         with socket.socket() as listener:
             listener.bind((HOST, 0))
             url = f"http://{HOST}:{listener.getsockname()[1]}/"
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,5 +1,6 @@
-"""Tests of ashlatch.codec: neighbouring versions of the program read each
-other's messages and records."""
+"""Tests of ashlatch.codec: successive versions of the program can read each other's
+messages and records.
+"""
 
 import msgspec
 import testtools
@@ -24,7 +25,7 @@
 
 
 class OldClaim(msgspec.Struct, frozen=True, tag="claim"):
-    """A claim as an earlier version, without sessions, wrote it."""
+    """A claim as an earlier version without sessions wrote it."""
 
     key: RequestKey
     claim_id: str
@@ -46,17 +47,17 @@
 
     def test_unknown_fields_are_skipped(self) -> None:
         new = NewClaim(self.key, "c", "d", "r", True, self.candidate, "s", 7)
-        read = decode(encode(new), Command)
+        decoded = decode(encode(new), Command)
         self.assertEqual(
-            Claim(self.key, "c", "d", "r", True, self.candidate, "s", 7), read
+            Claim(self.key, "c", "d", "r", True, self.candidate, "s", 7), decoded
         )
 
-    def test_missing_fields_take_their_defaults(self) -> None:
+    def test_missing_fields_get_their_defaults(self) -> None:
         old = OldClaim(self.key, "c", "d", "r", True, self.candidate)
-        read = decode(encode(old), Command)
-        self.assertEqual(Claim(self.key, "c", "d", "r", True, self.candidate), read)
+        decoded = decode(encode(old), Command)
+        self.assertEqual(Claim(self.key, "c", "d", "r", True, self.candidate), decoded)
 
-    def test_a_snapshot_with_unknown_fields_is_read(self) -> None:
+    def test_a_snapshot_with_unknown_fields_is_decoded(self) -> None:
         machine = Machine()
         machine.step(Claim(self.key, "c", "d", "r", True, self.candidate))
         old = machine.state
@@ -65,6 +66,6 @@
         )
         self.assertEqual(old, decode(encode(new), State))
 
-    def test_what_is_no_message_is_a_typed_error(self) -> None:
+    def test_invalid_messages_raise_a_typed_error(self) -> None:
         for data in (b"", b"\xff\x00", encode({"type": "claim"}), encode([1])):
             self.assertRaises(msgspec.DecodeError, decode, data, Command)
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -28,30 +28,30 @@
 
 
 DOUBLE = Method("/test/Double", Number, Number)
-HOLD = Method("/test/Hold", Number, Number)
+WAIT = Method("/test/Hold", Number, Number)
 FAIL = Method("/test/Fail", Number, Number)
-MISREAD = Method("/test/Double", Word, Number)
+WRONG_TYPE = Method("/test/Double", Word, Number)
 UNKNOWN = Method("/test/Unknown", Number, Number)
 
 
-class Served:
-    """A service whose held calls wait for each other."""
+class ServiceFixture:
+    """A service with a client; calls of `WAIT` wait until the test resumes them."""
 
     def __init__(self) -> None:
         self.address = Address(HOST, free_port())
-        self.held: dict[int, asyncio.Event] = {}
+        self.waiting: dict[int, asyncio.Event] = {}
         self.cancelled = asyncio.Event()
         self.service = RpcService()
         self.service.add(DOUBLE, self.double)
-        self.service.add(HOLD, self.hold)
+        self.service.add(WAIT, self.wait)
         self.service.add(FAIL, self.fail)
         self.peer = Peer(self.address)
 
     async def double(self, number: Number) -> Number:
         return Number(2 * number.value)
 
-    async def hold(self, number: Number) -> Number:
-        event = self.held[number.value] = asyncio.Event()
+    async def wait(self, number: Number) -> Number:
+        event = self.waiting[number.value] = asyncio.Event()
         try:
             await event.wait()
         except asyncio.CancelledError:
@@ -62,142 +62,148 @@
     async def fail(self, number: Number) -> Number:
         raise ValueError(number)
 
-    async def ask(self, method: Method, value: Any, timeout_s: float = CALL_S) -> Any:
+    async def call(self, method: Method, value: Any, timeout_s: float = CALL_S) -> Any:
         return (await self.peer.call(method, value, timeout_s)).value
 
-    async def until_held(self, count: int) -> None:
-        while len(self.held) < count:
+    async def until_waiting(self, count: int) -> None:
+        while len(self.waiting) < count:
             await asyncio.sleep(0)
 
 
 class LinkTest(testtools.TestCase):
-    def run_with(self, work: Callable[[Served], Awaitable[None]]) -> None:
+    def run_with(self, work: Callable[[ServiceFixture], Awaitable[None]]) -> None:
         async def run() -> None:
-            served = Served()
-            await served.service.start(served.address)
+            fixture = ServiceFixture()
+            await fixture.service.start(fixture.address)
             try:
                 async with asyncio.timeout(30.0):
-                    await work(served)
+                    await work(fixture)
             finally:
-                served.peer.close()
-                await served.service.stop()
+                fixture.peer.close()
+                await fixture.service.stop()
 
         asyncio.run(run())
 
-    def test_each_call_gets_its_own_reply_whatever_the_order(self) -> None:
-        async def work(served: Served) -> None:
-            held = [
-                asyncio.create_task(served.ask(HOLD, Number(n))) for n in range(200)
+    def test_replies_in_any_order_reach_their_calls(self) -> None:
+        async def work(fixture: ServiceFixture) -> None:
+            waiting = [
+                asyncio.create_task(fixture.call(WAIT, Number(n))) for n in range(200)
             ]
-            await served.until_held(200)
+            await fixture.until_waiting(200)
             doubled = await asyncio.gather(
-                *(served.ask(DOUBLE, Number(n)) for n in range(300))
+                *(fixture.call(DOUBLE, Number(n)) for n in range(300))
             )
             self.assertEqual([2 * n for n in range(300)], doubled)
             for number in reversed(range(200)):
-                served.held[number].set()
-            self.assertEqual(list(range(200)), await asyncio.gather(*held))
+                fixture.waiting[number].set()
+            self.assertEqual(list(range(200)), await asyncio.gather(*waiting))
 
         self.run_with(work)
 
-    def test_a_large_message_goes_through_beside_small_ones(self) -> None:
-        async def work(served: Served) -> None:
+    def test_a_large_message_does_not_block_small_ones(self) -> None:
+        async def work(fixture: ServiceFixture) -> None:
             echo = Method("/test/Echo", Word, Word)
 
             async def same(word: Word) -> Word:
                 return word
 
-            served.service.add(echo, same)
+            fixture.service.add(echo, same)
             text = "x" * 3_000_000
-            large = asyncio.create_task(served.ask(echo, Word(text)))
-            small = [served.ask(DOUBLE, Number(n)) for n in range(20)]
+            large = asyncio.create_task(fixture.call(echo, Word(text)))
+            small = [fixture.call(DOUBLE, Number(n)) for n in range(20)]
             self.assertEqual([2 * n for n in range(20)], await asyncio.gather(*small))
             self.assertEqual(text, await large)
 
         self.run_with(work)
 
-    def test_what_cannot_be_answered_is_refused_and_the_others_go_on(self) -> None:
-        async def work(served: Served) -> None:
-            held = asyncio.create_task(served.ask(HOLD, Number(1)))
-            await served.until_held(1)
+    def test_failed_calls_are_refused_and_others_continue(self) -> None:
+        async def work(fixture: ServiceFixture) -> None:
+            waiting = asyncio.create_task(fixture.call(WAIT, Number(1)))
+            await fixture.until_waiting(1)
             for method, value in (
                 (FAIL, Number(1)),
                 (UNKNOWN, Number(1)),
-                (MISREAD, Word("x")),
+                (WRONG_TYPE, Word("x")),
             ):
-                error = await self.refusal(served, method, value)
+                error = await self.expect_error(fixture, method, value)
                 self.assertTrue(error.sent)
-            served.held[1].set()
-            self.assertEqual(1, await held)
+            fixture.waiting[1].set()
+            self.assertEqual(1, await waiting)
 
         self.run_with(work)
 
-    def test_a_slow_call_does_not_end_the_link_while_others_are_answered(self) -> None:
-        async def work(served: Served) -> None:
-            held = asyncio.create_task(served.ask(HOLD, Number(1)))
-            slow = asyncio.create_task(served.ask(HOLD, Number(2), timeout_s=0.2))
-            await served.until_held(2)
+    def test_a_slow_call_does_not_close_the_link_while_others_are_answered(
+        self,
+    ) -> None:
+        async def work(fixture: ServiceFixture) -> None:
+            waiting = asyncio.create_task(fixture.call(WAIT, Number(1)))
+            slow = asyncio.create_task(fixture.call(WAIT, Number(2), timeout_s=0.2))
+            await fixture.until_waiting(2)
             while not slow.done():
-                await served.ask(DOUBLE, Number(1))
+                await fixture.call(DOUBLE, Number(1))
             self.assertIsInstance(slow.exception(), TransportError)
-            served.held[1].set()
-            self.assertEqual(1, await held)
+            fixture.waiting[1].set()
+            self.assertEqual(1, await waiting)
 
         self.run_with(work)
 
-    def test_a_silent_link_is_given_up_with_all_its_calls(self) -> None:
-        async def work(served: Served) -> None:
-            await served.ask(DOUBLE, Number(1))
-            held = asyncio.create_task(served.ask(HOLD, Number(1), timeout_s=20.0))
-            await self.refusal(served, HOLD, Number(2), 0.1)
-            error = await self.error_of(held)
+    def test_an_unresponsive_link_is_closed_with_all_its_calls(self) -> None:
+        async def work(fixture: ServiceFixture) -> None:
+            await fixture.call(DOUBLE, Number(1))
+            waiting = asyncio.create_task(fixture.call(WAIT, Number(1), timeout_s=20.0))
+            await self.expect_error(fixture, WAIT, Number(2), 0.1)
+            error = await self.error_of(waiting)
             self.assertTrue(error.sent)
-            await served.cancelled.wait()
-            self.assertEqual(2, await served.ask(DOUBLE, Number(1)))
+            await fixture.cancelled.wait()
+            self.assertEqual(2, await fixture.call(DOUBLE, Number(1)))
 
         self.run_with(work)
 
-    def test_it_connects_again_after_a_restart(self) -> None:
-        async def work(served: Served) -> None:
-            held = asyncio.create_task(served.ask(HOLD, Number(1)))
-            await served.until_held(1)
-            await served.service.stop()
-            self.assertTrue((await self.error_of(held)).sent)
-            refused = await self.refusal(served, DOUBLE, Number(1))
-            self.assertFalse(refused.sent)
-            await served.service.start(served.address)
-            self.assertEqual(2, await served.ask(DOUBLE, Number(1)))
+    def test_the_client_reconnects_after_a_restart(self) -> None:
+        async def work(fixture: ServiceFixture) -> None:
+            waiting = asyncio.create_task(fixture.call(WAIT, Number(1)))
+            await fixture.until_waiting(1)
+            await fixture.service.stop()
+            self.assertTrue((await self.error_of(waiting)).sent)
+            error = await self.expect_error(fixture, DOUBLE, Number(1))
+            self.assertFalse(error.sent)
+            await fixture.service.start(fixture.address)
+            self.assertEqual(2, await fixture.call(DOUBLE, Number(1)))
 
         self.run_with(work)
 
-    def test_bytes_that_are_no_message_end_only_their_own_stream(self) -> None:
-        async def work(served: Served) -> None:
-            await served.ask(DOUBLE, Number(1))
-            channel = Channel(HOST, served.address.port, codec=MessageCodec())
+    def test_an_invalid_message_ends_only_its_stream(self) -> None:
+        async def work(fixture: ServiceFixture) -> None:
+            await fixture.call(DOUBLE, Number(1))
+            channel = Channel(HOST, fixture.address.port, codec=MessageCodec())
             garbage = StreamStreamMethod(channel, PATH, Word, Replies)
             with testtools.ExpectedException(GRPCError):
                 async with garbage.open() as stream:
                     await stream.send_message(Word("x"), end=True)
                     await stream.recv_message()
             channel.close()
-            self.assertEqual(2, await served.ask(DOUBLE, Number(1)))
+            self.assertEqual(2, await fixture.call(DOUBLE, Number(1)))
 
         self.run_with(work)
 
-    def test_nobody_listens(self) -> None:
-        async def work(served: Served) -> None:
+    def test_connection_refused(self) -> None:
+        async def work(fixture: ServiceFixture) -> None:
             with socket.socket() as probe:
                 probe.bind((HOST, 0))
-                served.peer = Peer(Address(HOST, probe.getsockname()[1]))
-                error = await self.refusal(served, DOUBLE, Number(1))
+                fixture.peer = Peer(Address(HOST, probe.getsockname()[1]))
+                error = await self.expect_error(fixture, DOUBLE, Number(1))
             self.assertFalse(error.sent)
 
         self.run_with(work)
 
-    async def refusal(
-        self, served: Served, method: Method, value: Any, timeout_s: float = CALL_S
+    async def expect_error(
+        self,
+        fixture: ServiceFixture,
+        method: Method,
+        value: Any,
+        timeout_s: float = CALL_S,
     ) -> TransportError:
-        task = asyncio.create_task(served.ask(method, value, timeout_s))
+        task = asyncio.create_task(fixture.call(method, value, timeout_s))
         return await self.error_of(task)
 
     async def error_of(self, task: "asyncio.Task[Any]") -> TransportError:
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""Tests of ashlatch.http.listener: connections, framing, limits and ends."""
+"""Tests of ashlatch.http.listener: connections, framing, limits and closing."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 from ashlatch.http.listener import HttpListener
 from tests.system import HOST, free_port
 
-ASK = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n"
+POST_HEAD = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n"
 
 
 class ListenerTest(testtools.TestCase):
@@ -41,44 +41,44 @@
         return listener
 
     async def call(self, *parts: bytes) -> bytes:
-        """Send the parts with pauses on one connection; all that came back."""
+        """Sends the parts with pauses on one connection; returns what was received."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         for part in parts:
             writer.write(part)
             await asyncio.sleep(0.05)
-        got = await asyncio.wait_for(reader.read(65536), 2.0)
+        received = await asyncio.wait_for(reader.read(65536), 2.0)
         writer.close()
-        return got
+        return received
 
-    def test_idle_after_a_body_in_parts(self) -> None:
+    def test_idle_connection_after_a_body_in_parts(self) -> None:
         async def run() -> None:
             listener = await self.serve(HttpBounds(head_timeout_s=0.1))
             reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-            for part in (ASK, b"bo", b"dy"):
+            for part in (POST_HEAD, b"bo", b"dy"):
                 writer.write(part)
                 await asyncio.sleep(0.05)
             self.assertIn(b"200", await reader.readuntil(b"body"))
             await asyncio.sleep(0.8)
-            writer.write(ASK + b"more")
+            writer.write(POST_HEAD + b"more")
             self.assertIn(b"200", await reader.readuntil(b"more"))
             listener.abort()
 
         asyncio.run(run())
 
-    def test_slow_head(self) -> None:
+    def test_slow_head_is_rejected(self) -> None:
         async def run() -> None:
             listener = await self.serve(HttpBounds(head_timeout_s=0.1))
-            got = await self.call(b"POST /a HTTP/1.1\r\nHo")
-            self.assertIn(b" 408 ", got)
+            received = await self.call(b"POST /a HTTP/1.1\r\nHo")
+            self.assertIn(b" 408 ", received)
             listener.abort()
 
         asyncio.run(run())
 
-    def test_limits(self) -> None:
+    def test_size_limits(self) -> None:
         async def run() -> None:
             bounds = HttpBounds(head_max_bytes=200, body_max_bytes=3)
             listener = await self.serve(bounds)
-            self.assertIn(b" 413 ", await self.call(ASK + b"body"))
+            self.assertIn(b" 413 ", await self.call(POST_HEAD + b"body"))
             long = b"GET / HTTP/1.1\r\nHost: h\r\nX: " + b"x" * 300 + b"\r\n\r\n"
             self.assertIn(b" 431 ", await self.call(long))
             listener.abort()
@@ -86,7 +86,7 @@
 
         asyncio.run(run())
 
-    def test_ambiguous_framing(self) -> None:
+    def test_ambiguous_framing_is_rejected(self) -> None:
         hidden = b"GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n"
         head = b"POST /a HTTP/1.1\r\nHost: h\r\n"
         both = head + b"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -97,14 +97,14 @@
         async def run() -> None:
             listener = await self.serve(HttpBounds())
             for framing in (both, two, odd, folded):
-                got = await self.call(framing + b"0\r\n\r\n" + hidden)
-                self.assertRegex(got, rb"^HTTP/1.1 (400|501) ")
+                received = await self.call(framing + b"0\r\n\r\n" + hidden)
+                self.assertRegex(received, rb"^HTTP/1.1 (400|501) ")
             listener.abort()
             self.assertEqual([], self.requests)
 
         asyncio.run(run())
 
-    def test_chunks_and_pipelines(self) -> None:
+    def test_chunked_body_and_pipelined_request(self) -> None:
         chunked = (
             b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
             b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
@@ -112,18 +112,18 @@
 
         async def run() -> None:
             listener = await self.serve(HttpBounds())
-            got = await self.call(chunked + ASK + b"body")
-            self.assertEqual(2, got.count(b"200"))
+            received = await self.call(chunked + POST_HEAD + b"body")
+            self.assertEqual(2, received.count(b"200"))
             listener.abort()
             self.assertEqual([b"abc", b"body"], [r.body for r in self.requests])
 
         asyncio.run(run())
 
-    def test_caller_leaves(self) -> None:
+    def test_handler_is_cancelled_if_the_caller_disconnects(self) -> None:
         async def run() -> None:
             listener = await self.serve(HttpBounds(), hang=True)
             _, writer = await asyncio.open_connection("127.0.0.1", self.port)
-            writer.write(ASK + b"body")
+            writer.write(POST_HEAD + b"body")
             await asyncio.sleep(0.1)
             writer.close()
             await asyncio.sleep(0.1)
@@ -133,37 +133,37 @@
 
         asyncio.run(run())
 
-    def test_stopping(self) -> None:
+    def test_answers_close_the_connection_while_stopping(self) -> None:
         async def run() -> None:
             listener = await self.serve(HttpBounds())
             listener.stopping = True
-            got = await self.call(ASK + b"body")
-            self.assertIn(b"connection: close", got.lower())
+            received = await self.call(POST_HEAD + b"body")
+            self.assertIn(b"connection: close", received.lower())
             listener.abort()
 
         asyncio.run(run())
 
-    def test_an_answer_that_had_begun_is_the_last(self) -> None:
-        """Its head could not tell the caller that the connection will close."""
-        going = asyncio.Event()
+    def test_connection_closes_after_an_answer_begun_before_the_stop(self) -> None:
+        """The head of such an answer has no `Connection: close`."""
+        resumed = asyncio.Event()
 
         async def handle(request: HttpRequest, responder: Responder) -> None:
             self.requests.append(request)
             responder.begin(200, [])
             responder.send(b"first")
-            await going.wait()
+            await resumed.wait()
             responder.end()
 
         async def run() -> None:
             listener = await self.serve(HttpBounds())
             listener.handler = handle
             reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-            writer.write(ASK + b"body")
+            writer.write(POST_HEAD + b"body")
             self.assertIn(b"200", await reader.readuntil(b"first"))
             listener.stopping = True
-            going.set()
+            resumed.set()
             await reader.readuntil(b"0\r\n\r\n")
-            writer.write(ASK + b"next")
+            writer.write(POST_HEAD + b"next")
             with contextlib.suppress(ConnectionResetError):
                 self.assertEqual(b"", await asyncio.wait_for(reader.read(), 1.0))
             self.assertEqual([b"body"], [r.body for r in self.requests])
@@ -182,7 +182,7 @@
             await listener.start("", 0, early)
             address = early.getsockname()
             reader, writer = await asyncio.open_connection(*address)
-            writer.write(ASK + b"body")
+            writer.write(POST_HEAD + b"body")
             await reader.readuntil(b"body")
             (connection,) = listener.connections
             assert connection._transport is not None
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""Tests of ashlatch.log: the lines are what the golden file says."""
+"""Tests of ashlatch.log: the lines match the golden file."""
 
 import io
 import logging
@@ -37,7 +37,7 @@
 
 
 class LogTest(testtools.TestCase):
-    def test_lines(self) -> None:
+    def test_lines_match_the_golden_file(self) -> None:
         stream = io.StringIO()
         setup(stream)
         self.addCleanup(setup, io.StringIO())
@@ -49,26 +49,26 @@
         ]
         self.assertEqual(GOLDEN.read_text().splitlines(), lines)
 
-    def test_a_reader_that_does_not_read(self) -> None:
-        """Logging goes on at once, and says later how much was left out."""
-        reading, writing = os.pipe()
-        stream = os.fdopen(writing, "w")
+    def test_a_blocked_reader(self) -> None:
+        """Logging does not block, and the number of dropped lines is logged later."""
+        read_end, write_end = os.pipe()
+        stream = os.fdopen(write_end, "w")
         handler = QueueHandler(stream, lines_max=100)
         record = logging.makeLogRecord({"msg": "x" * 1000})
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         for _ in range(2000):
             handler.emit(record)
         time.sleep(0.3)
         for _ in range(2000):
             handler.emit(record)
-        self.assertTrue(time.monotonic() - begun_s < 2.0)
-        got = b""
-        while not re.search(rb"event=lines_left_out lines=\d+\n", got):
-            got += os.read(reading, 65536)
-        os.close(reading)
+        self.assertTrue(time.monotonic() - started_s < 2.0)
+        received = b""
+        while not re.search(rb"event=lines_left_out lines=\d+\n", received):
+            received += os.read(read_end, 65536)
+        os.close(read_end)
 
-    def test_no_event_has_a_field_that_logging_itself_uses(self) -> None:
-        taken = set(vars(logging.makeLogRecord({}))) | {"message", "asctime"}
+    def test_no_event_has_a_reserved_field_of_logging(self) -> None:
+        reserved = set(vars(logging.makeLogRecord({}))) | {"message", "asctime"}
         for kind in LogEvent.__subclasses__():
             fields = set(getattr(kind, "__dataclass_fields__", {}))
-            self.assertEqual(set(), fields & taken, kind.__name__)
+            self.assertEqual(set(), fields & reserved, kind.__name__)
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in their folder."""
+"""Tests that names of the platform are used only in `ashlatch/platform`."""
 
 import re
 from pathlib import Path
@@ -7,7 +7,7 @@
 
 ROOT = Path(__file__).parent.parent
 FOLDER = ROOT / "ashlatch" / "platform"
-# Headers, calls and fields that mean nothing to anybody but the platform.
+# Headers, calls and fields that are specific to the platform.
 NAMES = re.compile(
     r"(?i)x-(attempt-id|server-seal|not-executed|deadline-ms|expect-|tenant|kv-|pin-"
     r"|confidence|server-load|token-count|prompt-prefix|request-priority|model)"
@@ -19,7 +19,7 @@
 
 
 class NamesTest(testtools.TestCase):
-    def test_only_in_the_folder(self) -> None:
+    def test_names_occur_only_in_the_folder(self) -> None:
         found = []
         for path in sorted((ROOT / "ashlatch").rglob("*.py")):
             if FOLDER in path.parents:
@@ -29,7 +29,7 @@
                     found.append(f"{path.name}:{number}: {line.strip()}")
         self.assertEqual([], found)
 
-    def test_the_names_are_looked_for(self) -> None:
+    def test_the_pattern_matches_names_in_the_folder(self) -> None:
         text = "".join(path.read_text() for path in FOLDER.glob("*.py"))
         for name in ("X-Deadline-Ms", "/-/Config.Replace", "x-server-seal"):
             self.assertIn(name, text)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of ashlatch.settings: each thing that is wrong is told, and what to do."""
+"""Tests of ashlatch.settings: every invalid field is reported with its rule."""
 
 import json
 import subprocess
@@ -29,7 +29,7 @@
     "listen": "127.0.0.1:8000",
     "ready": "127.0.0.1:8001",
 }
-IMPORTED = """
+PRINT_IMPORTS = """
 import sys
 import ashlatch.cmdline.{program}
 print(sorted(name for name in sys.modules if name.startswith("pydantic")))
@@ -37,24 +37,24 @@
 
 
 class SettingsTest(testtools.TestCase):
-    def wrong(self, kind: Any, **changed: Any) -> dict[str, str]:
-        """The rules that are broken, by field."""
+    def violated_rules(self, kind: Any, **changed: Any) -> dict[str, str]:
+        """Returns the violated rules by field."""
         document = {**GATEWAY, **changed}
         group = self.assertRaises(SettingsError, parse, document, kind)
         return {e.field: e.rule for e in group.exceptions if isinstance(e, FieldError)}
 
-    def test_what_is_left_out(self) -> None:
+    def test_defaults(self) -> None:
         settings = parse(GATEWAY, GatewaySettings)
         self.assertEqual((8.0, 10.0), (settings.stop_s, settings.repeats.extra))
         self.assertEqual("127.0.0.1:7000", settings.rpc_address)
         self.assertEqual(("127.0.0.2:7000",), settings.seed_rpc_addresses)
 
-    def test_whole_numbers_are_numbers(self) -> None:
+    def test_integers_are_valid_floats(self) -> None:
         settings = parse({**GATEWAY, "stop_s": 9}, GatewaySettings)
         self.assertEqual(9.0, settings.stop_s)
 
-    def test_all_that_is_wrong(self) -> None:
-        rules = self.wrong(
+    def test_all_invalid_fields_are_reported(self) -> None:
+        rules = self.violated_rules(
             GatewaySettings,
             vm="Not a name",
             seeds=[],
@@ -78,24 +78,24 @@
         self.assertIn("such as 10.0.0.1:7000", rules["listen"])
         self.assertEqual("is not a setting", rules["colour"])
 
-    def test_addresses(self) -> None:
-        for wrong in ("10.0.0.1", "10.0.0.1:", ":7000", "10.0.0.1:70000", 7000, None):
-            rules = self.wrong(GatewaySettings, list_address=wrong)
+    def test_invalid_addresses(self) -> None:
+        for address in ("10.0.0.1", "10.0.0.1:", ":7000", "10.0.0.1:70000", 7000, None):
+            rules = self.violated_rules(GatewaySettings, list_address=address)
             self.assertEqual({"list_address"}, rules.keys())
 
-    def test_what_must_be_given(self) -> None:
-        rules = self.wrong(CoreSettings, ready="127.0.0.1:1")
+    def test_required_fields(self) -> None:
+        rules = self.violated_rules(CoreSettings, ready="127.0.0.1:1")
         self.assertEqual("is required", rules["data_folder"])
         self.assertEqual("is not a setting", rules["ready"])
 
-    def test_no_object(self) -> None:
+    def test_documents_that_are_not_objects(self) -> None:
         documents: tuple[Any, ...] = ([], "text", None, 3)
         for document in documents:
             self.assertRaises(SettingsError, parse, document, StateSettings)
-        rules = self.wrong(GatewaySettings, repeats=[1])
+        rules = self.violated_rules(GatewaySettings, repeats=[1])
         self.assertEqual({"repeats"}, rules.keys())
 
-    def test_lists_of_settings(self) -> None:
+    def test_invalid_list_element(self) -> None:
         document = {
             "vm": "r",
             "hall": "h",
@@ -107,7 +107,7 @@
         assert isinstance(error, FieldError)
         self.assertEqual("state_addresses", error.field)
 
-    def test_a_file(self) -> None:
+    def test_load_from_a_file(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "gateway.json"
             path.write_text(json.dumps(GATEWAY))
@@ -116,9 +116,9 @@
             self.assertRaises(SettingsError, load, path, GatewaySettings)
             self.assertRaises(SettingsError, load, Path(folder), GatewaySettings)
 
-    def test_what_a_start_loads(self) -> None:
-        """A caller of a VM that starts again waits for each module."""
+    def test_daemons_do_not_import_pydantic(self) -> None:
+        """Callers of a VM that restarts wait for every imported module."""
         for program in ("gateway_command", "core"):
-            command = [sys.executable, "-c", IMPORTED.format(program=program)]
-            done = subprocess.run(command, capture_output=True, text=True, check=True)
-            self.assertEqual("[]\n", done.stdout)
+            command = [sys.executable, "-c", PRINT_IMPORTS.format(program=program)]
+            result = subprocess.run(command, capture_output=True, text=True, check=True)
+            self.assertEqual("[]\n", result.stdout)
