--- a/ashlatch/periodic.py
+++ b/ashlatch/periodic.py
@@ -17,15 +17,16 @@
 class PeriodicTasks:
     """Repeats functions, each on its own thread.
 
-    `failed` is called with an exception that a function raises, which ends its thread::
+    `on_failure` is called with an exception that a function raises. The exception ends
+    the thread of that function::
 
-        tasks = PeriodicTasks(failed)
+        tasks = PeriodicTasks(on_failure)
         tasks.start("load", read_loads, interval_ms=250.0)
         tasks.stop()
     """
 
-    def __init__(self, failed: Callable[[BaseException], None]) -> None:
-        self._on_failure = failed
+    def __init__(self, on_failure: Callable[[BaseException], None]) -> None:
+        self._on_failure = on_failure
         self._stopping = threading.Event()
         self._threads: list[threading.Thread] = []
 
--- a/ashlatch/platform/headers.py
+++ b/ashlatch/platform/headers.py
@@ -63,7 +63,7 @@
 _RETRY_AFTER = b"retry-after"
 _KEEP_ALIVE = b"keep-alive"
 
-# Running requests, waiting requests, slots; no endpoint has numbers above 7 digits.
+# Running requests, waiting requests, slots; no endpoint needs more than 7 digits.
 _LOAD_FIGURES = re.compile(r"\s*([0-9]{1,7})\s*,\s*([0-9]{1,7})\s*,\s*([0-9]{1,7})\s*")
 # More tokens than any prompt has.
 _TOKENS_MAX = 1_000_000_000
