--- a/ashlatch/cmdline/ctl.py
+++ b/ashlatch/cmdline/ctl.py
@@ -28,7 +28,7 @@
 from ashlatch.errors import AshlatchError
 from ashlatch.explain.lines import Line, read_lines
 from ashlatch.explain.sessions import explain_moves, explain_session
-from ashlatch.explain.story import explain_request, explain_span
+from ashlatch.explain.timeline import explain_request, explain_span
 from ashlatch.resources import RESOURCE_KINDS
 
 __all__ = ["main"]
--- a/ashlatch/explain/story.py
+++ b/ashlatch/explain/timeline.py
@@ -11,8 +11,8 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from ashlatch.explain.belief import Beliefs, is_change
 from ashlatch.explain.lines import Line, seconds
+from ashlatch.explain.process_state import Beliefs, is_change
 
 __all__ = ["explain_request", "explain_span"]
 
--- a/bench/all.py
+++ b/bench/all.py
@@ -9,10 +9,10 @@
     fleet,
     hedge,
     latency,
+    liveness,
     overload,
     router,
     state,
-    watch,
 )
 
 
@@ -29,7 +29,7 @@
         router,
         fleet,
         capacity,
-        watch,
+        liveness,
     )
     for module in modules:
         module.main()
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -13,14 +13,14 @@
 from ashlatch import log as ashlatch_log
 from ashlatch import suspension
 from ashlatch.cmdline.ctl import main
-from ashlatch.explain.belief import BELIEFS
 from ashlatch.explain.lines import Line, parse_line, read_lines
+from ashlatch.explain.process_state import BELIEFS
 from ashlatch.explain.sessions import (
     explain_moves,
     explain_session,
     version_moves,
 )
-from ashlatch.explain.story import explain_request, explain_span
+from ashlatch.explain.timeline import explain_request, explain_span
 from ashlatch.fleet import logs as fleet_logs
 from ashlatch.fleet import seeds
 from ashlatch.gateway import logs as gateway_logs
