--- a/ashlatch/cmdline/api.py
+++ b/ashlatch/cmdline/api.py
@@ -16,14 +16,14 @@
 from ashlatch.errors import AshlatchError, TransportError
 from ashlatch.http.client import Call, Reply, fetch
 
-__all__ = ["Api", "ApiError", "Document", "condition"]
+__all__ = ["ApiClient", "ApiError", "Document", "revision_condition"]
 
 # How often it is asked whether a revision is in force.
 IN_FORCE_POLL_S = 0.05
 # Between tries at one server and the next.
-RETRY_S = 0.2
+RETRY_DELAY_S = 0.2
 CALL_TIMEOUT_MS = 10_000.0
-CREATE = "*"
+ANY_REVISION = "*"
 
 
 @dataclass
@@ -46,7 +46,7 @@
     spec: dict[str, Any]
 
 
-class Api:
+class ApiClient:
     """The resource API at one or more servers, tried in turn."""
 
     def __init__(self, servers: tuple[str, ...], token: str) -> None:
@@ -83,18 +83,18 @@
             except TransportError as error:
                 last = error
                 self._servers.append(self._servers.pop(0))
-                time.sleep(RETRY_S)
+                time.sleep(RETRY_DELAY_S)
         assert last is not None
         raise last
 
-    def json(self, method: str, path: str, **rest: Any) -> Any:
+    def call_json(self, method: str, path: str, **rest: Any) -> Any:
         """Make a call and read its JSON; a problem becomes an `ApiError`."""
         reply = self.call(method, path, **rest)
         if reply.status != 200:
             raise ApiError(reply.status, reply.body.decode("utf-8", "replace"))
         return json.loads(reply.body)
 
-    def current(self, kind: str, name: str) -> dict[str, Any] | None:
+    def find_resource(self, kind: str, name: str) -> dict[str, Any] | None:
         """A resource as it is now."""
         reply = self.call("GET", f"/v1/resources/{kind}/{name}")
         if reply.status == 404:
@@ -106,26 +106,29 @@
 
     def put(self, document: Document, if_revision: int, change_id: str) -> int:
         """Put a resource; the accepted revision."""
-        headers = {"Ashlatch-Change-Id": change_id, **condition(if_revision)}
+        headers = {"Ashlatch-Change-Id": change_id, **revision_condition(if_revision)}
         body = json.dumps(document.spec).encode()
         path = f"/v1/resources/{document.kind}/{document.name}"
-        done = self.json("PUT", path, headers=headers, body=body)
+        done = self.call_json("PUT", path, headers=headers, body=body)
         return int(done["revision"])
 
     def delete(self, kind: str, name: str, change_id: str) -> int:
         """Delete a resource; the accepted revision."""
-        current = self.current(kind, name)
+        current = self.find_resource(kind, name)
         if current is None:
             raise ApiError(404, f"{kind}/{name}")
-        headers = {"Ashlatch-Change-Id": change_id, **condition(current["revision"])}
-        done = self.json("DELETE", f"/v1/resources/{kind}/{name}", headers=headers)
+        headers = {
+            "Ashlatch-Change-Id": change_id,
+            **revision_condition(current["revision"]),
+        }
+        done = self.call_json("DELETE", f"/v1/resources/{kind}/{name}", headers=headers)
         return int(done["revision"])
 
     def wait_in_force(self, revision: int) -> int:
         """Wait until a revision is in force; on how many routers it is."""
         while True:
             try:
-                status = self.json("GET", "/v1/status")
+                status = self.call_json("GET", "/v1/status")
             except ApiError as error:
                 if error.status != 503:
                     raise
@@ -135,8 +138,8 @@
             time.sleep(IN_FORCE_POLL_S)
 
 
-def condition(if_revision: int) -> dict[str, str]:
+def revision_condition(if_revision: int) -> dict[str, str]:
     """The header that lets a change through only on top of a revision; 0: none."""
     if if_revision:
         return {"If-Match": f'"{if_revision}"'}
-    return {"If-None-Match": CREATE}
+    return {"If-None-Match": ANY_REVISION}
--- a/ashlatch/cmdline/ctl.py
+++ b/ashlatch/cmdline/ctl.py
@@ -19,15 +19,15 @@
 import click
 
 from ashlatch import __version__
-from ashlatch.cmdline.api import Api, Document
+from ashlatch.cmdline.api import ApiClient, Document
 from ashlatch.cmdline.evacuations import (
-    CoreEvacuations,
-    Evacuations,
-    ResourceEvacuations,
+    CoreEvacuationClient,
+    EvacuationClient,
+    ResourceEvacuationClient,
 )
 from ashlatch.errors import AshlatchError
 from ashlatch.explain.lines import Line, read_lines
-from ashlatch.explain.sessions import explain_moves, explain_session
+from ashlatch.explain.sessions import explain_session, explain_version_changes
 from ashlatch.explain.timeline import explain_request, explain_span
 from ashlatch.resources import RESOURCE_KINDS
 
@@ -35,10 +35,10 @@
 
 EXIT_FAILED = 1
 # How often `watch` looks for news.
-WATCH_EVERY_S = 0.2
+WATCH_POLL_S = 0.2
 
 
-def _documents(path: Path) -> list[Document]:
+def _read_documents(path: Path) -> list[Document]:
     """The resources of a file, those first that others refer to."""
     read = json.loads(path.read_text(encoding="utf-8"))
     listed = read if isinstance(read, list) else [read]
@@ -46,11 +46,11 @@
     return sorted(documents, key=lambda d: RESOURCE_KINDS.get(d.kind).priority)
 
 
-def _show(value: Any) -> None:
+def _print_json(value: Any) -> None:
     click.echo(json.dumps(value, indent=2))
 
 
-_pass_api = click.make_pass_decorator(Api)
+_pass_api = click.make_pass_decorator(ApiClient)
 
 
 @click.group()
@@ -75,7 +75,7 @@
         raise click.UsageError("--server is needed")
     if not token and context.invoked_subcommand != "evacuation":
         raise click.UsageError("--token is needed")
-    context.obj = Api(servers, token)
+    context.obj = ApiClient(servers, token)
 
 
 @main.command()
@@ -83,29 +83,29 @@
 @click.option("--wait", is_flag=True, help="Wait until it is in force everywhere.")
 @click.option("--change-id", default="", help="To send a change again.")
 @_pass_api
-def apply(api: Api, path: Path, wait: bool, change_id: str) -> None:
+def apply(api: ApiClient, path: Path, wait: bool, change_id: str) -> None:
     """Create or change the resources of a file."""
     base = change_id or uuid.uuid4().hex
     revision = 0
-    for document in _documents(path):
-        current = api.current(document.kind, document.name)
+    for document in _read_documents(path):
+        current = api.find_resource(document.kind, document.name)
         own_id = f"{base}/{document.kind}/{document.name}"
         if_revision = current["revision"] if current else 0
-        if current and _same(current["spec"], document):
+        if current and _is_unchanged(current["spec"], document):
             click.echo(f"{document.kind}/{document.name} unchanged")
             continue
         revision = api.put(document, if_revision, own_id)
         click.echo(f"{document.kind}/{document.name} accepted as {revision}")
-    _wait(api, revision, wait)
+    _wait_in_force(api, revision, wait)
 
 
-def _same(current: dict[str, Any], document: Document) -> bool:
+def _is_unchanged(current: dict[str, Any], document: Document) -> bool:
     model = RESOURCE_KINDS.get(document.kind)
     wanted = model.model_validate(document.spec).model_dump(mode="json")
     return bool(wanted == current)
 
 
-def _wait(api: Api, revision: int, wait: bool) -> None:
+def _wait_in_force(api: ApiClient, revision: int, wait: bool) -> None:
     if wait:
         routers = api.wait_in_force(revision)
         click.echo(f"revision {revision} in force on {routers} routers")
@@ -115,10 +115,10 @@
 @click.argument("kind")
 @click.argument("name", default="")
 @_pass_api
-def get(api: Api, kind: str, name: str) -> None:
+def get(api: ApiClient, kind: str, name: str) -> None:
     """Show a resource, or all of a kind."""
     path = f"/v1/resources/{kind}/{name}" if name else f"/v1/resources/{kind}"
-    _show(api.json("GET", path))
+    _print_json(api.call_json("GET", path))
 
 
 @main.command()
@@ -126,11 +126,11 @@
 @click.argument("name")
 @click.option("--wait", is_flag=True, help="Wait until it is in force everywhere.")
 @_pass_api
-def delete(api: Api, kind: str, name: str, wait: bool) -> None:
+def delete(api: ApiClient, kind: str, name: str, wait: bool) -> None:
     """Delete a resource that nothing refers to."""
     revision = api.delete(kind, name, uuid.uuid4().hex)
     click.echo(f"{kind}/{name} deleted by {revision}")
-    _wait(api, revision, wait)
+    _wait_in_force(api, revision, wait)
 
 
 @main.command()
@@ -138,14 +138,14 @@
 @click.option("--reason", default="", help="Shown to other operators.")
 @click.option("--wait", is_flag=True, help="Wait until it is in force everywhere.")
 @_pass_api
-def withdraw(api: Api, version: str, reason: str, wait: bool) -> None:
+def withdraw(api: ApiClient, version: str, reason: str, wait: bool) -> None:
     """Give a version no new work, from now on."""
     document = Document("withdrawal", version, {"reason": reason})
-    current = api.current("withdrawal", version)
+    current = api.find_resource("withdrawal", version)
     if_revision = current["revision"] if current else 0
     revision = api.put(document, if_revision, uuid.uuid4().hex)
     click.echo(f"withdrawal/{version} accepted as {revision}")
-    _wait(api, revision, wait)
+    _wait_in_force(api, revision, wait)
 
 
 @main.command()
@@ -157,7 +157,7 @@
 @click.option("--wait", is_flag=True, help="Wait until it is in force everywhere.")
 @_pass_api
 def rollout(
-    api: Api,
+    api: ApiClient,
     name: str,
     from_version: str,
     to_version: str,
@@ -176,26 +176,26 @@
     }
     revision = api.put(Document("rollout", name, spec), 0, uuid.uuid4().hex)
     click.echo(f"rollout/{name} accepted as {revision}")
-    _wait(api, revision, wait)
+    _wait_in_force(api, revision, wait)
 
 
 @main.command()
 @click.option("--after", default=0, help="Only changes after this revision.")
 @click.option("--count", default=0, help="Stop after so many lines.")
 @_pass_api
-def watch(api: Api, after: int, count: int) -> None:
+def watch(api: ApiClient, after: int, count: int) -> None:
     """Print each change as it is accepted and as it comes into force."""
-    for seen, line in enumerate(_watched(api, after), 1):
+    for seen, line in enumerate(_watch_events(api, after), 1):
         click.echo(line)
         if count and seen >= count:
             return
 
 
-def _watched(api: Api, after: int) -> Iterator[str]:
+def _watch_events(api: ApiClient, after: int) -> Iterator[str]:
     in_force = -1
     while True:
-        listed = api.json("GET", "/v1/resources")
-        status = api.json("GET", "/v1/status")
+        listed = api.call_json("GET", "/v1/resources")
+        status = api.call_json("GET", "/v1/status")
         for resource in listed["resources"]:
             if resource["revision"] > after:
                 yield json.dumps({"accepted": resource})
@@ -203,14 +203,14 @@
         if status["in_force_revision"] != in_force:
             in_force = status["in_force_revision"]
             yield json.dumps({"in_force": in_force, "routers": len(status["routers"])})
-        time.sleep(WATCH_EVERY_S)
+        time.sleep(WATCH_POLL_S)
 
 
 @main.command()
 @_pass_api
-def status(api: Api) -> None:
+def status(api: ApiClient) -> None:
     """Show the members, the routers and what is in force."""
-    _show(api.json("GET", "/v1/status"))
+    _print_json(api.call_json("GET", "/v1/status"))
 
 
 @main.group()
@@ -227,18 +227,18 @@
     Core VMs take no token; they are reached by operators alone.
     """
     api = context.obj
-    assert isinstance(api, Api)
+    assert isinstance(api, ApiClient)
     if not core and not api.has_token:
         raise click.UsageError("--token is needed")
-    context.obj = CoreEvacuations(api) if core else ResourceEvacuations(api)
+    context.obj = CoreEvacuationClient(api) if core else ResourceEvacuationClient(api)
 
 
-_pass_evacuations = click.make_pass_decorator(Evacuations)
+_pass_evacuations = click.make_pass_decorator(EvacuationClient)
 
 
 @evacuation.command("list")
 @_pass_evacuations
-def evacuation_list(evacuations: Evacuations) -> None:
+def evacuation_list(evacuations: EvacuationClient) -> None:
     """Show the halls that are evacuated, a line each."""
     for hall in evacuations.halls():
         click.echo(hall)
@@ -250,7 +250,7 @@
 @click.option("--wait", is_flag=True, help="Wait until it is in force everywhere.")
 @_pass_evacuations
 def evacuation_begin(
-    evacuations: Evacuations, hall: str, reason: str, wait: bool
+    evacuations: EvacuationClient, hall: str, reason: str, wait: bool
 ) -> None:
     """Send nothing more to the endpoints of a hall."""
     click.echo(evacuations.begin(hall, reason, wait))
@@ -260,7 +260,7 @@
 @click.argument("hall")
 @click.option("--wait", is_flag=True, help="Wait until it is in force everywhere.")
 @_pass_evacuations
-def evacuation_finish(evacuations: Evacuations, hall: str, wait: bool) -> None:
+def evacuation_finish(evacuations: EvacuationClient, hall: str, wait: bool) -> None:
     """Send to the endpoints of a hall again."""
     click.echo(evacuations.finish(hall, wait))
 
@@ -272,9 +272,9 @@
 
 @member.command("list")
 @_pass_api
-def member_list(api: Api) -> None:
+def member_list(api: ApiClient) -> None:
     """Show the members, and how many more may be lost now."""
-    found = api.json("GET", "/v1/status")
+    found = api.call_json("GET", "/v1/status")
     for entry in found["members"]:
         click.echo(
             f"{entry['member_id']} vm={entry['vm']} address={entry['address']} "
@@ -287,12 +287,12 @@
 @member.command("remove")
 @click.argument("member_id")
 @_pass_api
-def member_remove(api: Api, member_id: str) -> None:
+def member_remove(api: ApiClient, member_id: str) -> None:
     """Take a member out, if a quorum of the others is up to date.
 
     A member is added by starting it with an empty data folder.
     """
-    found = api.json("DELETE", f"/v1/members/{member_id}")
+    found = api.call_json("DELETE", f"/v1/members/{member_id}")
     left = [entry["member_id"] for entry in found["members"]]
     click.echo(f"members: {', '.join(left)}")
     if member_id in left:
@@ -335,7 +335,7 @@
     elif session:
         told = explain_session(session, lines)
     elif moves:
-        told = explain_moves(lines)
+        told = explain_version_changes(lines)
     else:
         told = explain_span(begin, end, lines)
     for text in told:
--- a/ashlatch/cmdline/daemon.py
+++ b/ashlatch/cmdline/daemon.py
@@ -41,14 +41,14 @@
     "EXIT_FAILED",
     "EXIT_SETTINGS",
     "Daemon",
-    "Ending",
+    "Shutdown",
     "load_or_exit",
     "run",
 ]
 
 EXIT_FAILED = 1
 EXIT_SETTINGS = 2
-SWITCH_S = 0.0005
+SWITCH_INTERVAL_S = 0.0005
 STOP_SIGNALS = frozenset({signal.SIGTERM, signal.SIGINT})
 RELOAD_SIGNALS = frozenset({signal.SIGHUP})
 
@@ -72,10 +72,10 @@
         """End in order; returns how many requests had to be cut, if any."""
 
 
-def load_or_exit(path: Path, kind: type[S], check_only: bool) -> S:
+def load_or_exit(path: Path, settings_class: type[S], check_only: bool) -> S:
     """Read the settings, or say each thing wrong with them and exit with 2."""
     try:
-        settings = load(path, kind)
+        settings = load(path, settings_class)
     except SettingsError as group:
         for error in group.exceptions:
             click.echo(f"{path}: {error}", err=True)
@@ -86,7 +86,7 @@
     return settings
 
 
-class Ending:
+class Shutdown:
     """Why and when the process should end.
 
     The signals are blocked in every thread and taken by the main one. A
@@ -116,7 +116,7 @@
 def run(
     name: str,
     settings: AnySettings,
-    make: Callable[[Callable[[BaseException], None]], Daemon],
+    create_daemon: Callable[[Callable[[BaseException], None]], Daemon],
 ) -> None:
     """Run a daemon until SIGTERM or SIGINT, or until it fails.
 
@@ -126,12 +126,12 @@
     """
     # Before any thread, also that of the logs: a thread that does not block the
     # signals could be given one, which would end the process on the spot.
-    ending = Ending()
+    ending = Shutdown()
     setup(sys.stdout, settings.log_level)
     # The interpreter's default lets a waiting thread wait for 5 ms.
-    sys.setswitchinterval(SWITCH_S)
+    sys.setswitchinterval(SWITCH_INTERVAL_S)
     try:
-        daemon = make(ending.fail)
+        daemon = create_daemon(ending.fail)
         daemon.start()
     except (AshlatchError, OSError) as error:
         _report_failure(name, error)
--- a/ashlatch/explain/lines.py
+++ b/ashlatch/explain/lines.py
@@ -15,12 +15,12 @@
 from dataclasses import dataclass
 from datetime import datetime
 
-__all__ = ["Line", "parse_line", "read_lines", "seconds"]
+__all__ = ["Line", "parse_line", "read_lines", "timestamp_s"]
 
 # `key=value` or `key="quoted value"`, as `ashlatch.log` writes them.
 _PAIR = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
 # Pairs that say where a line comes from and not what it tells.
-_FRAME = frozenset({"at", "level", "logger", "event"})
+_METADATA_KEYS = frozenset({"at", "level", "logger", "event"})
 # What collectors put between their prefix and the line.
 _SEPARATORS = ":|[]"
 
@@ -58,11 +58,11 @@
     begin = text.find("at=")
     if begin < 0:
         return None
-    pairs = {key: _value(raw) for key, raw in _PAIR.findall(text[begin:])}
+    pairs = {key: _parse_value(raw) for key, raw in _PAIR.findall(text[begin:])}
     if "event" not in pairs:
         return None
-    told = {key: value for key, value in pairs.items() if key not in _FRAME}
-    process = _process(source, text[:begin])
+    told = {key: value for key, value in pairs.items() if key not in _METADATA_KEYS}
+    process = _process_name(source, text[:begin])
     return Line(process, pairs["at"], pairs["event"], told)
 
 
@@ -74,12 +74,12 @@
             yield line
 
 
-def seconds(at: str) -> float:
+def timestamp_s(at: str) -> float:
     """The time of a line, for the span between two."""
     return datetime.fromisoformat(at).timestamp()
 
 
-def _value(raw: str) -> str:
+def _parse_value(raw: str) -> str:
     if not raw.startswith('"'):
         return raw
     try:
@@ -88,7 +88,7 @@
         return raw
 
 
-def _process(source: str, prefix: str) -> str:
+def _process_name(source: str, prefix: str) -> str:
     """The last word of a prefix that is no number, else the log's own name."""
     words = [word.strip(_SEPARATORS) for word in prefix.split()]
     names = [word for word in words if word and not _is_number(word)]
--- a/ashlatch/explain/process_state.py
+++ b/ashlatch/explain/process_state.py
@@ -14,12 +14,12 @@
 
 from ashlatch.explain.lines import Line
 
-__all__ = ["BELIEFS", "Beliefs", "is_change"]
+__all__ = ["STATE_EVENTS", "ProcessStates", "changes_state"]
 
 # Event -> (what it is about, the pair that tells several of them apart).
 # Events about the same thing replace each other: `fleet_regained` ends what
 # `fleet_lost` said.
-BELIEFS: dict[str, tuple[str, str]] = {
+STATE_EVENTS: dict[str, tuple[str, str]] = {
     "daemon_started": ("process", ""),
     "stop_begun": ("process", ""),
     "daemon_stopped": ("process", ""),
@@ -60,39 +60,39 @@
 }
 
 
-def is_change(line: Line) -> bool:
+def changes_state(line: Line) -> bool:
     """Whether a line changes what its process believes."""
-    return line.event in BELIEFS
+    return line.event in STATE_EVENTS
 
 
 @dataclass
-class Beliefs:
+class ProcessStates:
     """The beliefs of all processes, as far as the lines taken so far tell."""
 
-    _newest: dict[str, dict[str, Line]] = field(default_factory=dict)
+    _latest: dict[str, dict[str, Line]] = field(default_factory=dict)
 
-    def take(self, line: Line) -> None:
+    def apply(self, line: Line) -> None:
         """Note a line, if it changes a belief; a start clears the others."""
-        known = BELIEFS.get(line.event)
+        known = STATE_EVENTS.get(line.event)
         if known is None:
             return
         about, pair = known
-        own = self._newest.setdefault(line.process, {})
+        own = self._latest.setdefault(line.process, {})
         if line.event == "daemon_started":
             own.clear()
         own[f"{about} {line.get(pair)}" if pair else about] = line
 
-    def take_all(self, lines: Iterable[Line]) -> "Beliefs":
+    def apply_all(self, lines: Iterable[Line]) -> "ProcessStates":
         """Note several lines, in their order."""
         for line in lines:
-            self.take(line)
+            self.apply(line)
         return self
 
     @property
     def processes(self) -> list[str]:
         """All processes that have told anything."""
-        return sorted(self._newest)
+        return sorted(self._latest)
 
     def of(self, process: str) -> dict[str, Line]:
         """The newest line about each thing, at one process."""
-        return dict(sorted(self._newest.get(process, {}).items()))
+        return dict(sorted(self._latest.get(process, {}).items()))
--- a/ashlatch/explain/sessions.py
+++ b/ashlatch/explain/sessions.py
@@ -12,26 +12,31 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from ashlatch.explain.lines import Line, seconds
+from ashlatch.explain.lines import Line, timestamp_s
 
-__all__ = ["VersionMove", "explain_moves", "explain_session", "version_moves"]
+__all__ = [
+    "VersionChange",
+    "explain_version_changes",
+    "explain_session",
+    "version_changes",
+]
 
 
 @dataclass(frozen=True)
-class VersionMove:
+class VersionChange:
     """Two requests of a session that followed each other on unlike versions."""
 
     before: Line
     after: Line
 
     @property
-    def told(self) -> str:
+    def summary(self) -> str:
         """One line on it."""
         session = self.after.get("session")
-        later_s = seconds(self.after.at) - seconds(self.before.at)
+        later_s = timestamp_s(self.after.at) - timestamp_s(self.before.at)
         return (
-            f"{self.after.at} session {session}: {_send(self.before)} -> "
-            f"{later_s:.3f} s later {_send(self.after)}"
+            f"{self.after.at} session {session}: {_describe_send(self.before)} -> "
+            f"{later_s:.3f} s later {_describe_send(self.after)}"
         )
 
 
@@ -40,54 +45,54 @@
 
     `lines` are those of all processes, ordered by time.
     """
-    own = [line for line in _sends(lines) if line.get("session") == session]
+    own = [line for line in _send_events(lines) if line.get("session") == session]
     if not own:
         yield f"no line names session {session}"
         return
     yield f"session {session}"
     for line in own:
-        yield f"  {line.at} {line.get('request')} {_send(line)}"
+        yield f"  {line.at} {line.get('request')} {_describe_send(line)}"
 
 
-def explain_moves(lines: list[Line]) -> Iterator[str]:
+def explain_version_changes(lines: list[Line]) -> Iterator[str]:
     """Each change of a session's version, and how many there were each way."""
-    moves = version_moves(lines)
+    moves = version_changes(lines)
     counts: dict[str, int] = {}
     for move in moves:
         versions = f"{move.before.get('version')} -> {move.after.get('version')}"
         way = f"{move.after.get('service')} {versions}"
         counts[way] = counts.get(way, 0) + 1
-        yield move.told
+        yield move.summary
     yield f"{len(moves)} sessions' requests changed their version"
     for way, count in counts.items():
         yield f"  {count} {way}"
 
 
-def version_moves(lines: list[Line]) -> list[VersionMove]:
+def version_changes(lines: list[Line]) -> list[VersionChange]:
     """The changes of version between one request of a session and the next.
 
     The sends of one request are no move: a retry may go elsewhere.
     """
     latest: dict[tuple[str, str], Line] = {}
     found = []
-    for line in _sends(lines):
+    for line in _send_events(lines):
         key = (line.get("service"), line.get("session"))
         before = latest.get(key)
         latest[key] = line
         if before is None or before.get("request") == line.get("request"):
             continue
         if before.get("version") != line.get("version"):
-            found.append(VersionMove(before, line))
+            found.append(VersionChange(before, line))
     return found
 
 
-def _sends(lines: list[Line]) -> Iterator[Line]:
+def _send_events(lines: list[Line]) -> Iterator[Line]:
     for line in lines:
         if line.event == "request_sent" and line.get("session"):
             yield line
 
 
-def _send(line: Line) -> str:
+def _describe_send(line: Line) -> str:
     version, reason = line.get("version"), line.get("version_by")
     heard_ms = line.get("session_ms")
     heard = "not known there" if heard_ms == "-1" else f"heard of {heard_ms} ms before"
--- a/ashlatch/explain/timeline.py
+++ b/ashlatch/explain/timeline.py
@@ -11,13 +11,13 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from ashlatch.explain.lines import Line, seconds
-from ashlatch.explain.process_state import Beliefs, is_change
+from ashlatch.explain.lines import Line, timestamp_s
+from ashlatch.explain.process_state import ProcessStates, changes_state
 
 __all__ = ["explain_request", "explain_span"]
 
 # Other requests at the same endpoints are looked at this long before and after.
-AROUND_S = 1.0
+CONTEXT_WINDOW_S = 1.0
 # What gateways log of a content under which endpoints have ended.
 CRASH_EVENTS = ("crash_noted", "content_held", "content_survived")
 
@@ -33,52 +33,54 @@
         return
     yield f"request {request}"
     for line in own:
-        yield f"  {line.at} {line.process} {line.event} {_without_id(line)}"
+        yield f"  {line.at} {line.process} {line.event} {_format_without_id(line)}"
     process = own[0].process
     yield f"what {process} believed at {own[0].at}"
     before = (line for line in lines if line.at <= own[0].at)
-    yield from _beliefs(Beliefs().take_all(before), process, own[0].at)
-    yield from _changes_within(lines, own)
+    yield from _describe_state(ProcessStates().apply_all(before), process, own[0].at)
+    yield from _changes_during(lines, own)
     for content in sorted({line.get("content") for line in own} - {""}):
-        yield from _crashes(content, lines, request)
+        yield from _other_crashes(content, lines, request)
     for instance in sorted({line.get("instance") for line in own} - {""}):
-        yield from _around(instance, lines, own, request)
+        yield from _other_outcomes(instance, lines, own, request)
 
 
 def explain_span(begin: str, end: str, lines: list[Line]) -> Iterator[str]:
     """What each process believed when a span began, and what changed in it."""
-    before = Beliefs().take_all(line for line in lines if line.at < begin)
+    before = ProcessStates().apply_all(line for line in lines if line.at < begin)
     within = [line for line in lines if begin <= line.at <= end]
     for process in sorted({*before.processes, *(line.process for line in within)}):
         yield f"{process} at {begin}"
-        yield from _beliefs(before, process, begin)
+        yield from _describe_state(before, process, begin)
         yield "  changes"
         for line in within:
-            if line.process == process and is_change(line):
+            if line.process == process and changes_state(line):
                 yield f"    {line.at} {line.event} {line.text()}"
-        yield from _totals([line for line in within if line.process == process])
+        yield from _summarise_outcomes(
+            [line for line in within if line.process == process]
+        )
 
 
-def _without_id(line: Line) -> str:
+def _format_without_id(line: Line) -> str:
     pairs = (f"{key}={value}" for key, value in line.pairs.items() if key != "request")
     return " ".join(pairs)
 
 
-def _beliefs(beliefs: Beliefs, process: str, at: str) -> Iterator[str]:
+def _describe_state(beliefs: ProcessStates, process: str, at: str) -> Iterator[str]:
     known = beliefs.of(process)
     if not known:
         yield "    nothing is known of it before"
     for about, line in known.items():
-        age_s = seconds(at) - seconds(line.at)
+        age_s = timestamp_s(at) - timestamp_s(line.at)
         yield f"    {about}: {line.event} {line.text()} (age {age_s:.3f} s)"
 
 
-def _changes_within(lines: list[Line], own: list[Line]) -> Iterator[str]:
+def _changes_during(lines: list[Line], own: list[Line]) -> Iterator[str]:
     process, begin, end = own[0].process, own[0].at, own[-1].at
     changes = [
         line
         for line in lines
-        if line.process == process and begin < line.at <= end and is_change(line)
+        if line.process == process and begin < line.at <= end and changes_state(line)
     ]
     if changes:
         yield "what changed there meanwhile"
@@ -86,23 +88,23 @@
         yield f"    {line.at} {line.event} {line.text()}"
 
 
-def _around(
+def _other_outcomes(
     instance: str, lines: list[Line], own: list[Line], request: str
 ) -> Iterator[str]:
     """What befell the other requests at an endpoint at that time, everywhere."""
-    begin_s = seconds(own[0].at) - AROUND_S
-    end_s = seconds(own[-1].at) + AROUND_S
+    begin_s = timestamp_s(own[0].at) - CONTEXT_WINDOW_S
+    end_s = timestamp_s(own[-1].at) + CONTEXT_WINDOW_S
     counts: Counter[str] = Counter()
     for line in lines:
         other = line.get("instance") == instance and line.get("request") != request
-        if not other or not begin_s <= seconds(line.at) <= end_s:
+        if not other or not begin_s <= timestamp_s(line.at) <= end_s:
             continue
         counts[line.get("outcome") or line.event] += 1
     told = " ".join(f"{what}={count}" for what, count in sorted(counts.items()))
     yield f"other requests at {instance}, all processes: {told or 'none'}"
 
 
-def _crashes(content: str, lines: list[Line], request: str) -> Iterator[str]:
+def _other_crashes(content: str, lines: list[Line], request: str) -> Iterator[str]:
     """Which endpoints have ended under requests that ask for the same."""
     others = [
         line
@@ -118,7 +120,7 @@
         yield f"    {line.at} {line.process} {line.event} {line.text()}"
 
 
-def _totals(lines: list[Line]) -> Iterator[str]:
+def _summarise_outcomes(lines: list[Line]) -> Iterator[str]:
     """How requests ended, and attempts failed, by endpoint."""
     ended: Counter[str] = Counter()
     failed: Counter[str] = Counter()
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -7,8 +7,8 @@
 
 SIGNALLED = """
 import os, signal, threading
-from ashlatch.cmdline.daemon import STOP_SIGNALS, Ending
-ending = Ending()
+from ashlatch.cmdline.daemon import STOP_SIGNALS, Shutdown
+shutdown = Shutdown()
 
 def other():
     blocked = signal.pthread_sigmask(signal.SIG_BLOCK, ())
@@ -17,16 +17,16 @@
     threading.Event().wait()
 
 threading.Thread(target=other, daemon=True).start()
-ending.wait()
-print(ending.error)
+shutdown.wait()
+print(shutdown.error)
 """
 FAILED = """
 import threading
-from ashlatch.cmdline.daemon import Ending
-ending = Ending()
-threading.Thread(target=ending.fail, args=(ValueError("broken"),)).start()
-ending.wait()
-print(repr(ending.error))
+from ashlatch.cmdline.daemon import Shutdown
+shutdown = Shutdown()
+threading.Thread(target=shutdown.fail, args=(ValueError("broken"),)).start()
+shutdown.wait()
+print(repr(shutdown.error))
 """
 LOGGED = """
 import os, signal, threading
@@ -53,7 +53,7 @@
 LIMIT_S = 20.0
 
 
-class EndingTest(testtools.TestCase):
+class ShutdownTest(testtools.TestCase):
     def run_program(self, program: str) -> list[str]:
         command = [sys.executable, "-c", program]
         done = subprocess.run(command, capture_output=True, text=True, timeout=LIMIT_S)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -14,11 +14,11 @@
 from ashlatch import suspension
 from ashlatch.cmdline.ctl import main
 from ashlatch.explain.lines import Line, parse_line, read_lines
-from ashlatch.explain.process_state import BELIEFS
+from ashlatch.explain.process_state import STATE_EVENTS
 from ashlatch.explain.sessions import (
-    explain_moves,
     explain_session,
-    version_moves,
+    explain_version_changes,
+    version_changes,
 )
 from ashlatch.explain.timeline import explain_request, explain_span
 from ashlatch.fleet import logs as fleet_logs
@@ -155,16 +155,16 @@
 
     def test_moves(self) -> None:
         """The attempts of one request, and other services, are no moves."""
-        (move,) = version_moves(self.lines)
+        (move,) = version_changes(self.lines)
         self.assertEqual(("a", "b"), (move.before.process, move.after.process))
-        told = list(explain_moves(self.lines))
+        told = list(explain_version_changes(self.lines))
         self.assertEqual("  1 app v2 -> v1", told[-1])
 
 
 class EventsTest(testtools.TestCase):
     def test_every_belief_is_an_event_of_the_product(self) -> None:
         self.assertTrue(seeds.__all__ and suspension.__all__)
-        self.assertEqual(set(), set(BELIEFS) - set(event_names(LogEvent)))
+        self.assertEqual(set(), set(STATE_EVENTS) - set(event_names(LogEvent)))
 
     def test_gateways_and_core_are_covered(self) -> None:
         decisions = {
@@ -188,7 +188,7 @@
         }
         for module in (gateway_logs, fleet_logs):
             names = {getattr(module, name).event for name in module.__all__}
-            self.assertEqual(set(), names - set(BELIEFS) - decisions)
+            self.assertEqual(set(), names - set(STATE_EVENTS) - decisions)
 
 
 def event_names(base: type[LogEvent]) -> Iterator[str]:
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -40,7 +40,7 @@
 )
 from ashlatch.codec import encode
 from ashlatch.explain.lines import Line, read_lines
-from ashlatch.explain.sessions import explain_moves
+from ashlatch.explain.sessions import explain_version_changes
 from ashlatch.fleet.evaluation import Evidence, decide
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncRequest
@@ -400,7 +400,7 @@
         for line in lines:
             if line.event in EXPLAINED_EVENTS:
                 print(line.at, line.process, line.event, line.text())
-        for text in explain_moves(lines):
+        for text in explain_version_changes(lines):
             print(text)
 
     def roll_out(self, on_session: Callable[[], None]) -> None:
