--- a/ashlatch/cmdline/api.py
+++ b/ashlatch/cmdline/api.py
@@ -18,9 +18,9 @@
 
 __all__ = ["ApiClient", "ApiError", "Document", "revision_condition"]
 
-# How often it is asked whether a revision is in force.
+# Interval of the polls for a revision to come into force.
 IN_FORCE_POLL_S = 0.05
-# Between tries at one server and the next.
+# Delay before the call is repeated at the next server.
 RETRY_DELAY_S = 0.2
 CALL_TIMEOUT_MS = 10_000.0
 ANY_REVISION = "*"
@@ -28,7 +28,7 @@
 
 @dataclass
 class ApiError(AshlatchError):
-    """The resource API did not do what was asked."""
+    """The resource API answered a call with an error status."""
 
     status: int
     problem: str
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Document:
-    """One resource of a file: a JSON object with kind, name and spec."""
+    """A resource of a file: a JSON object with kind, name and spec."""
 
     kind: str
     name: str
@@ -47,7 +47,7 @@
 
 
 class ApiClient:
-    """The resource API at one or more servers, tried in turn."""
+    """Calls the resource API at one or more servers, trying them in turn."""
 
     def __init__(self, servers: tuple[str, ...], token: str) -> None:
         self._servers = list(servers)
@@ -55,7 +55,7 @@
 
     @property
     def has_token(self) -> bool:
-        """Whether calls carry an operator's token."""
+        """True if calls carry an operator's token."""
         return bool(self._token)
 
     def call(
@@ -65,11 +65,11 @@
         headers: dict[str, str] | None = None,
         body: bytes = b"",
     ) -> Reply:
-        """Make a call; a server that cannot be reached gives way to the next.
+        """Makes a call; if a server cannot be reached, the next one is tried.
 
-        Sending a change again is safe, since it carries its change id.
+        Sending a change again is safe because it carries a change id.
         """
-        last: TransportError | None = None
+        last_error: TransportError | None = None
         for _ in range(len(self._servers) * 2):
             call = Call(
                 self._servers[0] + path,
@@ -81,21 +81,21 @@
             try:
                 return fetch(call)
             except TransportError as error:
-                last = error
+                last_error = error
                 self._servers.append(self._servers.pop(0))
                 time.sleep(RETRY_DELAY_S)
-        assert last is not None
-        raise last
+        assert last_error is not None
+        raise last_error
 
     def call_json(self, method: str, path: str, **rest: Any) -> Any:
-        """Make a call and read its JSON; a problem becomes an `ApiError`."""
+        """Makes a call and decodes its JSON; raises `ApiError` on an error status."""
         reply = self.call(method, path, **rest)
         if reply.status != 200:
             raise ApiError(reply.status, reply.body.decode("utf-8", "replace"))
         return json.loads(reply.body)
 
     def find_resource(self, kind: str, name: str) -> dict[str, Any] | None:
-        """A resource as it is now."""
+        """Returns the current state of a resource, or None if it does not exist."""
         reply = self.call("GET", f"/v1/resources/{kind}/{name}")
         if reply.status == 404:
             return None
@@ -105,15 +105,15 @@
         return found
 
     def put(self, document: Document, if_revision: int, change_id: str) -> int:
-        """Put a resource; the accepted revision."""
+        """Creates or changes a resource; returns the accepted revision."""
         headers = {"Ashlatch-Change-Id": change_id, **revision_condition(if_revision)}
         body = json.dumps(document.spec).encode()
         path = f"/v1/resources/{document.kind}/{document.name}"
-        done = self.call_json("PUT", path, headers=headers, body=body)
-        return int(done["revision"])
+        accepted = self.call_json("PUT", path, headers=headers, body=body)
+        return int(accepted["revision"])
 
     def delete(self, kind: str, name: str, change_id: str) -> int:
-        """Delete a resource; the accepted revision."""
+        """Deletes a resource; returns the accepted revision."""
         current = self.find_resource(kind, name)
         if current is None:
             raise ApiError(404, f"{kind}/{name}")
@@ -121,11 +121,13 @@
             "Ashlatch-Change-Id": change_id,
             **revision_condition(current["revision"]),
         }
-        done = self.call_json("DELETE", f"/v1/resources/{kind}/{name}", headers=headers)
-        return int(done["revision"])
+        accepted = self.call_json(
+            "DELETE", f"/v1/resources/{kind}/{name}", headers=headers
+        )
+        return int(accepted["revision"])
 
     def wait_in_force(self, revision: int) -> int:
-        """Wait until a revision is in force; on how many routers it is."""
+        """Waits until a revision is in force; returns the number of routers."""
         while True:
             try:
                 status = self.call_json("GET", "/v1/status")
@@ -139,7 +141,10 @@
 
 
 def revision_condition(if_revision: int) -> dict[str, str]:
-    """The header that lets a change through only on top of a revision; 0: none."""
+    """Returns the header that makes a change conditional on a revision.
+
+    0 stands for a resource that must not exist yet.
+    """
     if if_revision:
         return {"If-Match": f'"{if_revision}"'}
     return {"If-None-Match": ANY_REVISION}
--- a/ashlatch/cmdline/control.py
+++ b/ashlatch/cmdline/control.py
@@ -32,4 +32,4 @@
         ashlatch-control --settings control-1.json --check-settings
     """
     settings = load_or_exit(path, ControlSettings, check_settings)
-    run("control", settings, lambda failed: ControlDaemon(settings, failed))
+    run("control", settings, lambda on_failure: ControlDaemon(settings, on_failure))
--- a/ashlatch/cmdline/core.py
+++ b/ashlatch/cmdline/core.py
@@ -43,7 +43,9 @@
     run(
         "core",
         settings,
-        lambda failed: CoreDaemon(settings, failed, lambda: load(path, CoreSettings)),
+        lambda on_failure: CoreDaemon(
+            settings, on_failure, lambda: load(path, CoreSettings)
+        ),
     )
 
 
--- a/ashlatch/cmdline/ctl.py
+++ b/ashlatch/cmdline/ctl.py
@@ -2,7 +2,7 @@
 ashlatch.cmdline.ctl
 ~~~~~~~~~~~~~~~~~~~~
 
-The `ashlatchctl` command: what operators do, over the resource API.
+The `ashlatchctl` command, with which operators use the resource API.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -34,14 +34,14 @@
 __all__ = ["main"]
 
 EXIT_FAILED = 1
-# How often `watch` looks for news.
+# Interval at which `watch` polls for changes.
 WATCH_POLL_S = 0.2
 
 
 def _read_documents(path: Path) -> list[Document]:
-    """The resources of a file, those first that others refer to."""
-    read = json.loads(path.read_text(encoding="utf-8"))
-    listed = read if isinstance(read, list) else [read]
+    """Reads the resources of a file; referenced ones come before their users."""
+    content = json.loads(path.read_text(encoding="utf-8"))
+    listed = content if isinstance(content, list) else [content]
     documents = [Document(d["kind"], d["name"], d["spec"]) for d in listed]
     return sorted(documents, key=lambda d: RESOURCE_KINDS.get(d.kind).priority)
 
@@ -59,7 +59,7 @@
 @click.version_option(__version__)
 @click.pass_context
 def main(context: click.Context, servers: tuple[str, ...], token: str) -> None:
-    """Operate ashlatch over its resource API.
+    """Operate ashlatch through its resource API.
 
     \b
         export ASHLATCH_SERVER=http://10.0.0.7:7100 ASHLATCH_TOKEN=...
@@ -67,7 +67,7 @@
         ashlatchctl withdraw quote-small-2 --reason "wrong prices" --wait
         ashlatchctl status
 
-    `explain` reads logs and needs neither.
+    `explain` reads logs and needs neither a server nor a token.
     """
     if context.invoked_subcommand == "explain":
         return
@@ -81,7 +81,7 @@
 @main.command()
 @click.option("-f", "--file", "path", type=Path, required=True, help="JSON file.")
 @click.option("--wait", is_flag=True, help="Wait until it is in force everywhere.")
-@click.option("--change-id", default="", help="To send a change again.")
+@click.option("--change-id", default="", help="Reuse this id to repeat a change.")
 @_pass_api
 def apply(api: ApiClient, path: Path, wait: bool, change_id: str) -> None:
     """Create or change the resources of a file."""
@@ -89,12 +89,12 @@
     revision = 0
     for document in _read_documents(path):
         current = api.find_resource(document.kind, document.name)
-        own_id = f"{base}/{document.kind}/{document.name}"
+        document_change_id = f"{base}/{document.kind}/{document.name}"
         if_revision = current["revision"] if current else 0
         if current and _is_unchanged(current["spec"], document):
             click.echo(f"{document.kind}/{document.name} unchanged")
             continue
-        revision = api.put(document, if_revision, own_id)
+        revision = api.put(document, if_revision, document_change_id)
         click.echo(f"{document.kind}/{document.name} accepted as {revision}")
     _wait_in_force(api, revision, wait)
 
@@ -139,7 +139,7 @@
 @click.option("--wait", is_flag=True, help="Wait until it is in force everywhere.")
 @_pass_api
 def withdraw(api: ApiClient, version: str, reason: str, wait: bool) -> None:
-    """Give a version no new work, from now on."""
+    """Send no new work to a version from now on."""
     document = Document("withdrawal", version, {"reason": reason})
     current = api.find_resource("withdrawal", version)
     if_revision = current["revision"] if current else 0
@@ -184,10 +184,10 @@
 @click.option("--count", default=0, help="Stop after so many lines.")
 @_pass_api
 def watch(api: ApiClient, after: int, count: int) -> None:
-    """Print each change as it is accepted and as it comes into force."""
-    for seen, line in enumerate(_watch_events(api, after), 1):
+    """Print each change when it is accepted and when it comes into force."""
+    for printed, line in enumerate(_watch_events(api, after), 1):
         click.echo(line)
-        if count and seen >= count:
+        if count and printed >= count:
             return
 
 
@@ -209,7 +209,7 @@
 @main.command()
 @_pass_api
 def status(api: ApiClient) -> None:
-    """Show the members, the routers and what is in force."""
+    """Show the members, the routers and the revision in force."""
     _print_json(api.call_json("GET", "/v1/status"))
 
 
@@ -217,14 +217,14 @@
 @click.option("--core", is_flag=True, help="The servers are core VMs.")
 @click.pass_context
 def evacuation(context: click.Context, core: bool) -> None:
-    """See, begin and finish evacuations: a hall gets no new work meanwhile.
+    """List, begin and finish evacuations. An evacuated hall gets no new work.
 
     \b
         ashlatchctl evacuation begin logan --reason "power works" --wait
         ashlatchctl evacuation finish logan
         ashlatchctl --server http://10.0.0.7:8225 evacuation --core list
 
-    Core VMs take no token; they are reached by operators alone.
+    Core VMs need no token, since only operators can reach them.
     """
     api = context.obj
     assert isinstance(api, ApiClient)
@@ -239,7 +239,7 @@
 @evacuation.command("list")
 @_pass_evacuations
 def evacuation_list(evacuations: EvacuationClient) -> None:
-    """Show the halls that are evacuated, a line each."""
+    """Show the evacuated halls, one per line."""
     for hall in evacuations.halls():
         click.echo(hall)
 
@@ -252,7 +252,7 @@
 def evacuation_begin(
     evacuations: EvacuationClient, hall: str, reason: str, wait: bool
 ) -> None:
-    """Send nothing more to the endpoints of a hall."""
+    """Stop sending requests to the endpoints of a hall."""
     click.echo(evacuations.begin(hall, reason, wait))
 
 
@@ -261,19 +261,19 @@
 @click.option("--wait", is_flag=True, help="Wait until it is in force everywhere.")
 @_pass_evacuations
 def evacuation_finish(evacuations: EvacuationClient, hall: str, wait: bool) -> None:
-    """Send to the endpoints of a hall again."""
+    """Resume sending requests to the endpoints of a hall."""
     click.echo(evacuations.finish(hall, wait))
 
 
 @main.group()
 def member() -> None:
-    """See and change the members of the replicated state."""
+    """Show and change the members of the replicated state."""
 
 
 @member.command("list")
 @_pass_api
 def member_list(api: ApiClient) -> None:
-    """Show the members, and how many more may be lost now."""
+    """Show the members, and how many of them may fail without an outage."""
     found = api.call_json("GET", "/v1/status")
     for entry in found["members"]:
         click.echo(
@@ -288,23 +288,25 @@
 @click.argument("member_id")
 @_pass_api
 def member_remove(api: ApiClient, member_id: str) -> None:
-    """Take a member out, if a quorum of the others is up to date.
+    """Remove a member, if a quorum of the others is up to date.
 
-    A member is added by starting it with an empty data folder.
+    To add a member, start it with an empty data folder.
     """
     found = api.call_json("DELETE", f"/v1/members/{member_id}")
-    left = [entry["member_id"] for entry in found["members"]]
-    click.echo(f"members: {', '.join(left)}")
-    if member_id in left:
+    remaining = [entry["member_id"] for entry in found["members"]]
+    click.echo(f"members: {', '.join(remaining)}")
+    if member_id in remaining:
         sys.exit(EXIT_FAILED)
 
 
 @main.command()
 @click.option("--request", default="", help="The id of one request.")
 @click.option("--session", default="", help="The id of one session.")
-@click.option("--moves", is_flag=True, help="Sessions that changed their version.")
-@click.option("--from", "begin", default="", help="Begin of a span, as in the logs.")
-@click.option("--to", "end", default="", help="End of the span.")
+@click.option("--moves", is_flag=True, help="List sessions that changed their version.")
+@click.option(
+    "--from", "begin", default="", help="Start of a time span, as in the logs."
+)
+@click.option("--to", "end", default="", help="End of the time span.")
 @click.argument("logs", nargs=-1, type=click.File(encoding="utf-8", errors="replace"))
 def explain(
     request: str,
@@ -314,7 +316,7 @@
     end: str,
     logs: tuple[TextIO, ...],
 ) -> None:
-    """Explain a request, a session, or a span of time, from the LOGS of all processes.
+    """Explain a request, a session or a span of time from the LOGS of all processes.
 
     \b
         ashlatchctl explain --request 9c41d07be2a35f68 gateway-*.log core-*.log
@@ -322,28 +324,28 @@
         ashlatchctl explain --moves gateway-*.log
         ashlatchctl explain --from 2026-12-02T10:00:00 --to 2026-12-02T10:00:05 *.log
 
-    Without LOGS, standard input is read. Each VM writes its own time of day.
+    Without LOGS, standard input is read. Times are those of each VM's own clock.
     """
-    asked = (bool(request), bool(session), moves, bool(begin and end))
-    if sum(asked) != 1:
+    selected = (bool(request), bool(session), moves, bool(begin and end))
+    if sum(selected) != 1:
         raise click.UsageError(
             "give either --request, or --from and --to, or --session, or --moves"
         )
     lines = _read_logs(logs)
     if request:
-        told = explain_request(request, lines)
+        output = explain_request(request, lines)
     elif session:
-        told = explain_session(session, lines)
+        output = explain_session(session, lines)
     elif moves:
-        told = explain_version_changes(lines)
+        output = explain_version_changes(lines)
     else:
-        told = explain_span(begin, end, lines)
-    for text in told:
+        output = explain_span(begin, end, lines)
+    for text in output:
         click.echo(text)
 
 
 def _read_logs(logs: tuple[TextIO, ...]) -> list[Line]:
-    """All events of several logs, by time."""
+    """Reads the events of several logs, ordered by time."""
     found: list[Line] = []
     for log in logs or (sys.stdin,):
         found += read_lines(Path(log.name).stem, log)
@@ -351,7 +353,7 @@
 
 
 def run() -> None:
-    """The console script: `main`, with errors as one line."""
+    """Runs `main` as the console script and prints errors as one line."""
     try:
         main(standalone_mode=False)
     except click.ClickException as error:
--- a/ashlatch/cmdline/daemon.py
+++ b/ashlatch/cmdline/daemon.py
@@ -2,7 +2,7 @@
 ashlatch.cmdline.daemon
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-What the three daemons' command lines share: settings, signals, exit status.
+The part that the daemons' command lines share: settings, signals, exit status.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -63,17 +63,17 @@
 
 
 class Daemon(Protocol):
-    """What `run` drives."""
+    """The interface of a daemon that `run` starts and stops."""
 
     def start(self) -> None:
-        """Begin to serve; returns when ready."""
+        """Starts to serve; returns when ready."""
 
     def stop(self) -> int | None:
-        """End in order; returns how many requests had to be cut, if any."""
+        """Shuts down cleanly; returns the number of requests cut off, if any."""
 
 
 def load_or_exit(path: Path, settings_class: type[S], check_only: bool) -> S:
-    """Read the settings, or say each thing wrong with them and exit with 2."""
+    """Loads the settings; on invalid ones prints each error and exits with 2."""
     try:
         settings = load(path, settings_class)
     except SettingsError as group:
@@ -87,12 +87,12 @@
 
 
 class Shutdown:
-    """Why and when the process should end.
+    """Waits for the end of the process, by a signal or a failure.
 
-    The signals are blocked in every thread and taken by the main one. A
-    Python handler would not do: the kernel may hand a signal to any thread,
-    and a main thread that waits for a lock does not wake up for it. Make it
-    before any thread, since threads inherit what is blocked.
+    The signals are blocked in every thread, and the main thread waits for them. A
+    Python signal handler would not work: the kernel may deliver a signal to any
+    thread, and a main thread that waits for a lock does not wake up for it. Create
+    this before any thread, since threads inherit the mask of blocked signals.
     """
 
     def __init__(self) -> None:
@@ -100,15 +100,15 @@
         self.error: BaseException | None = None
 
     def wait(self, reload: Callable[[], None] = lambda: None) -> None:
-        """Wait for a signal, or a failure; on the main thread only.
+        """Waits for a stop signal or a failure; call it on the main thread only.
 
-        `reload` is called for each signal that asks for it.
+        `reload` is called for each reload signal.
         """
         while signal.sigwait(STOP_SIGNALS | RELOAD_SIGNALS) in RELOAD_SIGNALS:
             reload()
 
     def fail(self, error: BaseException) -> None:
-        """Something inside must not go on; from any thread."""
+        """Ends the process because of an error; may be called from any thread."""
         self.error = error
         os.kill(os.getpid(), signal.SIGTERM)
 
@@ -118,20 +118,20 @@
     settings: AnySettings,
     create_daemon: Callable[[Callable[[BaseException], None]], Daemon],
 ) -> None:
-    """Run a daemon until SIGTERM or SIGINT, or until it fails.
+    """Runs a daemon until SIGTERM or SIGINT, or until it fails.
 
-    SIGHUP has the daemon reload, if it can. A failure ends the process at
-    once with status 1: a member that found its own state wrong must not finish
-    what it was doing.
+    SIGHUP makes the daemon reload, if it can. A failure ends the process at once
+    with status 1: a member that found its own state corrupt must not finish the
+    work in progress.
     """
-    # Before any thread, also that of the logs: a thread that does not block the
-    # signals could be given one, which would end the process on the spot.
-    ending = Shutdown()
+    # Before any thread starts, also that of the logs: a signal delivered to a thread
+    # that does not block it would end the process at once.
+    shutdown = Shutdown()
     setup(sys.stdout, settings.log_level)
-    # The interpreter's default lets a waiting thread wait for 5 ms.
+    # With the interpreter's default, a thread that is ready may wait for 5 ms.
     sys.setswitchinterval(SWITCH_INTERVAL_S)
     try:
-        daemon = create_daemon(ending.fail)
+        daemon = create_daemon(shutdown.fail)
         daemon.start()
     except (AshlatchError, OSError) as error:
         _report_failure(name, error)
@@ -140,9 +140,9 @@
         name, settings.vm, settings.hall, settings.listen, __version__
     )
     emit(log, started)
-    ending.wait(getattr(daemon, "reload", lambda: None))
-    if ending.error is not None:
-        _report_failure(name, ending.error)
+    shutdown.wait(getattr(daemon, "reload", lambda: None))
+    if shutdown.error is not None:
+        _report_failure(name, shutdown.error)
         os._exit(EXIT_FAILED)
     cut = daemon.stop() or 0
     emit(log, DaemonStopped(name, settings.vm, cut))
--- a/ashlatch/cmdline/evacuations.py
+++ b/ashlatch/cmdline/evacuations.py
@@ -2,8 +2,8 @@
 ashlatch.cmdline.evacuations
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-How `ashlatchctl` sees, begins and finishes evacuations: as resources of the
-resource API, or by orders to the core VMs of a deployment on the users' platform.
+Lists, begins and finishes evacuations for `ashlatchctl`: as resources of the
+resource API, or by commands to the core VMs of a deployment on the users' platform.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -20,44 +20,50 @@
 
 
 class EvacuationClient:
-    """What operators do; `begin` and `finish` return a line to show."""
+    """Manages evacuations; `begin` and `finish` return a line to print."""
 
     def halls(self) -> tuple[str, ...]:
-        """The halls that are evacuated."""
+        """Returns the evacuated halls."""
         raise NotImplementedError
 
     def begin(self, hall: str, reason: str, wait: bool) -> str:
-        """Evacuate a hall; `wait` until that is in force everywhere."""
+        """Evacuates a hall; with `wait`, returns when that is in force everywhere."""
         raise NotImplementedError
 
     def finish(self, hall: str, wait: bool) -> str:
-        """Give a hall back."""
+        """Ends the evacuation of a hall."""
         raise NotImplementedError
 
 
 class ResourceEvacuationClient(EvacuationClient):
-    """Evacuations as resources, one for each hall."""
+    """Manages evacuations as resources, one for each hall."""
 
     def __init__(self, api: ApiClient) -> None:
         self._api = api
 
     def halls(self) -> tuple[str, ...]:
-        """The names of the resources."""
+        """Returns the names of the resources."""
         listed = self._api.call_json("GET", f"/v1/resources/{RESOURCE_KIND}")
         return tuple(resource["name"] for resource in listed["resources"])
 
     def begin(self, hall: str, reason: str, wait: bool) -> str:
-        """Put the resource."""
+        """Creates or changes the resource of the hall."""
         current = self._api.find_resource(RESOURCE_KIND, hall)
         if_revision = current["revision"] if current else 0
         document = Document(RESOURCE_KIND, hall, {"reason": reason})
         revision = self._api.put(document, if_revision, uuid.uuid4().hex)
-        return f"{RESOURCE_KIND}/{hall} accepted as {revision}{self._in_force_suffix(revision, wait)}"
+        return (
+            f"{RESOURCE_KIND}/{hall} accepted as {revision}"
+            f"{self._in_force_suffix(revision, wait)}"
+        )
 
     def finish(self, hall: str, wait: bool) -> str:
-        """Delete the resource."""
+        """Deletes the resource of the hall."""
         revision = self._api.delete(RESOURCE_KIND, hall, uuid.uuid4().hex)
-        return f"{RESOURCE_KIND}/{hall} deleted by {revision}{self._in_force_suffix(revision, wait)}"
+        return (
+            f"{RESOURCE_KIND}/{hall} deleted by {revision}"
+            f"{self._in_force_suffix(revision, wait)}"
+        )
 
     def _in_force_suffix(self, revision: int, wait: bool) -> str:
         if not wait:
@@ -66,33 +72,33 @@
 
 
 class CoreEvacuationClient(EvacuationClient):
-    """Evacuations as orders to core VMs, tried in turn.
+    """Manages evacuations by commands to the core VMs, trying these in turn.
 
-    Gateways follow an acknowledged order within half a second, or when they hear of
-    the core again; there is nothing to ask whether all have.
+    Gateways apply an acknowledged command within half a second, or when they reach
+    the core again. No request tells whether all of them have applied it.
     """
 
     def __init__(self, api: ApiClient) -> None:
         self._api = api
 
     def halls(self) -> tuple[str, ...]:
-        """By the leader's word."""
+        """Returns the evacuated halls as the leader knows them."""
         method, path = evacuation_request(OperatorCall(OperatorVerb.READ_EVACUATIONS))
         return tuple(self._api.call_json(method, path)["halls"])
 
     def begin(self, hall: str, reason: str, wait: bool) -> str:
-        """Order it; the reason is not kept."""
+        """Commands an evacuation; the reason is not stored."""
         self._send_command(OperatorVerb.BEGIN_EVACUATION, hall, wait)
         return f"{hall} is evacuated"
 
     def finish(self, hall: str, wait: bool) -> str:
-        """Order the end of it."""
+        """Commands the end of an evacuation."""
         self._send_command(OperatorVerb.FINISH_EVACUATION, hall, wait)
-        return f"{hall} is given back"
+        return f"the evacuation of {hall} is finished"
 
     def _send_command(self, verb: OperatorVerb, hall: str, wait: bool) -> None:
         if wait:
             raise ApiError(
-                400, "core VMs do not tell what is in force; leave out --wait"
+                400, "core VMs do not report what is in force; leave out --wait"
             )
         self._api.call_json(*evacuation_request(OperatorCall(verb, hall=hall)))
--- a/ashlatch/cmdline/gateway.py
+++ b/ashlatch/cmdline/gateway.py
@@ -2,7 +2,8 @@
 ashlatch.cmdline.gateway
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-The `ashlatch-gateway` command: listens, and then loads the rest.
+The `ashlatch-gateway` command: opens the listening socket before it loads the
+other modules, so that the port is bound early.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
--- a/ashlatch/cmdline/gateway_command.py
+++ b/ashlatch/cmdline/gateway_command.py
@@ -2,7 +2,7 @@
 ashlatch.cmdline.gateway_command
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-The options of `ashlatch-gateway`, and its daemon.
+Parses the options of `ashlatch-gateway` and runs its daemon.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -45,7 +45,7 @@
     run(
         "gateway",
         settings,
-        lambda failed: GatewayDaemon(
-            settings, failed, lambda: load(path, GatewaySettings), early
+        lambda on_failure: GatewayDaemon(
+            settings, on_failure, lambda: load(path, GatewaySettings), early
         ),
     )
--- a/ashlatch/cmdline/router.py
+++ b/ashlatch/cmdline/router.py
@@ -32,4 +32,4 @@
         ashlatch-router --settings router-1.json --check-settings
     """
     settings = load_or_exit(path, RouterSettings, check_settings)
-    run("router", settings, lambda failed: RouterDaemon(settings, failed))
+    run("router", settings, lambda on_failure: RouterDaemon(settings, on_failure))
--- a/ashlatch/cmdline/state.py
+++ b/ashlatch/cmdline/state.py
@@ -25,13 +25,15 @@
 @click.command()
 @click.option("--settings", "path", type=Path, required=True, help="JSON file.")
 @click.option("--check-settings", is_flag=True, help="Check the file and exit.")
-@click.option("--initialise", "first", is_flag=True, help="Make a new group and exit.")
+@click.option(
+    "--initialise", "first", is_flag=True, help="Create a new group and exit."
+)
 @click.version_option(__version__)
 def main(path: Path, check_settings: bool, first: bool) -> None:
     """Run one member of the replicated state.
 
-    A member with an empty data folder joins the group of its peers. The very
-    first member of a new group is made once with --initialise:
+    A member with an empty data folder joins the group of its peers. The first
+    member of a new group is created once with --initialise:
 
     \b
         ashlatch-state --settings state-1.json --initialise
@@ -44,6 +46,6 @@
         except FolderExists as error:
             click.echo(str(error), err=True)
             sys.exit(EXIT_FAILED)
-        click.echo(f"made {identity.member_id} in {settings.data_folder}")
+        click.echo(f"created {identity.member_id} in {settings.data_folder}")
         return
-    run("state", settings, lambda failed: StateDaemon(settings, failed))
+    run("state", settings, lambda on_failure: StateDaemon(settings, on_failure))
--- a/ashlatch/explain/__init__.py
+++ b/ashlatch/explain/__init__.py
@@ -2,8 +2,8 @@
 ashlatch.explain
 ~~~~~~~~~~~~~~~~
 
-Explains afterwards what processes did, from nothing but their logs: the story
-of one request, and what each process believed over a span of time.
+Reconstructs from logs alone what processes did: the events of one request, and
+the state that each process logged over a span of time.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
--- a/ashlatch/explain/lines.py
+++ b/ashlatch/explain/lines.py
@@ -2,8 +2,8 @@
 ashlatch.explain.lines
 ~~~~~~~~~~~~~~~~~~~~~~
 
-Reads log lines back into their pairs. What stands before the first pair, such
-as a prefix that a log collector adds, is kept as part of the process's name.
+Parses log lines into key-value pairs. The name of the process is taken from the
+text before the first pair, such as the prefix that a log collector adds.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -19,15 +19,15 @@
 
 # `key=value` or `key="quoted value"`, as `ashlatch.log` writes them.
 _PAIR = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
-# Pairs that say where a line comes from and not what it tells.
+# Keys of every line: they identify the line and are not part of its pairs.
 _METADATA_KEYS = frozenset({"at", "level", "logger", "event"})
-# What collectors put between their prefix and the line.
+# Characters that log collectors put between their prefix and the line.
 _SEPARATORS = ":|[]"
 
 
 @dataclass(frozen=True)
 class Line:
-    """One event. `process` names who wrote it, `at` is its local time."""
+    """A logged event: the process that wrote it, its local time and its pairs."""
 
     process: str
     at: str
@@ -35,25 +35,27 @@
     pairs: dict[str, str]
 
     def get(self, name: str) -> str:
-        """The value of a pair, empty when there is none."""
+        """Returns the value of a pair, empty if there is none."""
         return self.pairs.get(name, "")
 
     def number(self, name: str) -> float:
-        """The value of a pair as a number, 0 when there is none."""
+        """Returns the value of a pair as a number, 0 if missing or not a number."""
         try:
             return float(self.get(name) or 0.0)
         except ValueError:
             return 0.0
 
     def text(self) -> str:
-        """The pairs in the order of the line."""
+        """Formats the pairs in the order of the line."""
         return " ".join(f"{key}={value}" for key, value in self.pairs.items())
 
 
 def parse_line(text: str, source: str) -> Line | None:
-    """One line of a log, or none when it is not one of ours::
+    """Parses a line of a log; returns None if it is not an event of ashlatch.
 
-    parse_line("at=2026-12-02T10:00:00.000 event=reloaded vm=bne-1", "bne-1")
+    `source` is the name of the process if the line has no prefix that names it::
+
+        parse_line("at=2026-12-02T10:00:00.000 event=reloaded vm=bne-1", "bne-1")
     """
     begin = text.find("at=")
     if begin < 0:
@@ -61,13 +63,13 @@
     pairs = {key: _parse_value(raw) for key, raw in _PAIR.findall(text[begin:])}
     if "event" not in pairs:
         return None
-    told = {key: value for key, value in pairs.items() if key not in _METADATA_KEYS}
+    details = {key: value for key, value in pairs.items() if key not in _METADATA_KEYS}
     process = _process_name(source, text[:begin])
-    return Line(process, pairs["at"], pairs["event"], told)
+    return Line(process, pairs["at"], pairs["event"], details)
 
 
 def read_lines(source: str, texts: Iterable[str]) -> Iterator[Line]:
-    """The events of a log; anything else in it is passed over."""
+    """Yields the events of a log and skips all other lines."""
     for text in texts:
         line = parse_line(text, source)
         if line is not None:
@@ -75,7 +77,7 @@
 
 
 def timestamp_s(at: str) -> float:
-    """The time of a line, for the span between two."""
+    """Converts the time of a line to seconds, to compute the span between two."""
     return datetime.fromisoformat(at).timestamp()
 
 
@@ -89,7 +91,7 @@
 
 
 def _process_name(source: str, prefix: str) -> str:
-    """The last word of a prefix that is no number, else the log's own name."""
+    """Returns the last word of a prefix that is not a number, else the source."""
     words = [word.strip(_SEPARATORS) for word in prefix.split()]
     names = [word for word in words if word and not _is_number(word)]
     return names[-1] if names else source
--- a/ashlatch/explain/process_state.py
+++ b/ashlatch/explain/process_state.py
@@ -1,9 +1,9 @@
 """
-ashlatch.explain.belief
-~~~~~~~~~~~~~~~~~~~~~~~
+ashlatch.explain.process_state
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-What a process believed at a time: the newest line of each kind that changes a
-belief. The registry `BELIEFS` names them, with what each of them is about.
+Reconstructs the state that a process had at a time: the latest log line of each
+subject. `STATE_EVENTS` lists the events that change state, and their subjects.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -16,9 +16,9 @@
 
 __all__ = ["STATE_EVENTS", "ProcessStates", "changes_state"]
 
-# Event -> (what it is about, the pair that tells several of them apart).
-# Events about the same thing replace each other: `fleet_regained` ends what
-# `fleet_lost` said.
+# Event -> (subject, key of the pair that distinguishes several such subjects).
+# Events with the same subject replace each other: `fleet_regained` replaces
+# `fleet_lost`.
 STATE_EVENTS: dict[str, tuple[str, str]] = {
     "daemon_started": ("process", ""),
     "stop_begun": ("process", ""),
@@ -35,8 +35,8 @@
     "evacuations_learnt": ("evacuated halls", ""),
     "fleet_lost": ("core", ""),
     "fleet_regained": ("core", ""),
-    "core_chosen": ("core VM that is asked", ""),
-    "core_unreached": ("core VM of the own hall", "member"),
+    "core_chosen": ("selected core VM", ""),
+    "core_unreached": ("core VM of the local hall", "member"),
     "standing_changed": ("leader and members", ""),
     "member_removed": ("removed member", "member"),
     "disk_lost": ("disk", ""),
@@ -50,49 +50,49 @@
     "endpoint_backoff": ("backoff", "instance"),
     "endpoint_sheds_elsewhere": ("backoff of another gateway", "instance"),
     "endpoint_leaves": ("leaving endpoint", "instance"),
-    "content_held": ("held content", "content"),
-    "content_survived": ("held content", "content"),
+    "content_held": ("quarantined fingerprint", "content"),
+    "content_survived": ("quarantined fingerprint", "content"),
     "crashes_noted": ("crash records", ""),
     "gateways_learnt": ("gateways", ""),
     "peers_unavailable": ("datagrams", ""),
-    "memories_read": ("engines' memories", ""),
-    "memory_unread": ("engine's memory", "instance"),
+    "memories_read": ("engines' prefix caches", ""),
+    "memory_unread": ("engine's prefix cache", "instance"),
 }
 
 
 def changes_state(line: Line) -> bool:
-    """Whether a line changes what its process believes."""
+    """Checks whether a line changes the state of its process."""
     return line.event in STATE_EVENTS
 
 
 @dataclass
 class ProcessStates:
-    """The beliefs of all processes, as far as the lines taken so far tell."""
+    """The states of all processes, by the lines applied so far."""
 
     _latest: dict[str, dict[str, Line]] = field(default_factory=dict)
 
     def apply(self, line: Line) -> None:
-        """Note a line, if it changes a belief; a start clears the others."""
-        known = STATE_EVENTS.get(line.event)
-        if known is None:
+        """Applies a line if it changes state; a process start clears the rest."""
+        state_event = STATE_EVENTS.get(line.event)
+        if state_event is None:
             return
-        about, pair = known
-        own = self._latest.setdefault(line.process, {})
+        subject, key = state_event
+        latest = self._latest.setdefault(line.process, {})
         if line.event == "daemon_started":
-            own.clear()
-        own[f"{about} {line.get(pair)}" if pair else about] = line
+            latest.clear()
+        latest[f"{subject} {line.get(key)}" if key else subject] = line
 
     def apply_all(self, lines: Iterable[Line]) -> "ProcessStates":
-        """Note several lines, in their order."""
+        """Applies several lines in their order."""
         for line in lines:
             self.apply(line)
         return self
 
     @property
     def processes(self) -> list[str]:
-        """All processes that have told anything."""
+        """The names of all processes with at least one state event."""
         return sorted(self._latest)
 
     def of(self, process: str) -> dict[str, Line]:
-        """The newest line about each thing, at one process."""
+        """Returns the latest line of each subject at one process."""
         return dict(sorted(self._latest.get(process, {}).items()))
--- a/ashlatch/explain/sessions.py
+++ b/ashlatch/explain/sessions.py
@@ -2,8 +2,8 @@
 ashlatch.explain.sessions
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Follows sessions over all gateways: which version each request of one ran on,
-what that version was chosen by, and which sessions changed their version.
+Follows sessions across all gateways: the version that each request of a session
+ran on, the reason for that choice, and the sessions that changed their version.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
 :license: MIT, see LICENSE for details.
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True)
 class VersionChange:
-    """Two requests of a session that followed each other on unlike versions."""
+    """Two consecutive requests of a session that ran on different versions."""
 
     before: Line
     after: Line
 
     @property
     def summary(self) -> str:
-        """One line on it."""
+        """Describes the change in one line."""
         session = self.after.get("session")
         later_s = timestamp_s(self.after.at) - timestamp_s(self.before.at)
         return (
@@ -41,37 +41,37 @@
 
 
 def explain_session(session: str, lines: list[Line]) -> Iterator[str]:
-    """The sends of a session's requests, at all gateways.
+    """Lists the sends of a session's requests at all gateways.
 
     `lines` are those of all processes, ordered by time.
     """
-    own = [line for line in _send_events(lines) if line.get("session") == session]
-    if not own:
+    sends = [line for line in _send_events(lines) if line.get("session") == session]
+    if not sends:
         yield f"no line names session {session}"
         return
     yield f"session {session}"
-    for line in own:
+    for line in sends:
         yield f"  {line.at} {line.get('request')} {_describe_send(line)}"
 
 
 def explain_version_changes(lines: list[Line]) -> Iterator[str]:
-    """Each change of a session's version, and how many there were each way."""
-    moves = version_changes(lines)
+    """Lists the version changes of sessions, and their number by direction."""
+    changes = version_changes(lines)
     counts: dict[str, int] = {}
-    for move in moves:
-        versions = f"{move.before.get('version')} -> {move.after.get('version')}"
-        way = f"{move.after.get('service')} {versions}"
-        counts[way] = counts.get(way, 0) + 1
-        yield move.summary
-    yield f"{len(moves)} sessions' requests changed their version"
-    for way, count in counts.items():
-        yield f"  {count} {way}"
+    for change in changes:
+        versions = f"{change.before.get('version')} -> {change.after.get('version')}"
+        direction = f"{change.after.get('service')} {versions}"
+        counts[direction] = counts.get(direction, 0) + 1
+        yield change.summary
+    yield f"{len(changes)} version changes between requests of a session"
+    for direction, count in counts.items():
+        yield f"  {count} {direction}"
 
 
 def version_changes(lines: list[Line]) -> list[VersionChange]:
-    """The changes of version between one request of a session and the next.
+    """Finds the version changes between one request of a session and the next.
 
-    The sends of one request are no move: a retry may go elsewhere.
+    The sends of one request are not compared, since a retry may use another version.
     """
     latest: dict[tuple[str, str], Line] = {}
     found = []
@@ -94,6 +94,6 @@
 
 def _describe_send(line: Line) -> str:
     version, reason = line.get("version"), line.get("version_by")
-    heard_ms = line.get("session_ms")
-    heard = "not known there" if heard_ms == "-1" else f"heard of {heard_ms} ms before"
-    return f"{version} at {line.process} by {reason}, {heard}"
+    age_ms = line.get("session_ms")
+    seen = "not known there" if age_ms == "-1" else f"last seen {age_ms} ms before"
+    return f"{version} at {line.process} by {reason}, {seen}"
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -1,4 +1,4 @@
-"""Tests of ashlatchctl, by the commands of docs/OPERATORS.md."""
+"""Tests of the ashlatchctl commands that docs/OPERATORS.md describes."""
 
 import json
 from typing import Any
@@ -24,12 +24,12 @@
 
 
 class CtlTest(testtools.TestCase):
-    def test_the_operators_commands(self) -> None:
+    def test_operator_commands(self) -> None:
         with running() as system:
             system.start_states(3)
             system.start_controls(2)
             wait_until(lambda: system.voters() == 3, "three voters")
-            # The version comes first in the file and second in effect.
+            # The file lists the version before its model; `apply` must reorder them.
             self.check_apply(system, [VERSION, MODEL])
             self.check_changes(system)
             self.check_evacuations(system)
@@ -42,23 +42,23 @@
         self.assertIn("revision 2 in force on 0 routers", first)
         path = system.folder / "again.json"
         path.write_text(json.dumps(resources))
-        again = system.ctl("apply", "-f", str(path)).stdout
-        self.assertEqual(2, again.count("unchanged"))
+        repeated = system.ctl("apply", "-f", str(path)).stdout
+        self.assertEqual(2, repeated.count("unchanged"))
 
     def check_changes(self, system: System) -> None:
         shown = json.loads(system.ctl("get", "model", "small").stdout)
         self.assertEqual(("demo", 1), (shown["changed_by"], shown["revision"]))
         listed = json.loads(system.ctl("get", "version").stdout)
         self.assertEqual(["small-1"], [r["name"] for r in listed["resources"]])
-        used = system.ctl("delete", "model", "small", check=False)
-        self.assertEqual(1, used.returncode)
-        self.assertIn("is used by version/small-1", used.stderr)
+        refused = system.ctl("delete", "model", "small", check=False)
+        self.assertEqual(1, refused.returncode)
+        self.assertIn("is used by version/small-1", refused.stderr)
         withdrawn = system.ctl("withdraw", "small-1", "--wait").stdout
         self.assertIn("in force", withdrawn)
-        bad = system.ctl(
+        invalid = system.ctl(
             "rollout", "r", "--from", "small-1", "--to", "small-2", check=False
         )
-        self.assertEqual(1, bad.returncode)
+        self.assertEqual(1, invalid.returncode)
         lines = system.ctl("watch", "--count", "3").stdout.splitlines()
         accepted = [json.loads(line).get("accepted", {}).get("name") for line in lines]
         self.assertEqual(["small", "small-1", "small-1"], accepted)
@@ -68,8 +68,8 @@
         begun = system.ctl("evacuation", "begin", "logan", "--wait").stdout
         self.assertIn("in force on 0 routers", begun)
         self.assertEqual("logan\n", system.ctl("evacuation", "list").stdout)
-        again = system.ctl("evacuation", "begin", "logan").stdout
-        self.assertIn("evacuation/logan accepted", again)
+        repeated = system.ctl("evacuation", "begin", "logan").stdout
+        self.assertIn("evacuation/logan accepted", repeated)
         self.assertIn("deleted", system.ctl("evacuation", "finish", "logan").stdout)
         self.assertEqual("", system.ctl("evacuation", "list").stdout)
 
@@ -77,11 +77,11 @@
         listed = system.ctl("member", "list").stdout
         self.assertIn("losses_survived=1", listed)
         leader = next(line for line in listed.splitlines() if "role=leader" in line)
-        victim = next(
+        voter = next(
             line.split()[0] for line in listed.splitlines() if "role=voter" in line
         )
-        left = system.ctl("member", "remove", victim).stdout
-        self.assertNotIn(victim, left)
-        self.assertIn(leader.split()[0], left)
+        remaining = system.ctl("member", "remove", voter).stdout
+        self.assertNotIn(voter, remaining)
+        self.assertIn(leader.split()[0], remaining)
         status = json.loads(system.ctl("status").stdout)
         self.assertEqual(2, len(status["members"]))
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,11 +1,11 @@
-"""Tests of ashlatch.cmdline.daemon: how a process is asked to end."""
+"""Tests of ashlatch.cmdline.daemon: signals and failures that end a process."""
 
 import subprocess
 import sys
 
 import testtools
 
-SIGNALLED = """
+SIGNAL_PROGRAM = """
 import os, signal, threading
 from ashlatch.cmdline.daemon import STOP_SIGNALS, Shutdown
 shutdown = Shutdown()
@@ -20,7 +20,7 @@
 shutdown.wait()
 print(shutdown.error)
 """
-FAILED = """
+FAILURE_PROGRAM = """
 import threading
 from ashlatch.cmdline.daemon import Shutdown
 shutdown = Shutdown()
@@ -28,7 +28,7 @@
 shutdown.wait()
 print(repr(shutdown.error))
 """
-LOGGED = """
+LOGGING_PROGRAM = """
 import os, signal, threading
 from ashlatch.cmdline import daemon
 
@@ -50,26 +50,28 @@
 
 daemon.run("x", Settings(), lambda failed: Daemon())
 """
-LIMIT_S = 20.0
+TIMEOUT_S = 20.0
 
 
 class ShutdownTest(testtools.TestCase):
     def run_program(self, program: str) -> list[str]:
         command = [sys.executable, "-c", program]
-        done = subprocess.run(command, capture_output=True, text=True, timeout=LIMIT_S)
+        done = subprocess.run(
+            command, capture_output=True, text=True, timeout=TIMEOUT_S
+        )
         self.assertEqual("", done.stderr)
         return done.stdout.splitlines()
 
-    def test_a_signal_ends_the_wait_and_no_thread_may_take_it(self) -> None:
-        """One did, on a busy machine: the stop was lost with it."""
-        self.assertEqual(["blocked True", "None"], self.run_program(SIGNALLED))
+    def test_stop_signal_ends_the_wait_and_other_threads_block_it(self) -> None:
+        """On a busy machine a signal was delivered to another thread and lost."""
+        self.assertEqual(["blocked True", "None"], self.run_program(SIGNAL_PROGRAM))
 
-    def test_a_failure_in_a_thread_ends_the_wait(self) -> None:
-        self.assertEqual(["ValueError('broken')"], self.run_program(FAILED))
+    def test_failure_in_a_thread_ends_the_wait(self) -> None:
+        self.assertEqual(["ValueError('broken')"], self.run_program(FAILURE_PROGRAM))
 
     def test_every_thread_blocks_the_signals(self) -> None:
-        """Also the thread of the logs; it was the only one that did not."""
-        lines = self.run_program(LOGGED)
-        told = [line for line in lines if line.endswith(("True", "False"))]
-        self.assertIn("log True", told)
-        self.assertEqual([], [line for line in told if line.endswith("False")])
+        """The thread of the logs was the only one that did not."""
+        lines = self.run_program(LOGGING_PROGRAM)
+        states = [line for line in lines if line.endswith(("True", "False"))]
+        self.assertIn("log True", states)
+        self.assertEqual([], [line for line in states if line.endswith("False")])
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,5 +1,5 @@
-"""Tests of `ashlatch.explain` and of `ashlatchctl explain`, by lines that the
-product's own logging writes."""
+"""Tests of `ashlatch.explain` and of `ashlatchctl explain`, on lines in the format of
+the product's log, most of them written by it."""
 
 import io
 import logging
@@ -34,10 +34,10 @@
 at=2026-12-02T10:00:01.200 level=INFO logger=l event=attempt_ended request=r1 \
 instance=i1 outcome=broken detail="reset by peer"
 at=2026-12-02T10:00:01.300 level=INFO logger=l event=request_ended request=r1 status=502
-something that is no line of ours
+a line that is not an event of ashlatch
 at=2026-12-02T10:00:09.000 level=INFO logger=l event=configuration_applied version=8
 """.replace("\\\n", "")
-OTHER = """\
+OTHER_GATEWAY = """\
 at=2026-12-02T10:00:01.150 level=INFO logger=l event=attempt_ended request=r2 \
 instance=i1 outcome=unreachable
 at=2026-12-02T10:00:04.000 level=INFO logger=l event=attempt_ended request=r3 \
@@ -45,8 +45,8 @@
 """.replace("\\\n", "")
 
 
-def logged(*events: LogEvent) -> list[str]:
-    """The lines that the product writes for events."""
+def log_lines(*events: LogEvent) -> list[str]:
+    """Returns the lines that the product logs for events."""
     stream = io.StringIO()
     ashlatch_log.setup(stream)
     for event in events:
@@ -55,72 +55,76 @@
     return stream.getvalue().splitlines()
 
 
-def both() -> list[Line]:
+def both_logs() -> list[Line]:
     lines = [*read_lines("gw-1", GATEWAY.splitlines())]
-    lines += read_lines("gw-2", OTHER.splitlines())
+    lines += read_lines("gw-2", OTHER_GATEWAY.splitlines())
     return sorted(lines, key=lambda line: line.at)
 
 
 class LinesTest(testtools.TestCase):
-    def test_what_is_logged_is_read_back(self) -> None:
+    def test_logged_events_are_parsed(self) -> None:
         started = DaemonStarted("core", "bne 1", 'a "hall"', "10.0.0.1:1", "0.1")
-        (text,) = logged(started)
+        (text,) = log_lines(started)
         line = parse_line(text, "file")
         assert line is not None
         self.assertEqual(("file", "daemon_started"), (line.process, line.event))
-        told = {"daemon": "core", "vm": "bne 1", "hall": 'a "hall"'}
-        self.assertEqual(told, {key: line.get(key) for key in told})
+        pairs = {"daemon": "core", "vm": "bne 1", "hall": 'a "hall"'}
+        self.assertEqual(pairs, {key: line.get(key) for key in pairs})
 
-    def test_prefix(self) -> None:
+    def test_prefix_names_the_process(self) -> None:
         for prefix in ("  12.5 gw-9 ", "gw-9: ", "gw-9 | "):
             line = parse_line(f"{prefix}at=2026-12-02 event=reloaded", "file")
             assert line is not None
             self.assertEqual("gw-9", line.process)
 
-    def test_other_lines(self) -> None:
+    def test_other_lines_are_skipped(self) -> None:
         for text in ("", "Traceback", "at=now but no more"):
             self.assertIsNone(parse_line(text, "file"))
 
 
-class StoryTest(testtools.TestCase):
+class TimelineTest(testtools.TestCase):
     def test_request(self) -> None:
-        told = list(explain_request("r1", both()))
+        shown = list(explain_request("r1", both_logs()))
         order = ["request_sent", "attempt_ended", "request_ended"]
-        self.assertEqual(order, [text.split()[2] for text in told[1:4]])
-        text = "\n".join(told)
+        self.assertEqual(order, [text.split()[2] for text in shown[1:4]])
+        text = "\n".join(shown)
         self.assertIn("configuration_applied version=7 (age 0.500 s)", text)
         self.assertIn("fleet_lost reason=no answer", text)
         self.assertNotIn("version=8", text)
-        self.assertEqual("other requests at i1, all processes: unreachable=1", told[-1])
+        self.assertEqual(
+            "other requests at i1, all processes: unreachable=1", shown[-1]
+        )
 
     def test_unknown_request(self) -> None:
         self.assertEqual(
-            ["no line names request r9"], list(explain_request("r9", both()))
+            ["no line names request r9"], list(explain_request("r9", both_logs()))
         )
 
     def test_span(self) -> None:
         begin, end = "2026-12-02T10:00:01", "2026-12-02T10:00:05"
-        told = list(explain_span(begin, end, both()))
-        gateway = told[: told.index(f"gw-2 at {begin}")]
+        shown = list(explain_span(begin, end, both_logs()))
+        gateway = shown[: shown.index(f"gw-2 at {begin}")]
         self.assertIn("    configuration: configuration_applied version=7", gateway[1])
         self.assertIn("fleet_lost", "".join(gateway))
-        self.assertNotIn("version=8", "".join(told))
-        self.assertIn("    1 502", told)
-        self.assertIn("    1 i1 silent", told)
+        self.assertNotIn("version=8", "".join(shown))
+        self.assertIn("    1 502", shown)
+        self.assertIn("    1 i1 silent", shown)
 
-    def test_a_start_forgets(self) -> None:
-        again = [
+    def test_process_start_clears_its_state(self) -> None:
+        restarted = [
             *read_lines("gw-1", GATEWAY.splitlines()),
             *read_lines(
                 "gw-1", ["at=2026-12-02T10:00:10.000 event=daemon_started daemon=g"]
             ),
         ]
-        told = list(explain_span("2026-12-02T10:00:11", "2026-12-02T10:00:12", again))
-        self.assertNotIn("configuration", "".join(told))
+        shown = list(
+            explain_span("2026-12-02T10:00:11", "2026-12-02T10:00:12", restarted)
+        )
+        self.assertNotIn("configuration", "".join(shown))
 
 
 class SessionsTest(testtools.TestCase):
-    """A session that a load test moves, and another gateway sends back."""
+    """A load test changes the version of a session; another gateway reverts it."""
 
     SENDS = (
         "at=2026-12-02T10:00:01.000 event=request_sent request=r1 session=s1 "
@@ -146,28 +150,28 @@
         ]
 
     def test_session(self) -> None:
-        told = list(explain_session("s1", self.lines))
-        self.assertEqual(6, len(told))
-        self.assertIn("r2 v1 at b by share, not known there", told[4])
+        shown = list(explain_session("s1", self.lines))
+        self.assertEqual(6, len(shown))
+        self.assertIn("r2 v1 at b by share, not known there", shown[4])
         self.assertEqual(
             ["no line names session s9"], list(explain_session("s9", self.lines))
         )
 
-    def test_moves(self) -> None:
-        """The attempts of one request, and other services, are no moves."""
-        (move,) = version_changes(self.lines)
-        self.assertEqual(("a", "b"), (move.before.process, move.after.process))
-        told = list(explain_version_changes(self.lines))
-        self.assertEqual("  1 app v2 -> v1", told[-1])
+    def test_version_changes(self) -> None:
+        """Attempts of one request and sends of other services are not compared."""
+        (change,) = version_changes(self.lines)
+        self.assertEqual(("a", "b"), (change.before.process, change.after.process))
+        shown = list(explain_version_changes(self.lines))
+        self.assertEqual("  1 app v2 -> v1", shown[-1])
 
 
 class EventsTest(testtools.TestCase):
-    def test_every_belief_is_an_event_of_the_product(self) -> None:
+    def test_every_state_event_exists(self) -> None:
         self.assertTrue(seeds.__all__ and suspension.__all__)
         self.assertEqual(set(), set(STATE_EVENTS) - set(event_names(LogEvent)))
 
-    def test_gateways_and_core_are_covered(self) -> None:
-        decisions = {
+    def test_every_event_of_gateways_and_core_is_classified(self) -> None:
+        other_events = {
             "request_sent",
             "answer_weighed",
             "attempt_ended",
@@ -183,12 +187,12 @@
             "crash_noted",
             "request_held",
             "crashes_unnoted",
-            # No decision either: sums for whoever asks what a hall costs.
+            # Neither a decision nor state: totals for the cost of a hall.
             "traffic_counted",
         }
         for module in (gateway_logs, fleet_logs):
             names = {getattr(module, name).event for name in module.__all__}
-            self.assertEqual(set(), names - set(STATE_EVENTS) - decisions)
+            self.assertEqual(set(), names - set(STATE_EVENTS) - other_events)
 
 
 def event_names(base: type[LogEvent]) -> Iterator[str]:
@@ -198,20 +202,20 @@
 
 
 class CommandTest(testtools.TestCase):
-    def run_with(self, *arguments: str) -> click.testing.Result:
+    def run_explain(self, *arguments: str) -> click.testing.Result:
         return click.testing.CliRunner().invoke(main, ["explain", *arguments])
 
-    def test_command(self) -> None:
+    def test_request_option(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             files = [Path(folder, name) for name in ("gw-1.log", "gw-2.log")]
-            for path, text in zip(files, (GATEWAY, OTHER), strict=True):
+            for path, text in zip(files, (GATEWAY, OTHER_GATEWAY), strict=True):
                 path.write_text(text)
-            done = self.run_with("--request", "r1", *map(str, files))
+            done = self.run_explain("--request", "r1", *map(str, files))
         self.assertEqual(0, done.exit_code, done.output)
         self.assertIn("gw-1 request_ended status=502", done.output)
         self.assertIn("unreachable=1", done.output)
 
-    def test_what_is_asked_must_be_clear(self) -> None:
+    def test_exactly_one_selection_is_required(self) -> None:
         for arguments in (
             [],
             ["--from", "a"],
@@ -219,13 +223,13 @@
             ["--request", "r", "--session", "s"],
             ["--session", "s", "--moves"],
         ):
-            done = self.run_with(*arguments)
+            done = self.run_explain(*arguments)
             self.assertEqual(2, done.exit_code)
             self.assertIn("give either --request, or --from and --to", done.output)
 
 
 class CrashesTest(testtools.TestCase):
-    """Why a request was refused whose content ends endpoints."""
+    """A request is refused because its fingerprint crashed endpoints."""
 
     LINES = (
         "at=2026-12-02T10:00:01.000 event=request_sent request=r1 content=c7 "
@@ -240,25 +244,25 @@
         "reason=quarantined",
     )
 
-    def test_the_crashes_of_other_tries_are_shown(self) -> None:
+    def test_crashes_by_other_requests_are_shown(self) -> None:
         lines = list(read_lines("edge-1", self.LINES))
-        told = "\n".join(explain_request("r2", lines))
-        self.assertIn("request_held", told)
-        self.assertIn("other requests with the content c7", told)
-        self.assertIn("crash_noted request=r1", told)
-        self.assertNotIn("r9", told)
+        shown = "\n".join(explain_request("r2", lines))
+        self.assertIn("request_held", shown)
+        self.assertIn("other requests with the fingerprint c7", shown)
+        self.assertIn("crash_noted request=r1", shown)
+        self.assertNotIn("r9", shown)
 
 
 class EvacuationTest(testtools.TestCase):
-    """An operator asks why a request was refused while its hall was emptied."""
+    """A request is refused while its hall is evacuated."""
 
-    def test_the_evacuation_is_told_with_the_request(self) -> None:
+    def test_evacuation_is_shown_with_the_request(self) -> None:
         events = (
             gateway_logs.EvacuationsChanged(3, 2, "logan", 47, 0),
             gateway_logs.RequestEnded("r1", "ask", 4, 503, "evacuated", 0, 0, 0, 0, 1),
         )
-        lines = list(read_lines("gw-1", logged(*events)))
-        told = "\n".join(explain_request("r1", lines))
-        self.assertIn("reason=evacuated", told)
-        self.assertIn("evacuated halls: evacuations_learnt number=3", told)
-        self.assertIn("halls=logan endpoints=47", told)
+        lines = list(read_lines("gw-1", log_lines(*events)))
+        shown = "\n".join(explain_request("r1", lines))
+        self.assertIn("reason=evacuated", shown)
+        self.assertIn("evacuated halls: evacuations_learnt number=3", shown)
+        self.assertIn("halls=logan endpoints=47", shown)
