--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -33,21 +33,23 @@
 from ashlatch.store.machine import Machine
 from ashlatch.store.protocol import RouterPoll, RouterReply, VersionReport
 from bench.router import memory_mb, processor_s
-from bench.table import row, title
+from bench.table import print_row, print_title
 from tests.small_system import start_small_system
 
-_HANDLERS_OF = (membership, placement, rollout)
+_HANDLER_MODULES = (membership, placement, rollout)
 
 RECORDS = (1_000, 10_000, 40_000)
 ENDPOINTS = (10, 100, 1_400)
 VERSIONS = (3, 10, 30)
 ANSWER_BYTES = 2_000
 IDLE_S = 8.0
-PERIODS = ((250.0, 400.0), (1000.0, 400.0), (1000.0, 1500.0))
+POLL_PERIODS_MS = ((250.0, 400.0), (1000.0, 400.0), (1000.0, 1500.0))
 
 
-def ledger() -> None:
-    title("The ledger, by records: memory, snapshot, time for a claim and a record")
+def measure_ledger() -> None:
+    print_title(
+        "The ledger, by records: memory, snapshot, time for a claim and a record"
+    )
     for kept in (False, True):
         for count in RECORDS:
             gc.collect()
@@ -61,7 +63,7 @@
             tracemalloc.stop()
             began_s = time.perf_counter()
             snapshot = machine.snapshot()
-            row(
+            print_row(
                 f"{count} records, answers {'kept' if kept else 'not kept'}",
                 bytes_a_record=memory_bytes / count,
                 snapshot_bytes_a_record=len(snapshot) / count,
@@ -70,16 +72,16 @@
             )
 
 
-def add_record(machine: Machine, number: int, kept: bool) -> None:
+def add_record(machine: Machine, number: int, stored: bool) -> None:
     key = RequestKey(f"org-{number % 10}", f"{number:032x}")
     body = b"%08d" % number * (ANSWER_BYTES // 8)
-    answer = StoredAnswer(200, "application/json", body) if kept else None
+    answer = StoredAnswer(200, "application/json", body) if stored else None
     candidate = VersionCandidate("v", 1000, ("v",))
     machine.step(Claim(key, f"r/{number:032x}", f"{number:032x}", "r", True, candidate))
     machine.step(RecordAnswer(key, 1, "v", Usage(1, 2, 3), answer, 0))
 
 
-def resources(endpoints: int) -> tuple[Resource, ...]:
+def build_resources(endpoints: int) -> tuple[Resource, ...]:
     specs: list[tuple[str, str, dict[str, Any]]] = [
         ("pool", "lm", {"report_url": "http://x"})
     ]
@@ -92,7 +94,7 @@
     )
 
 
-def put(resource: Resource) -> PutResource:
+def build_change(resource: Resource) -> PutResource:
     """The change that creates a resource."""
     change_id = f"c/{resource.kind}/{resource.name}"
     return PutResource(
@@ -100,10 +102,10 @@
     )
 
 
-def configuration() -> None:
-    title("The configuration and control, by endpoints")
+def measure_configuration() -> None:
+    print_title("The configuration and control, by endpoints")
     for count in ENDPOINTS:
-        found = resources(count)
+        found = build_resources(count)
         machine = Machine()
         for resource in found:
             machine.step(
@@ -139,7 +141,7 @@
                 core.step(0.0, event)
             took_ms = (time.perf_counter() - began_s) * 200.0
             figures[f"{type(event).__name__}_ms"] = took_ms
-        row(
+        print_row(
             f"{count} endpoints",
             full_read_bytes=len(encode(found)),
             snapshot_bytes=len(machine.snapshot()),
@@ -147,8 +149,8 @@
         )
 
 
-def messages() -> None:
-    title("Bytes of a heartbeat, by versions in use")
+def measure_messages() -> None:
+    print_title("Bytes of a heartbeat, by versions in use")
     for count in VERSIONS:
         reports = tuple(
             VersionReport(f"model-{n}-version-{n}", 10**6, 10**3, 1234567.89)
@@ -158,7 +160,7 @@
             "vm-123/0123456789ab", "vm-123", "nbo-a", 12345, 3000.0, reports
         )
         reply = RouterReply(True, "10.0.0.1:7000", 8000.0, 12345, totals=reports)
-        row(f"{count} versions", poll=len(encode(poll)), reply=len(encode(reply)))
+        print_row(f"{count} versions", poll=len(encode(poll)), reply=len(encode(reply)))
     endpoint = {
         "vm": "pick-assist-123",
         "age_ms": 123.4,
@@ -168,12 +170,12 @@
         "versions": [f"model-{n}-version-{n}" for n in range(6)],
         "leaving": False,
     }
-    row("load report", json_bytes_an_endpoint=len(json.dumps(endpoint)))
+    print_row("load report", json_bytes_an_endpoint=len(json.dumps(endpoint)))
 
 
-def idle() -> None:
-    title("Daemons at rest: processor time, by how often they look")
-    for load_ms, held_ms in PERIODS:
+def measure_idle_daemons() -> None:
+    print_title("Daemons at rest: processor time, by how often they look")
+    for load_ms, held_ms in POLL_PERIODS_MS:
         extra = {"load_poll_ms": load_ms, "poll_wait_ms": held_ms}
         with start_small_system(routers=1, router_extra=extra) as found:
             system = found.system
@@ -183,7 +185,7 @@
             time.sleep(IDLE_S)
             for daemon, used_s in zip(daemons, before, strict=True):
                 mark = " (leader)" if daemon is leader else ""
-                row(
+                print_row(
                     f"{daemon.process.name}{mark}, {load_ms:.0f}/{held_ms:.0f} ms",
                     core_ratio=(processor_s(daemon) - used_s) / IDLE_S,
                     memory_mb=memory_mb(daemon),
@@ -191,10 +193,10 @@
 
 
 def main() -> None:
-    ledger()
-    configuration()
-    messages()
-    idle()
+    measure_ledger()
+    measure_configuration()
+    measure_messages()
+    measure_idle_daemons()
 
 
 if __name__ == "__main__":
--- a/bench/choice.py
+++ b/bench/choice.py
@@ -16,22 +16,22 @@
 from ashlatch.gateway.sessions import SessionVersions
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
-from bench.table import row, spread, title
+from bench.table import format_spread, print_row, print_title
 
 ENGINES = (9, 70, 140)
 CHOICES = 300
 ROUNDS = 5
 NOW_MS = 1000.0
-MEMORY_TOKENS = 500_000
-SUBJECTS = 2000
-SERVICE = Service("app", 480, EngineSpec(12, MEMORY_TOKENS, 11, ()), 3000.0, 10.0)
+CACHE_TOKENS = 500_000
+TOPICS = 2000
+SERVICE = Service("app", 480, EngineSpec(12, CACHE_TOKENS, 11, ()), 3000.0, 10.0)
 
 
-def ask(number: int) -> CallerRequest:
+def build_request(number: int) -> CallerRequest:
     """A long prompt about one of many subjects, in a session of its own."""
     parts = (
         PromptPart(f"s{number % 3}", 512),
-        PromptPart(f"t{number % SUBJECTS}", 4870),
+        PromptPart(f"t{number % TOPICS}", 4870),
         PromptPart(f"u{number}", 1200),
     )
     return CallerRequest(
@@ -54,7 +54,7 @@
     )
 
 
-def knowledge(engines: int) -> GatewayContext:
+def build_context(engines: int) -> GatewayContext:
     """What a gateway knows after some thousand prompts."""
     known = GatewayContext(
         "h0",
@@ -72,34 +72,34 @@
     states = list(known.directory.all())
     for number in range(3000):
         state = states[number % engines]
-        parts = ask(number).prompt_parts
+        parts = build_request(number).prompt_parts
         known.prefix_caches.record_prefill(
-            state.endpoint.instance, "m", parts, MEMORY_TOKENS, NOW_MS
+            state.endpoint.instance, "m", parts, CACHE_TOKENS, NOW_MS
         )
         state.apply_load(LoadFigures(number % 9, 0, 12), NOW_MS)
     return known
 
 
-def choice_ms(known: GatewayContext) -> float:
+def measure_choice_ms(context: GatewayContext) -> float:
     """The mean processor time of one choice."""
     begun_s = time.process_time()
     for number in range(CHOICES):
-        asked = ask(number)
-        states = known.directory.of_service(SERVICE.name)
-        allowed = known.versions.allowed(
+        asked = build_request(number)
+        states = context.directory.of_service(SERVICE.name)
+        allowed = context.versions.allowed(
             SERVICE.name, asked.session, asked.request_id, states, NOW_MS
         )
         send = Send(asked, "m", 500.0)
-        choose_endpoint(known, SERVICE, allowed, frozenset(), send, NOW_MS)
+        choose_endpoint(context, SERVICE, allowed, frozenset(), send, NOW_MS)
     return (time.process_time() - begun_s) / CHOICES * 1000.0
 
 
 def main() -> None:
-    title("A choice of an engine, processor time")
+    print_title("A choice of an engine, processor time")
     for engines in ENGINES:
-        known = knowledge(engines)
-        times = [choice_ms(known) for _ in range(ROUNDS)]
-        row(f"{engines} engines", ms=spread(times))
+        known = build_context(engines)
+        times = [measure_choice_ms(known) for _ in range(ROUNDS)]
+        print_row(f"{engines} engines", ms=format_spread(times))
 
 
 if __name__ == "__main__":
--- a/bench/core.py
+++ b/bench/core.py
@@ -18,7 +18,7 @@
     Rejected,
     RequestArrived,
 )
-from bench.table import row, title
+from bench.table import print_row, print_title
 from tests.test_router import request, table
 
 ENDPOINTS = (10, 100, 1400)
@@ -26,7 +26,7 @@
 DECISIONS = 300
 
 
-def build(endpoints: int, versions: int) -> tuple[RouterCore, float]:
+def build_core(endpoints: int, versions: int) -> tuple[RouterCore, float]:
     """A core with a configuration of this size, and the time to apply it."""
     endpoint = {"pool": "lm", "url": "http://e", "vm": "e", "hall": "logan"}
     specs: dict[str, Any] = {f"endpoint__n{i}": endpoint for i in range(endpoints)}
@@ -52,15 +52,15 @@
 
 
 def main() -> None:
-    title("The core: decisions a second and memory")
+    print_title("The core: decisions a second and memory")
     for versions in VERSIONS:
         for endpoints in ENDPOINTS:
             tracemalloc.start()
-            core, apply_s = build(endpoints, versions)
+            core, apply_s = build_core(endpoints, versions)
             memory_mb = tracemalloc.get_traced_memory()[0] / 1e6
             tracemalloc.stop()
-            rate = decide(core)
-            row(
+            rate = measure_decisions_per_s(core)
+            print_row(
                 f"{endpoints} endpoints, {versions} versions",
                 decisions_a_second=rate,
                 us_a_decision=1e6 / rate,
@@ -69,7 +69,7 @@
             )
 
 
-def decide(core: RouterCore) -> float:
+def measure_decisions_per_s(core: RouterCore) -> float:
     began_s = time.perf_counter()
     for number in range(DECISIONS):
         asked = dataclasses.replace(request(), request_id=f"q{number}")
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -12,7 +12,7 @@
 
 from ashlatch.policy.quality import QualityTracker
 from ashlatch.policy.version import VERSION_POLICIES, Goal, Option, best_mix
-from bench.table import row, spread, title
+from bench.table import format_spread, print_row, print_title
 
 REQUESTS = 20_000
 RATED_RATIO = 0.2
@@ -40,19 +40,19 @@
     rungs: tuple[Rung, ...]
 
 
-TWO = (Rung("small", 1.0, 0.70, 0.72), Rung("large", 10.0, 0.90, 0.90))
-WRONG = (Rung("small", 1.0, 0.70, 0.88), Rung("large", 10.0, 0.90, 0.75))
-FOUR = (
+TWO_RUNGS = (Rung("small", 1.0, 0.70, 0.72), Rung("large", 10.0, 0.90, 0.90))
+WRONG_PRIORS = (Rung("small", 1.0, 0.70, 0.88), Rung("large", 10.0, 0.90, 0.75))
+FOUR_RUNGS = (
     Rung("a", 1.0, 0.60, 0.65),
     Rung("b", 2.5, 0.74, 0.70),
     Rung("c", 6.0, 0.78, 0.85),
     Rung("d", 14.0, 0.92, 0.90),
 )
 CASES = (
-    Case("two rungs, target 0.78", 0.78, TWO),
-    Case("two rungs, wrong priors", 0.78, WRONG),
-    Case("four rungs, target 0.80", 0.80, FOUR),
-    Case("target met by the cheapest", 0.65, TWO),
+    Case("two rungs, target 0.78", 0.78, TWO_RUNGS),
+    Case("two rungs, wrong priors", 0.78, WRONG_PRIORS),
+    Case("four rungs, target 0.80", 0.80, FOUR_RUNGS),
+    Case("target met by the cheapest", 0.65, TWO_RUNGS),
 )
 
 
@@ -70,7 +70,7 @@
     shares: Counter[str]
 
 
-def run(policy: str, case: Case, seed: int) -> Outcome:
+def simulate_policy(policy: str, case: Case, seed: int) -> Outcome:
     """All requests of one route through one policy."""
     generator = random.Random(f"{seed}/{policy}")
     chooser = VERSION_POLICIES.get(policy)()
@@ -100,27 +100,29 @@
     return Outcome(price / REQUESTS, quality / REQUESTS, shares)
 
 
-def hindsight(case: Case) -> float:
+def hindsight_price(case: Case) -> float:
     """The price of the best fixed mix, the true qualities known."""
     options = tuple(Option(r.version, r.price, r.quality) for r in case.rungs)
     return best_mix(options, case.target).price
 
 
 def main() -> None:
-    title(
+    print_title(
         f"Cost at the quality target: {REQUESTS} requests, {RATED_RATIO:.0%} rated,"
         f" beta-distributed with sharpness {RATING_SHARPNESS},"
         f" about {RATING_DELAY_REQUESTS} requests late"
     )
     for case in CASES:
         print(f"# {case.name}")
-        best = hindsight(case)
+        best = hindsight_price(case)
         for policy in VERSION_POLICIES.names():
-            outcomes = [run(policy, case, seed) for seed in SEEDS]
-            row(
+            outcomes = [simulate_policy(policy, case, seed) for seed in SEEDS]
+            print_row(
                 policy,
-                cost_to_hindsight=spread([o.price / best for o in outcomes]),
-                quality_to_target=spread([o.quality / case.target for o in outcomes]),
+                cost_to_hindsight=format_spread([o.price / best for o in outcomes]),
+                quality_to_target=format_spread(
+                    [o.quality / case.target for o in outcomes]
+                ),
             )
 
 
--- a/bench/exposure.py
+++ b/bench/exposure.py
@@ -13,10 +13,10 @@
 from ashlatch.policy.detector import Detector, VersionTally
 from ashlatch.policy.slowness import LatencyHistory, apply_tallies
 from bench.cost import draw_rating
-from bench.table import row, spread, title
+from bench.table import format_spread, print_row, print_title
 
 EXCHANGE_MS = 400.0
-SOON_MS = 100.0
+SUSPECTED_EXCHANGE_MS = 100.0
 RATING_DELAY_MS = 1000.0
 HEALTHY_QUALITY = 0.8
 HEALTHY_ERROR_RATIO = 0.003
@@ -42,19 +42,19 @@
 
 
 HEALTHY = Health()
-TURNS = {
+REGRESSIONS = {
     "quality halves": Health(quality=HEALTHY_QUALITY / 2),
     "30% errors": Health(error_ratio=0.30),
     "4x latency": Health(slowdown=4.0),
 }
 
 
-class Watch:
+class WatchedVersion:
     """One version under the routers' shared detector."""
 
     def __init__(self, seed: int, answers_per_s: float, rated_ratio: float) -> None:
         self.random = random.Random(seed)
-        self.gap_ms = 1000.0 / answers_per_s
+        self.mean_gap_ms = 1000.0 / answers_per_s
         self.rated_ratio = rated_ratio
         self.detector = Detector(HEALTHY_QUALITY)
         self.ratings: list[tuple[float, float]] = []
@@ -69,11 +69,11 @@
 
         The more it is suspected, the more requests go to another version.
         """
-        self.now_ms += self.random.expovariate(1.0 / self.gap_ms)
+        self.now_ms += self.random.expovariate(1.0 / self.mean_gap_ms)
         spared = self.random.random() < self.detector.diverted_ratio
         if not spared:
             self.answer(health)
-        self.learn()
+        self.apply_due()
         return not spared
 
     def answer(self, health: Health) -> None:
@@ -89,7 +89,7 @@
                 late_ms = self.random.expovariate(1.0 / RATING_DELAY_MS)
                 heapq.heappush(self.ratings, (self.now_ms + late_ms, rating))
 
-    def learn(self) -> None:
+    def apply_due(self) -> None:
         while self.ratings and self.ratings[0][0] <= self.now_ms:
             self.detector.add_rating(heapq.heappop(self.ratings)[1])
         if self.now_ms >= self.exchange_ms:
@@ -97,7 +97,9 @@
 
     def exchange(self) -> None:
         soon = self.detector.suspected
-        self.exchange_ms = self.now_ms + (SOON_MS if soon else EXCHANGE_MS)
+        self.exchange_ms = self.now_ms + (
+            SUSPECTED_EXCHANGE_MS if soon else EXCHANGE_MS
+        )
         tally = VersionTally(self.answers, self.errors, self.answers, self.log_latency)
         if tally.answers or tally.errors:
             self.detector.add_tally(tally)
@@ -105,9 +107,9 @@
         self.log_latency = 0.0
 
 
-def exposure(seed: int, rate: float, rated: float, turned: Health) -> int:
+def measure_exposure(seed: int, rate: float, rated: float, turned: Health) -> int:
     """Bad answers from the turn to the last one."""
-    watch = Watch(seed, rate, rated)
+    watch = WatchedVersion(seed, rate, rated)
     for _ in range(WARM_ANSWERS):
         watch.request(HEALTHY)
     given = 0
@@ -116,7 +118,7 @@
     return given
 
 
-def naive_exposure(seed: int, rate: float, turned: Health) -> int:
+def measure_naive_exposure(seed: int, rate: float, turned: Health) -> int:
     """A gate that looks at the last 200 answers' error share only."""
     generator = random.Random(seed)
     window: list[bool] = [False] * 200
@@ -127,7 +129,7 @@
     return ANSWERS_MAX
 
 
-class ComparedWatch(Watch):
+class ComparedVersion(WatchedVersion):
     """The same beside a costlier version, which a request in a hundred explores.
 
     What is spared goes to it. `shared_slowdown` holds for both.
@@ -137,8 +139,8 @@
         super().__init__(seed, answers_per_s, 0.2)
         self.compares = compares
         self.shared_slowdown = 1.0
-        self.paces = LatencyHistory()
-        self.other = Detector(HEALTHY_QUALITY)
+        self.latency_history = LatencyHistory()
+        self.other_detector = Detector(HEALTHY_QUALITY)
         self.other_answers = 0
         self.other_log_latency = 0.0
 
@@ -146,7 +148,7 @@
         explores = self.random.random() < EXPLORED_RATIO
         answered = not explores and super().request(health)
         if explores:
-            self.now_ms += self.random.expovariate(1.0 / self.gap_ms)
+            self.now_ms += self.random.expovariate(1.0 / self.mean_gap_ms)
         if not answered:
             self.other_answers += 1
             log_latency = self.random.gauss(OTHER_LOG_MEAN, LATENCY_LOG_SD)
@@ -158,27 +160,31 @@
             super().exchange()
             return
         soon = self.detector.suspected
-        self.exchange_ms = self.now_ms + (SOON_MS if soon else EXCHANGE_MS)
+        self.exchange_ms = self.now_ms + (
+            SUSPECTED_EXCHANGE_MS if soon else EXCHANGE_MS
+        )
         answers, others = self.answers, self.other_answers
         tallies = {
             "watched": VersionTally(answers, self.errors, answers, self.log_latency),
             "other": VersionTally(others, 0, others, self.other_log_latency),
         }
-        detectors = {"watched": self.detector, "other": self.other}
-        apply_tallies(detectors, self.paces, tallies, PRICES.__getitem__, self.now_ms)
+        detectors = {"watched": self.detector, "other": self.other_detector}
+        apply_tallies(
+            detectors, self.latency_history, tallies, PRICES.__getitem__, self.now_ms
+        )
         self.answers = self.errors = self.other_answers = 0
         self.log_latency = self.other_log_latency = 0.0
 
 
-def compared(rate: float, compares: bool) -> tuple[list[float], int]:
+def measure_compared(rate: float, compares: bool) -> tuple[list[float], int]:
     """Bad answers of a version that turns 4 times as slow of itself, and how often
     it is withdrawn when everything does, of as many seeds.
     """
     bad: list[float] = []
     withdrawn = 0
     for seed in SEEDS:
-        alone = ComparedWatch(seed, rate, compares)
-        shared = ComparedWatch(seed, rate, compares)
+        alone = ComparedVersion(seed, rate, compares)
+        shared = ComparedVersion(seed, rate, compares)
         for _ in range(WARM_ANSWERS):
             alone.request(HEALTHY)
             shared.request(HEALTHY)
@@ -193,13 +199,13 @@
     return bad, withdrawn
 
 
-def false_alarms(seeds: tuple[int, ...]) -> tuple[int, float]:
+def count_false_alarms(seeds: tuple[int, ...]) -> tuple[int, float]:
     """Healthy runs of 100,000 answers in which the detector cried, and the
     share of their requests that went to another version on suspicion.
     """
     cried = spared = 0
     for seed in seeds:
-        watch = Watch(seed, 50.0, 0.2)
+        watch = WatchedVersion(seed, 50.0, 0.2)
         for _ in range(HEALTHY_ANSWERS):
             spared += not watch.request(HEALTHY)
         cried += watch.detector.bad
@@ -207,26 +213,30 @@
 
 
 def main() -> None:
-    title(f"Exposure: bad answers from the turn to the last, {len(SEEDS)} seeds")
+    print_title(f"Exposure: bad answers from the turn to the last, {len(SEEDS)} seeds")
     for rate, rated in ((5.0, 0.2), (20.0, 0.2), (50.0, 0.2), (20.0, 1.0)):
         print(f"# {rate:g} answers/s of the version, {rated:.0%} rated")
-        for name, health in TURNS.items():
-            ours = [float(exposure(s, rate, rated, health)) for s in SEEDS]
-            naive = [float(naive_exposure(s, rate, health)) for s in SEEDS]
-            row(name, bad_answers=spread(ours), last_200_errors=spread(naive))
-    title("Latency, held to the version's own pace, and beside another version")
+        for name, health in REGRESSIONS.items():
+            ours = [float(measure_exposure(s, rate, rated, health)) for s in SEEDS]
+            naive = [float(measure_naive_exposure(s, rate, health)) for s in SEEDS]
+            print_row(
+                name,
+                bad_answers=format_spread(ours),
+                last_200_errors=format_spread(naive),
+            )
+    print_title("Latency, held to the version's own pace, and beside another version")
     for rate in (5.0, 20.0, 50.0):
         for name, compares in (("own pace", False), ("beside another", True)):
-            bad, withdrawn = compared(rate, compares)
-            row(
+            bad, withdrawn = measure_compared(rate, compares)
+            print_row(
                 f"{name}, {rate:g}/s",
-                bad_answers=spread(bad),
+                bad_answers=format_spread(bad),
                 withdrawn_when_all_slow=f"{withdrawn} of {len(SEEDS)}",
             )
-    title("False alarms")
+    print_title("False alarms")
     seeds = (101, 102, 103, 104, 105)
-    cried, spared = false_alarms(seeds)
-    row(
+    cried, spared = count_false_alarms(seeds)
+    print_row(
         "healthy",
         runs=len(seeds),
         answers_a_run=HEALTHY_ANSWERS,
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from datetime import UTC, datetime
 
-from bench.table import percentile, row, title
+from bench.table import percentile, print_row, print_title
 from tests.fleet import READY_PORT, Fleet, wait_for
 
 GATEWAYS = (2, 8, 24)
@@ -25,7 +25,7 @@
     received_bytes: int
 
 
-def usage(fleet: Fleet, host: str) -> Usage:
+def read_usage(fleet: Fleet, host: str) -> Usage:
     messages = fleet.read_counter(host, "calls_sent") + fleet.read_counter(
         host, "calls_received"
     )
@@ -35,7 +35,7 @@
     return Usage(processor_s, messages, sent_bytes, received_bytes)
 
 
-def started(count: int) -> Fleet:
+def start_fleet(count: int) -> Fleet:
     fleet = Fleet()
     fleet.bootstrap()
     fleet.replace_until_accepted(3)
@@ -44,34 +44,34 @@
     return fleet
 
 
-def gateways(fleet: Fleet) -> list[str]:
+def gateway_hosts(fleet: Fleet) -> list[str]:
     return [host for host in fleet.processes if host not in fleet.hosts]
 
 
-def ready(fleet: Fleet, host: str) -> bool:
+def is_ready(fleet: Fleet, host: str) -> bool:
     return fleet.call(host, "GET", "/-/readyz", port=READY_PORT)[0] == 200
 
 
 def wait_ready(fleet: Fleet) -> None:
-    hosts = gateways(fleet)
-    wait_for(lambda: all(ready(fleet, host) for host in hosts), "gateways ready")
+    hosts = gateway_hosts(fleet)
+    wait_for(lambda: all(is_ready(fleet, host) for host in hosts), "gateways ready")
 
 
-def idle(fleet: Fleet) -> None:
+def measure_idle(fleet: Fleet) -> None:
     """Rates of the leader, of the other core VMs and of the gateways."""
-    before = {host: usage(fleet, host) for host in fleet.processes}
+    before = {host: read_usage(fleet, host) for host in fleet.processes}
     time.sleep(IDLE_S)
     leader = fleet.leader()
     roles = {
         "leader": [leader],
         "other core VMs": [host for host in fleet.hosts if host != leader],
-        "gateways": gateways(fleet),
+        "gateways": gateway_hosts(fleet),
     }
     for role, hosts in roles.items():
-        used = [(before[host], usage(fleet, host)) for host in hosts]
+        used = [(before[host], read_usage(fleet, host)) for host in hosts]
         count = len(hosts) * IDLE_S
-        row(
-            f"{len(gateways(fleet))} gateways, {role}",
+        print_row(
+            f"{len(gateway_hosts(fleet))} gateways, {role}",
             messages_per_s=sum(b.messages - a.messages for a, b in used) / count,
             sent_b_per_s=sum(b.sent_bytes - a.sent_bytes for a, b in used) / count,
             received_b_per_s=sum(b.received_bytes - a.received_bytes for a, b in used)
@@ -81,19 +81,19 @@
         )
 
 
-def in_force(fleet: Fleet) -> None:
+def measure_in_force(fleet: Fleet) -> None:
     """From an acknowledgement until every gateway handles requests by it."""
     took_ms = []
     acknowledged_ms = []
-    hosts = gateways(fleet)
+    hosts = gateway_hosts(fleet)
     for version in range(10, 10 + CHANGES):
         began_s = time.time()
         assert fleet.replace(fleet.hosts[version % 5], version) == 200
         done_s = time.time()
         acknowledged_ms.append((done_s - began_s) * 1000.0)
-        last_s = max(applied_s(fleet, host, version) for host in hosts)
+        last_s = max(applied_at_s(fleet, host, version) for host in hosts)
         took_ms.append((last_s - done_s) * 1000.0)
-    row(
+    print_row(
         f"{len(hosts)} gateways, changes",
         acknowledged_p50_ms=percentile(acknowledged_ms, 50),
         acknowledged_p99_ms=percentile(acknowledged_ms, 99),
@@ -102,7 +102,7 @@
     )
 
 
-def applied_s(fleet: Fleet, host: str, version: int) -> float:
+def applied_at_s(fleet: Fleet, host: str, version: int) -> float:
     """When a gateway took a version over, by its log."""
     event = f"event=configuration_applied version={version} "
     process = fleet.processes[host]
@@ -113,13 +113,13 @@
 
 
 def main() -> None:
-    title("A fleet without requests, by gateways")
+    print_title("A fleet without requests, by gateways")
     for count in GATEWAYS:
-        fleet = started(count)
+        fleet = start_fleet(count)
         try:
             wait_ready(fleet)
-            idle(fleet)
-            in_force(fleet)
+            measure_idle(fleet)
+            measure_in_force(fleet)
         finally:
             fleet.close()
 
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -10,14 +10,14 @@
 from collections.abc import Awaitable, Callable
 from pathlib import PurePath
 
-from bench.table import row, title
+from bench.table import print_row, print_title
 from tests import stub_server
 from tests.fleet import FRONT_PORT, READY_PORT, Fleet, wait_for
 from tests.gateway import GatewayHarness, build_request
 from tests.stub_server import StubServer
 
 REQUESTS = 1500
-AT_ONCE = 4
+CONNECTIONS = 4
 EVENTS = (1, 20, 80)
 HEADERS = "X-Model: *\r\nX-Token-Count: 100,50\r\nX-Prompt-Prefix: aa:50,bb:50\r\n"
 # Modules by the part of the work that they do; the first that fits counts.
@@ -31,7 +31,7 @@
 }
 
 
-async def calls(address: tuple[str, int], path: str, count: int) -> None:
+async def send_requests(address: tuple[str, int], path: str, count: int) -> None:
     """Requests on kept connections, some at once."""
     raw = build_request(path, HEADERS if path.startswith("/stream") else "")
 
@@ -44,7 +44,7 @@
             await read_body(reader, head)
         writer.close()
 
-    await asyncio.gather(*(caller(count // AT_ONCE) for _ in range(AT_ONCE)))
+    await asyncio.gather(*(caller(count // CONNECTIONS) for _ in range(CONNECTIONS)))
 
 
 async def read_body(reader: asyncio.StreamReader, head: bytes) -> None:
@@ -60,8 +60,8 @@
     return fleet.call(host, "GET", "/-/readyz", port=READY_PORT)[0] == 200
 
 
-def processes() -> None:
-    title("A gateway's processor time a request, by events of the answer")
+def measure_processor_time() -> None:
+    print_title("A gateway's processor time a request, by events of the answer")
     for events in (0, *EVENTS):
         script = stub_server.stream(events) if events else stub_server.answer_with()
         fleet = Fleet(scripts=[script])
@@ -75,10 +75,10 @@
             process = fleet.processes[host]
             before_s = process.processor_s()
             began_s = time.monotonic()
-            asyncio.run(calls((host, FRONT_PORT), path, REQUESTS))
+            asyncio.run(send_requests((host, FRONT_PORT), path, REQUESTS))
             took_s = time.monotonic() - began_s
             used_ms = (process.processor_s() - before_s) * 1000.0
-            row(
+            print_row(
                 f"{events} events",
                 processor_ms_a_request=used_ms / REQUESTS,
                 requests_per_s=REQUESTS / took_s,
@@ -87,8 +87,8 @@
             fleet.close()
 
 
-def parts() -> None:
-    title("The same by part, in one process under a profiler: share of the time")
+def measure_by_part() -> None:
+    print_title("The same by part, in one process under a profiler: share of the time")
     for events in (0, EVENTS[-1]):
         script = stub_server.stream(events) if events else stub_server.answer_with()
         path = "/stream/1" if events else "/get/1"
@@ -96,14 +96,16 @@
         profile = cProfile.Profile()
 
         def work(test: GatewayHarness = test, path: str = path) -> Awaitable[None]:
-            return calls(("127.0.0.1", test.port), path, REQUESTS // 5)
+            return send_requests(("127.0.0.1", test.port), path, REQUESTS // 5)
 
         profile.runcall(test.run_gateway, [StubServer([script])], work)
-        shares = by_part(pstats.Stats(profile))
-        row(f"{events} events", **{name: f"{share:.2f}" for name, share in shares})
+        shares = part_shares(pstats.Stats(profile))
+        print_row(
+            f"{events} events", **{name: f"{share:.2f}" for name, share in shares}
+        )
 
 
-def by_part(stats: pstats.Stats) -> list[tuple[str, float]]:
+def part_shares(stats: pstats.Stats) -> list[tuple[str, float]]:
     """Own time of functions, without the stand-in's and the caller's."""
     times: Counter[str] = Counter()
     for (file, _, _), figures in stats.stats.items():  # type: ignore[attr-defined]
@@ -122,11 +124,11 @@
     return "other"
 
 
-MEASURES: tuple[Callable[[], None], ...] = (processes, parts)
+MEASUREMENTS: tuple[Callable[[], None], ...] = (measure_processor_time, measure_by_part)
 
 
 def main() -> None:
-    for measure in MEASURES:
+    for measure in MEASUREMENTS:
         measure()
 
 
--- a/bench/hedge.py
+++ b/bench/hedge.py
@@ -5,7 +5,7 @@
 import time
 from concurrent.futures import ThreadPoolExecutor
 
-from bench.table import percentile, row, title
+from bench.table import percentile, print_row, print_title
 from tests.chat import chat, chat_stream
 from tests.small_system import KEY, ROUTE, SmallSystem, start_small_system
 
@@ -18,7 +18,7 @@
 MODES = {"without": 0.0, "with": 0.05}
 
 
-def ask(found: SmallSystem, stream: bool) -> float:
+def measure_call_ms(found: SmallSystem, stream: bool) -> float:
     """One call: the time to its first token, or to the whole answer."""
     url = found.system.routers[0].url
     began_s = time.monotonic()
@@ -31,23 +31,23 @@
     return (time.monotonic() - began_s) * 1000.0
 
 
-def paced(found: SmallSystem, stream: bool, count: int) -> list[float]:
+def call_at_rate(found: SmallSystem, stream: bool, count: int) -> list[float]:
     began_s = time.monotonic()
 
     def one(number: int) -> float:
         time.sleep(max(0.0, began_s + number / RATE_PER_S - time.monotonic()))
-        return ask(found, stream)
+        return measure_call_ms(found, stream)
 
     with ThreadPoolExecutor(48) as pool:
         return list(pool.map(one, range(count)))
 
 
-def runs(found: SmallSystem) -> int:
+def count_attempts(found: SmallSystem) -> int:
     return sum(len(engine.get("runs")) for engine in found.engines)
 
 
 def main() -> None:
-    title(
+    print_title(
         f"{STALL_RATIO:.0%} of attempts stall for {STALL_MS:.0f} ms; "
         f"{CALLS} calls at {RATE_PER_S:.0f} a second"
     )
@@ -57,17 +57,17 @@
             routers=1, engine_arguments=ENGINE, router_extra=extra
         ) as found:
             for stream in (False, True):
-                paced(found, stream, WARM_CALLS)
+                call_at_rate(found, stream, WARM_CALLS)
                 for engine in found.engines:
                     engine.control(stall_ratio=STALL_RATIO, stall_ms=STALL_MS)
-                before = runs(found)
-                took = paced(found, stream, CALLS)
-                row(
+                before = count_attempts(found)
+                took = call_at_rate(found, stream, CALLS)
+                print_row(
                     f"{name} hedges, {'first token' if stream else 'whole'}",
                     p50_ms=percentile(took, 50),
                     p95_ms=percentile(took, 95),
                     p99_ms=percentile(took, 99),
-                    attempts_a_call=(runs(found) - before) / CALLS,
+                    attempts_a_call=(count_attempts(found) - before) / CALLS,
                 )
                 for engine in found.engines:
                     engine.control(stall_ratio=0.0)
--- a/bench/latency.py
+++ b/bench/latency.py
@@ -13,7 +13,7 @@
 
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES, Candidate
 from ashlatch.policy.load import EndpointLoad, LoadReport
-from bench.table import percentile, row, spread, title
+from bench.table import format_spread, percentile, print_row, print_title
 
 ROUTERS = 6
 ENDPOINTS = 10
@@ -23,12 +23,12 @@
 PREFILL_HIT_MS = 12.0
 PREFIXES = 60
 CACHE_PREFIXES = 12
-REPORT_EVERY_MS = 200.0
+REPORT_INTERVAL_MS = 200.0
 REPORT_LAG_MS = 200.0
 REQUESTS = 12_000
 WARM_REQUESTS = 2_000
 SEEDS = (1, 2, 3)
-ORACLE = "knows_every_queue"
+ORACLE_POLICY = "knows_every_queue"
 
 
 @dataclass
@@ -82,7 +82,7 @@
 )
 
 
-class Farm:
+class Simulation:
     """One run of one policy."""
 
     def __init__(self, policy: str, case: Case, seed: int) -> None:
@@ -93,19 +93,21 @@
         self.servers = [Server(f"e{i}") for i in range(ENDPOINTS)]
         self.servers[0].slowdown = case.slow
         self.live = self.servers[: ENDPOINTS - case.lost]
-        self.chooser = ENDPOINT_POLICIES.get("random" if policy == ORACLE else policy)()
+        self.chooser = ENDPOINT_POLICIES.get(
+            "random" if policy == ORACLE_POLICY else policy
+        )()
         self.loads = [
             {server.name: EndpointLoad() for server in self.servers}
             for _ in range(ROUTERS)
         ]
         self.events: list[tuple[float, int, Callable[[], None]]] = []
-        self.numbers = itertools.count()
+        self.event_numbers = itertools.count()
         self.now_ms = 0.0
         self.first_ms: list[float] = []
-        self.whole_ms: list[float] = []
+        self.total_ms: list[float] = []
 
-    def at(self, when_ms: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self.events, (when_ms, next(self.numbers), what))
+    def schedule(self, when_ms: float, what: Callable[[], None]) -> None:
+        heapq.heappush(self.events, (when_ms, next(self.event_numbers), what))
 
     def run(self) -> None:
         capacity = len(self.live) * SLOTS / (MEAN_SERVICE_MS * 1.25 + PREFILL_MS)
@@ -119,10 +121,10 @@
                 self.arrivals.lognormvariate(0.0, 0.6) * MEAN_SERVICE_MS / 1.2,
                 int(self.arrivals.paretovariate(1.0)) % PREFIXES,
             )
-            self.at(when_ms, lambda job=job: self.arrive(job))  # type: ignore[misc]
+            self.schedule(when_ms, lambda job=job: self.arrive(job))  # type: ignore[misc]
         last_ms = when_ms
         for server in self.live:
-            self.at(0.0, lambda s=server: self.report(s, last_ms))  # type: ignore[misc]
+            self.schedule(0.0, lambda s=server: self.report(s, last_ms))  # type: ignore[misc]
         while self.events:
             self.now_ms, _, what = heapq.heappop(self.events)
             what()
@@ -141,10 +143,10 @@
             for loads in self.loads:
                 loads[server.name].apply_report(report)
 
-        self.at(self.now_ms + REPORT_LAG_MS, seen)
+        self.schedule(self.now_ms + REPORT_LAG_MS, seen)
         if self.now_ms < last_ms:
-            again_ms = self.now_ms + REPORT_EVERY_MS
-            self.at(again_ms, lambda: self.report(server, last_ms))
+            again_ms = self.now_ms + REPORT_INTERVAL_MS
+            self.schedule(again_ms, lambda: self.report(server, last_ms))
 
     def arrive(self, job: Job) -> None:
         server = self.choose(job)
@@ -154,7 +156,7 @@
         self.start(server)
 
     def choose(self, job: Job) -> Server:
-        if self.policy == ORACLE:
+        if self.policy == ORACLE_POLICY:
             return min(
                 self.live,
                 key=lambda s: (
@@ -188,7 +190,7 @@
             prefill_ms, decode_ms = server.service_ms(job)
             first_ms = self.now_ms + prefill_ms
             self.first_ms.append(first_ms - job.arrived_ms)
-            self.at(
+            self.schedule(
                 first_ms + decode_ms,
                 lambda job=job: self.finish(server, job),  # type: ignore[misc]
             )
@@ -196,38 +198,38 @@
     def finish(self, server: Server, job: Job) -> None:
         server.running -= 1
         took_ms = self.now_ms - job.sent_ms
-        self.whole_ms.append(self.now_ms - job.arrived_ms)
+        self.total_ms.append(self.now_ms - job.arrived_ms)
         self.loads[job.router][server.name].record_finished(self.now_ms, took_ms)
         self.start(server)
 
 
-def measure(policy: str, case: Case, seed: int) -> Farm:
-    farm = Farm(policy, case, seed)
+def simulate(policy: str, case: Case, seed: int) -> Simulation:
+    farm = Simulation(policy, case, seed)
     farm.run()
     return farm
 
 
 def main() -> None:
-    title(
+    print_title(
         f"Endpoint choice: {ROUTERS} routers, {ENDPOINTS} endpoints of {SLOTS} slots,"
-        f" reports every {REPORT_EVERY_MS:.0f} ms and {REPORT_LAG_MS:.0f} ms late"
+        f" reports every {REPORT_INTERVAL_MS:.0f} ms and {REPORT_LAG_MS:.0f} ms late"
     )
-    policies = (ORACLE, *ENDPOINT_POLICIES.names())
+    policies = (ORACLE_POLICY, *ENDPOINT_POLICIES.names())
     for case in CASES:
         print(f"# {case.name}")
         best: list[float] = []
         for policy in policies:
-            farms = [measure(policy, case, seed) for seed in SEEDS]
-            whole = [percentile(f.whole_ms[WARM_REQUESTS:], 99) for f in farms]
+            farms = [simulate(policy, case, seed) for seed in SEEDS]
+            whole = [percentile(f.total_ms[WARM_REQUESTS:], 99) for f in farms]
             best = best or whole
             ratios = [mine / known for mine, known in zip(whole, best, strict=True)]
             first = [f.first_ms[WARM_REQUESTS:] for f in farms]
-            row(
+            print_row(
                 policy,
-                first_p50_ms=spread([percentile(f, 50) for f in first]),
-                first_p99_ms=spread([percentile(f, 99) for f in first]),
-                whole_p99_ms=spread(whole),
-                p99_ratio=spread(ratios),
+                first_p50_ms=format_spread([percentile(f, 50) for f in first]),
+                first_p99_ms=format_spread([percentile(f, 99) for f in first]),
+                whole_p99_ms=format_spread(whole),
+                p99_ratio=format_spread(ratios),
             )
 
 
--- a/bench/liveness.py
+++ b/bench/liveness.py
@@ -10,14 +10,14 @@
 from ashlatch.clock import ClockLoop
 from ashlatch.gateway.directory import Directory
 from ashlatch.gateway.liveness import LivenessProber
-from bench.table import row, spread, title
+from bench.table import format_spread, print_row, print_title
 
 ENDPOINTS = (9, 70, 140)
-LOOKS = 500
+CHECKS = 500
 ROUNDS = 5
 
 
-async def look_ms(endpoints: int) -> float:
+async def measure_check_ms(endpoints: int) -> float:
     """The mean processor time of one look."""
     directory = Directory()
     listed = tuple(
@@ -28,19 +28,19 @@
     watch = LivenessProber(directory)
     loop = asyncio.get_running_loop()
     begun_s = time.process_time()
-    for _ in range(LOOKS):
+    for _ in range(CHECKS):
         now_ms = loop.time() * 1000.0
         for state in directory.all():
             watch._due(state, now_ms)
-    return (time.process_time() - begun_s) / LOOKS * 1000.0
+    return (time.process_time() - begun_s) / CHECKS * 1000.0
 
 
 def main() -> None:
-    title("A look for silent endpoints, processor time")
+    print_title("A look for silent endpoints, processor time")
     for endpoints in ENDPOINTS:
         with asyncio.Runner(loop_factory=ClockLoop) as runner:
-            times = [runner.run(look_ms(endpoints)) for _ in range(ROUNDS)]
-        row(f"{endpoints} endpoints", ms=spread(times))
+            times = [runner.run(measure_check_ms(endpoints)) for _ in range(ROUNDS)]
+        print_row(f"{endpoints} endpoints", ms=format_spread(times))
 
 
 if __name__ == "__main__":
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -38,7 +38,7 @@
     RequestArrived,
 )
 from ashlatch.store.command import AnswerAccepted, StoredAnswer, Usage
-from bench.table import percentile, row, spread, title
+from bench.table import format_spread, percentile, print_row, print_title
 from tests.test_router import request, table
 
 ROUTERS = 3
@@ -48,8 +48,8 @@
 SERVICE_MS = 400.0
 DEADLINE_MS = 3000.0
 RUN_MS = 60_000.0
-REPORT_MS = 200.0
-COME_BACK_MAX = 3
+REPORT_INTERVAL_MS = 200.0
+RETRIES_MAX = 3
 SEEDS = (1, 2, 3)
 # One large organisation asks for most, four small ones for their share.
 DEMAND = {"large": 0.80, "s1": 0.05, "s2": 0.05, "s3": 0.05, "s4": 0.05}
@@ -63,12 +63,12 @@
     queue: list[Callable[[], None]] = field(default_factory=list)
 
 
-class Run:
+class Simulation:
     """One run: three cores, or one naive dispatcher, before four endpoints."""
 
     def __init__(self, times: float, seed: int, naive: bool) -> None:
         self.random = random.Random(seed)
-        self.times = times
+        self.load_factor = times
         self.naive = naive
         self.now_ms = 1000.0
         self.numbers = itertools.count()
@@ -79,13 +79,13 @@
             for i in range(ROUTERS)
         ]
         self.in_time: Counter[str] = Counter()
-        self.asked: Counter[str] = Counter()
+        self.requested: Counter[str] = Counter()
         self.arrived_ms: dict[str, float] = {}
         self.refusal_ms: list[float] = []
         self.attempts = 0
         self.calls = 0
-        self.came_back: Counter[str] = Counter()
-        self.names: dict[str, str] = {}
+        self.retries: Counter[str] = Counter()
+        self.organisations: dict[str, str] = {}
         for core in self.cores:
             self.configure(core)
 
@@ -103,17 +103,17 @@
         core.step(self.now_ms, ConfigurationChanged(table(11, **specs)))
         core.step(self.now_ms, LeaseRenewed(float("inf"), ROUTERS))
 
-    def at(self, when_ms: float, what: Callable[[], None]) -> None:
+    def schedule(self, when_ms: float, what: Callable[[], None]) -> None:
         heapq.heappush(self.events, (when_ms, next(self.numbers), what))
 
     def run(self) -> None:
         self.report()
-        rate = CAPACITY_PER_S * self.times / 1000.0
+        rate = CAPACITY_PER_S * self.load_factor / 1000.0
         when_ms = self.now_ms
         while when_ms < RUN_MS:
             when_ms += self.random.expovariate(rate)
             name = self.random.choices(list(DEMAND), list(DEMAND.values()))[0]
-            self.at(when_ms, lambda n=name: self.ask(n, 0))  # type: ignore[misc]
+            self.schedule(when_ms, lambda n=name: self.send_request(n, 0))  # type: ignore[misc]
         while self.events and self.now_ms < RUN_MS + 4 * DEADLINE_MS:
             self.now_ms, _, what = heapq.heappop(self.events)
             what()
@@ -135,11 +135,11 @@
             for core in self.cores:
                 core.step(self.now_ms, LoadReported("lm", reports, frozenset()))
 
-        self.at(self.now_ms + REPORT_MS, seen)
+        self.schedule(self.now_ms + REPORT_INTERVAL_MS, seen)
         if self.now_ms < RUN_MS + DEADLINE_MS:
-            self.at(self.now_ms + REPORT_MS, self.report)
+            self.schedule(self.now_ms + REPORT_INTERVAL_MS, self.report)
 
-    def ask(self, name: str, tries: int) -> None:
+    def send_request(self, name: str, tries: int) -> None:
         number = next(self.numbers)
         asked = dataclasses.replace(
             request(),
@@ -149,23 +149,23 @@
             deadline_ms=self.now_ms + DEADLINE_MS,
         )
         self.calls += 1
-        self.names[asked.request_id] = name
-        self.asked[name] += tries == 0
-        self.came_back[asked.request_id] = tries
+        self.organisations[asked.request_id] = name
+        self.requested[name] += tries == 0
+        self.retries[asked.request_id] = tries
         self.arrived_ms[asked.request_id] = self.now_ms
         if self.naive:
             endpoint = self.random.choice(list(self.endpoints))
-            self.attempt(endpoint, lambda: self.naive_end(asked))
+            self.enqueue_attempt(endpoint, lambda: self.finish_naive(asked))
             return
         core = self.random.choice(self.cores)
-        self.at(asked.deadline_ms, lambda: self.deadline(core, asked))
+        self.schedule(asked.deadline_ms, lambda: self.pass_deadline(core, asked))
         self.perform(core, core.step(self.now_ms, RequestArrived(asked)))
 
-    def deadline(self, core: RouterCore, asked: Request) -> None:
+    def pass_deadline(self, core: RouterCore, asked: Request) -> None:
         event = DeadlinePassed(asked.request_id)
         self.perform(core, core.step(self.now_ms, event))
 
-    def naive_end(self, asked: Request) -> None:
+    def finish_naive(self, asked: Request) -> None:
         if self.now_ms <= asked.deadline_ms:
             self.in_time[asked.organisation] += 1
 
@@ -173,86 +173,89 @@
         for effect in effects:
             match effect:
                 case StartAttempt():
-                    self.send(core, effect)
+                    self.start_attempt(core, effect)
                 case ProposeAnswer(request_id, _):
                     done = RecordOutcomeReceived(request_id, AnswerAccepted(1))
                     self.perform(core, core.step(self.now_ms, done))
                 case SendAnswer(request_id):
-                    name = self.names[request_id]
+                    name = self.organisations[request_id]
                     if self.now_ms <= self.arrived_ms[request_id] + DEADLINE_MS:
                         self.in_time[name] += 1
                 case SendProblem(request_id, problem):
-                    self.refused(request_id, problem.retry_ms or 1000.0)
+                    self.retry_refused(request_id, problem.retry_ms or 1000.0)
 
-    def refused(self, request_id: str, retry_ms: float) -> None:
+    def retry_refused(self, request_id: str, retry_ms: float) -> None:
         self.refusal_ms.append(self.now_ms - self.arrived_ms[request_id])
-        tries = self.came_back[request_id]
-        if tries < COME_BACK_MAX:
-            name = self.names[request_id]
+        tries = self.retries[request_id]
+        if tries < RETRIES_MAX:
+            name = self.organisations[request_id]
             again_ms = self.now_ms + retry_ms * self.random.uniform(1.0, 1.5)
-            self.at(again_ms, lambda: self.ask(name, tries + 1))
+            self.schedule(again_ms, lambda: self.send_request(name, tries + 1))
 
-    def send(self, core: RouterCore, effect: StartAttempt) -> None:
+    def start_attempt(self, core: RouterCore, effect: StartAttempt) -> None:
         def ended() -> None:
             result = Answered(
                 StoredAnswer(200, "", b""), Usage(1, 10, 1), SERVICE_MS, 10.0
             )
-            self.tell(core, effect, result)
+            self.end_attempt(core, effect, result)
 
-        if not self.attempt(effect.endpoint, ended):
-            self.tell(core, effect, Rejected("full", 500.0))
+        if not self.enqueue_attempt(effect.endpoint, ended):
+            self.end_attempt(core, effect, Rejected("full", 500.0))
 
-    def tell(self, core: RouterCore, effect: StartAttempt, result: Any) -> None:
+    def end_attempt(self, core: RouterCore, effect: StartAttempt, result: Any) -> None:
         event = AttemptEnded(effect.request.request_id, effect.attempt_id, result)
         self.perform(core, core.step(self.now_ms, event))
 
-    def attempt(self, name: str, ended: Callable[[], None]) -> bool:
+    def enqueue_attempt(self, name: str, ended: Callable[[], None]) -> bool:
         """Run at an endpoint, or wait there; false when it is full."""
         self.attempts += 1
         endpoint = self.endpoints[name]
         if not self.naive and len(endpoint.queue) >= QUEUE_MAX:
             return False
         endpoint.queue.append(ended)
-        self.begin(endpoint)
+        self.start_queued(endpoint)
         return True
 
-    def begin(self, endpoint: Endpoint) -> None:
+    def start_queued(self, endpoint: Endpoint) -> None:
         while endpoint.queue and endpoint.running < SLOTS:
             ended = endpoint.queue.pop(0)
             endpoint.running += 1
             took_ms = SERVICE_MS * self.random.uniform(0.7, 1.3)
-            self.at(self.now_ms + took_ms, lambda e=ended: self.finish(endpoint, e))  # type: ignore[misc]
+            self.schedule(
+                self.now_ms + took_ms,
+                lambda e=ended: self.finish(endpoint, e),  # type: ignore[misc]
+            )
 
     def finish(self, endpoint: Endpoint, ended: Callable[[], None]) -> None:
         endpoint.running -= 1
-        self.begin(endpoint)
+        self.start_queued(endpoint)
         ended()
 
 
 def main() -> None:
-    title(
+    print_title(
         f"Overload: {ROUTERS} routers, capacity {CAPACITY_PER_S:.0f}/s, deadline"
         f" {DEADLINE_MS:.0f} ms; a large organisation asks for 80%, its weight is half"
     )
     for times in (0.8, 2.0, 5.0):
         for name in ("naive", "router"):
             began_s = time.perf_counter()
-            runs = [Run(times, seed, name == "naive") for seed in SEEDS]
+            runs = [Simulation(times, seed, name == "naive") for seed in SEEDS]
             for run in runs:
                 run.run()
             best = min(times, 1.0) * CAPACITY_PER_S * (RUN_MS - 1000.0) / 1000.0
             small = [
                 sum(run.in_time[s] for s in DEMAND if s != "large")
-                / max(1, sum(run.asked[s] for s in DEMAND if s != "large"))
+                / max(1, sum(run.requested[s] for s in DEMAND if s != "large"))
                 for run in runs
             ]
             refusals = [ms for run in runs for ms in run.refusal_ms] or [0.0]
-            row(
+            print_row(
                 f"{times}x {name}",
-                goodput=spread([sum(r.in_time.values()) / best for r in runs]),
-                small_served=spread(small),
+                goodput=format_spread([sum(r.in_time.values()) / best for r in runs]),
+                small_served=format_spread(small),
                 refusal_p99_ms=percentile(refusals, 99),
-                attempts_a_call=spread([r.attempts / r.calls for r in runs]),
+                attempts_a_call=format_spread([r.attempts / r.calls for r in runs]),
                 took_s=time.perf_counter() - began_s,
             )
 
--- a/bench/router.py
+++ b/bench/router.py
@@ -5,7 +5,7 @@
 import time
 from concurrent.futures import ThreadPoolExecutor
 
-from bench.table import percentile, row, title
+from bench.table import percentile, print_row, print_title
 from tests.chat import StreamedAnswer, chat, chat_stream
 from tests.small_system import KEY, ROUTE, SmallSystem, start_small_system
 from tests.system import Daemon
@@ -28,7 +28,7 @@
     return daemon.process.processor_s()
 
 
-def call(found: SmallSystem, kind: str, number: int) -> None:
+def send_call(found: SmallSystem, kind: str, number: int) -> None:
     url = found.system.routers[0].url
     version = "quote-large-1"
     if kind == "direct":
@@ -44,7 +44,7 @@
     assert reply.status == 200, reply
 
 
-def paced(found: SmallSystem, kind: str) -> list[float]:
+def call_at_rate(found: SmallSystem, kind: str) -> list[float]:
     """Times of calls that begin at a fixed rate, whatever the answers do."""
     began_s = time.monotonic()
     took_ms: list[float] = []
@@ -53,7 +53,7 @@
         due_s = began_s + number / RATE_PER_S
         time.sleep(max(0.0, due_s - time.monotonic()))
         start_s = time.perf_counter()
-        call(found, kind, number)
+        send_call(found, kind, number)
         took_ms.append((time.perf_counter() - start_s) * 1000.0)
 
     with ThreadPoolExecutor(32) as pool:
@@ -61,24 +61,26 @@
     return took_ms
 
 
-def gaps_ms(stream: StreamedAnswer) -> list[float]:
+def chunk_gaps_ms(stream: StreamedAnswer) -> list[float]:
     pairs = zip(stream.chunk_times_s, stream.chunk_times_s[1:], strict=False)
     return [(later - earlier) * 1000.0 for earlier, later in pairs]
 
 
-def requests() -> None:
-    title(f"Whole answers at {RATE_PER_S:.0f} a second, {CALLS} calls each, one router")
+def measure_whole_answers() -> None:
+    print_title(
+        f"Whole answers at {RATE_PER_S:.0f} a second, {CALLS} calls each, one router"
+    )
     with start_small_system(routers=1, engine_arguments=FAST) as found:
         daemons = [*found.system.routers, *found.system.states, *found.system.controls]
         for daemon in daemons:
-            row(f"at rest {daemon.process.name}", memory_mb=memory_mb(daemon))
+            print_row(f"at rest {daemon.process.name}", memory_mb=memory_mb(daemon))
         base: list[float] = []
         for kind in KINDS:
             before_s = processor_s(found.system.routers[0])
-            took = paced(found, kind)
+            took = call_at_rate(found, kind)
             used_s = processor_s(found.system.routers[0]) - before_s
             base = base or took
-            row(
+            print_row(
                 kind,
                 p50_ms=percentile(took, 50),
                 p99_ms=percentile(took, 99),
@@ -87,11 +89,11 @@
                 router_cpu_ms_a_call=used_s * 1000.0 / CALLS,
             )
         for daemon in daemons:
-            row(f"after load {daemon.process.name}", memory_mb=memory_mb(daemon))
+            print_row(f"after load {daemon.process.name}", memory_mb=memory_mb(daemon))
 
 
-def chunks() -> None:
-    title(f"Streams of 200 chunks, {STREAMS} at once")
+def measure_streams() -> None:
+    print_title(f"Streams of 200 chunks, {STREAMS} at once")
     with start_small_system(routers=1, engine_arguments=CHUNKED) as found:
         engine, router = found.engines[0].url, found.system.routers[0]
         targets = {"direct": (engine, "quote-large-1"), "routed": (router.url, ROUTE)}
@@ -103,8 +105,8 @@
                 ]
                 streams = [c.result() for c in calls]
             used_s = processor_s(router) - before_s
-            gaps = [gap for stream in streams for gap in gaps_ms(stream)]
-            row(
+            gaps = [gap for stream in streams for gap in chunk_gaps_ms(stream)]
+            print_row(
                 name,
                 gap_p50_ms=percentile(gaps, 50),
                 gap_p95_ms=percentile(gaps, 95),
@@ -114,8 +116,8 @@
 
 
 def main() -> None:
-    requests()
-    chunks()
+    measure_whole_answers()
+    measure_streams()
 
 
 if __name__ == "__main__":
--- a/bench/state.py
+++ b/bench/state.py
@@ -22,7 +22,7 @@
 )
 from ashlatch.store.protocol import ReadRequest, RouterPoll, RouterReply
 from bench.router import memory_mb, processor_s
-from bench.table import percentile, row, spread, title
+from bench.table import format_spread, percentile, print_row, print_title
 from tests.small_system import SmallSystem, start_small_system
 from tests.system import Daemon, System, running, wait_until
 
@@ -30,7 +30,7 @@
 BATCHES = (1, 4, 16, 64, 256)
 CHANGES = 60
 KILLS = 5
-POLL_FOR_S = 8.0
+POLL_DURATION_S = 8.0
 POLLERS_A_CLIENT = 20
 RESTART_CHANGES = (250, 1000, 4000)
 # Routers, and how long each heartbeat is held, in milliseconds.
@@ -38,7 +38,7 @@
 
 
 @contextmanager
-def group(**settings: int) -> Iterator[tuple[System, StateClient]]:
+def running_group(**settings: int) -> Iterator[tuple[System, StateClient]]:
     """Three members and a client."""
     with running(state_extra=settings) as system:
         system.start_states(3)
@@ -50,7 +50,7 @@
         rpc.stop()
 
 
-def claim(number: int, batch: str = "") -> Claim:
+def build_claim(number: int, batch: str = "") -> Claim:
     return Claim(
         RequestKey("org", f"{batch}key-{number}"),
         f"claim-{number}",
@@ -61,15 +61,15 @@
     )
 
 
-def timed_ms(work: Callable[[], object]) -> float:
+def measure_ms(work: Callable[[], object]) -> float:
     began_s = time.perf_counter()
     work()
     return (time.perf_counter() - began_s) * 1000.0
 
 
-def commits() -> None:
-    title(f"A commit by 3 members against one bare fdatasync, {COMMITS} of each")
-    with group() as (system, client):
+def measure_commits() -> None:
+    print_title(f"A commit by 3 members against one bare fdatasync, {COMMITS} of each")
+    with running_group() as (system, client):
         path = system.folder / "bare"
         descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND)
 
@@ -77,23 +77,28 @@
             os.write(descriptor, b"x" * 200)
             os.fdatasync(descriptor)
 
-        client.propose(claim(-1)).result()
+        client.propose(build_claim(-1)).result()
         pairs = [
-            (timed_ms(bare), timed_ms(lambda n=n: client.propose(claim(n)).result()))  # type: ignore[misc]
+            (
+                measure_ms(bare),
+                measure_ms(lambda n=n: client.propose(build_claim(n)).result()),  # type: ignore[misc]
+            )
             for n in range(COMMITS)
         ]
         for name, place in (("fdatasync", 0), ("commit", 1)):
             values = [pair[place] for pair in pairs]
-            row(name, p50_ms=percentile(values, 50), p99_ms=percentile(values, 99))
+            print_row(
+                name, p50_ms=percentile(values, 50), p99_ms=percentile(values, 99)
+            )
         ratio = statistics.median(c for _, c in pairs) / statistics.median(
             f for f, _ in pairs
         )
-        row("ratio of medians", commit_to_fdatasync=ratio)
-        batches(system, client)
+        print_row("ratio of medians", commit_to_fdatasync=ratio)
+        measure_claim_batches(system, client)
 
 
-def batches(system: System, client: StateClient) -> None:
-    title("Claims a second by how many are open at once")
+def measure_claim_batches(system: System, client: StateClient) -> None:
+    print_title("Claims a second by how many are open at once")
     leader = system.leader()
     for size in BATCHES:
         count = max(200, size * 10)
@@ -101,22 +106,22 @@
         began_s = time.perf_counter()
         open_claims = []
         for number in range(count):
-            open_claims.append(client.propose(claim(number, f"{size}-")))
+            open_claims.append(client.propose(build_claim(number, f"{size}-")))
             if len(open_claims) >= size:
                 for future in open_claims:
                     future.result()
                 open_claims = []
         took_s = time.perf_counter() - began_s
         used_s = processor_s(leader) - before_s
-        row(
+        print_row(
             f"{size} open",
             claims_a_second=count / took_s,
             leader_cpu_us_a_claim=used_s * 1e6 / count,
         )
 
 
-def in_force() -> None:
-    title(f"From a change's sending to in force on 3 routers, {CHANGES} changes")
+def measure_in_force() -> None:
+    print_title(f"From a change's sending to in force on 3 routers, {CHANGES} changes")
     with start_small_system(routers=3) as found:
         took = []
         for number in range(CHANGES):
@@ -137,12 +142,14 @@
             )
         for name, place in (("accepted", 0), ("in force", 1)):
             values = [pair[place] for pair in took]
-            row(name, p50_ms=percentile(values, 50), p99_ms=percentile(values, 99))
-        kills(found)
+            print_row(
+                name, p50_ms=percentile(values, 50), p99_ms=percentile(values, 99)
+            )
+        measure_failovers(found)
 
 
-def kills(found: SmallSystem) -> None:
-    title(f"From a leader's kill to the next accepted change, {KILLS} kills")
+def measure_failovers(found: SmallSystem) -> None:
+    print_title(f"From a leader's kill to the next accepted change, {KILLS} kills")
     took = []
     for number in range(KILLS):
         wait_until(lambda: found.system.status()["losses_survived"] >= 1, "whole")
@@ -152,11 +159,11 @@
         found.put_model_until_answered(f"k-{number}", 0, f"k-{number}", "")
         took.append((time.perf_counter() - began_s) * 1000.0)
         leader.process.start()
-    row("unavailable", ms=spread(took))
+    print_row("unavailable", ms=format_spread(took))
 
 
-def restarts() -> None:
-    title("Restart of a group of one, by changes, without and with snapshots")
+def measure_restarts() -> None:
+    print_title("Restart of a group of one, by changes, without and with snapshots")
     for changes in RESTART_CHANGES:
         figures = {}
         for name, every in (("no_snapshot", 1_000_000), ("snapshot", 500)):
@@ -173,7 +180,7 @@
                 client.read(ReadRequest("model")).result()
                 figures[f"{name}_ms"] = (time.perf_counter() - began_s) * 1000.0
                 rpc.stop()
-        row(f"{changes} changes", **figures)
+        print_row(f"{changes} changes", **figures)
 
 
 def put_many(client: StateClient, count: int) -> None:
@@ -185,13 +192,15 @@
         future.result()
 
 
-def heartbeats() -> None:
-    title("Routers' heartbeats at the leader, by routers and how long each is held")
-    with group(router_lease_ms=8000) as (system, client):
+def measure_heartbeats() -> None:
+    print_title(
+        "Routers' heartbeats at the leader, by routers and how long each is held"
+    )
+    with running_group(router_lease_ms=8000) as (system, client):
         leader = system.leader()
         for count, held_ms in POLLERS:
-            polls, used_s, took_s = poll_for(client, leader, count, held_ms)
-            row(
+            polls, used_s, took_s = run_pollers(client, leader, count, held_ms)
+            print_row(
                 f"{count} routers, {held_ms:.0f} ms",
                 polls_a_second=polls / took_s,
                 leader_cpu_ratio=used_s / took_s,
@@ -200,11 +209,11 @@
             )
         poll = RouterPoll("vm-1/0123456789ab", "vm-1", "logan", 10, 400.0)
         reply = RouterReply(True, "127.0.0.1:7000", 2000.0, 10)
-        row("bytes", request=len(encode(poll)), reply=len(encode(reply)))
-        row("bytes", claim=len(encode(claim(1))))
+        print_row("bytes", request=len(encode(poll)), reply=len(encode(reply)))
+        print_row("bytes", claim=len(encode(build_claim(1))))
 
 
-def poll_for(
+def run_pollers(
     client: StateClient, leader: Daemon, count: int, held_ms: float
 ) -> tuple[int, float, float]:
     """So many pollers for a while: polls, processor time and time."""
@@ -217,7 +226,7 @@
             polls[0] += 1
 
     async def all_pollers() -> None:
-        end_s = time.monotonic() + POLL_FOR_S
+        end_s = time.monotonic() + POLL_DURATION_S
         # One HTTP/2 connection takes 100 calls at once.
         clients = [client.another() for _ in range(count // POLLERS_A_CLIENT + 1)]
         await asyncio.gather(
@@ -231,10 +240,10 @@
 
 
 def main() -> None:
-    commits()
-    in_force()
-    restarts()
-    heartbeats()
+    measure_commits()
+    measure_in_force()
+    measure_restarts()
+    measure_heartbeats()
 
 
 if __name__ == "__main__":
--- a/bench/table.py
+++ b/bench/table.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 
 
-def spread(values: Sequence[float]) -> str:
+def format_spread(values: Sequence[float]) -> str:
     """The median with the least and the most."""
     middle = statistics.median(values)
     return f"{middle:.4g} ({min(values):.4g}..{max(values):.4g})"
@@ -16,11 +16,11 @@
     return ordered[min(len(ordered) - 1, int(len(ordered) * percent / 100.0))]
 
 
-def title(text: str) -> None:
+def print_title(text: str) -> None:
     print(f"\n## {text}", flush=True)
 
 
-def row(name: str, **figures: str | float | int) -> None:
+def print_row(name: str, **figures: str | float | int) -> None:
     shown = "  ".join(
         f"{key}={value:.4g}" if isinstance(value, float) else f"{key}={value}"
         for key, value in figures.items()
