--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of ashlatch, each against a baseline in the same run."""
+"""Benchmarks of ashlatch, each compared with a baseline in the same run."""
--- a/bench/all.py
+++ b/bench/all.py
@@ -1,4 +1,4 @@
-"""make bench: every measurement, one after the other."""
+"""Runs all benchmarks in turn; called by `make bench`."""
 
 from bench import (
     capacity,
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,5 +1,5 @@
-"""Slopes for docs/CAPACITY.md: what one more endpoint, version, request or
-heartbeat costs each role. python -m bench.capacity
+"""Measures how the cost of each role grows with endpoints, versions, requests and
+heartbeats, for docs/CAPACITY.md. Run: python -m bench.capacity
 """
 
 import gc
@@ -50,21 +50,21 @@
     print_title(
         "The ledger, by records: memory, snapshot, time for a claim and a record"
     )
-    for kept in (False, True):
+    for stored in (False, True):
         for count in RECORDS:
             gc.collect()
             tracemalloc.start()
             machine = Machine()
             began_s = time.perf_counter()
             for number in range(count):
-                add_record(machine, number, kept)
+                add_record(machine, number, stored)
             took_s = time.perf_counter() - began_s
             memory_bytes = tracemalloc.get_traced_memory()[0]
             tracemalloc.stop()
             began_s = time.perf_counter()
             snapshot = machine.snapshot()
             print_row(
-                f"{count} records, answers {'kept' if kept else 'not kept'}",
+                f"{count} records, answers {'stored' if stored else 'not stored'}",
                 bytes_a_record=memory_bytes / count,
                 snapshot_bytes_a_record=len(snapshot) / count,
                 snapshot_ms=(time.perf_counter() - began_s) * 1000.0,
@@ -85,9 +85,9 @@
     specs: list[tuple[str, str, dict[str, Any]]] = [
         ("pool", "lm", {"report_url": "http://x"})
     ]
-    for place in range(endpoints):
-        spec = {"pool": "lm", "url": f"http://10.0.0.{place}:8000", "vm": f"vm-{place}"}
-        specs.append(("endpoint", f"vm-{place}", {**spec, "hall": f"h{place % 7}"}))
+    for index in range(endpoints):
+        spec = {"pool": "lm", "url": f"http://10.0.0.{index}:8000", "vm": f"vm-{index}"}
+        specs.append(("endpoint", f"vm-{index}", {**spec, "hall": f"h{index % 7}"}))
     return tuple(
         Resource(kind, name, number, canonical(parse(kind, json.dumps(s).encode())))
         for number, (kind, name, s) in enumerate(specs, 1)
@@ -95,7 +95,7 @@
 
 
 def build_change(resource: Resource) -> PutResource:
-    """The change that creates a resource."""
+    """Returns the change that creates a resource."""
     change_id = f"c/{resource.kind}/{resource.name}"
     return PutResource(
         change_id, "op", resource.kind, resource.name, 0, resource.spec, ()
@@ -105,9 +105,9 @@
 def measure_configuration() -> None:
     print_title("The configuration and control, by endpoints")
     for count in ENDPOINTS:
-        found = build_resources(count)
+        resources = build_resources(count)
         machine = Machine()
-        for resource in found:
+        for resource in resources:
             machine.step(
                 PutResource(
                     f"c{resource.name}",
@@ -129,7 +129,7 @@
         )
         loaded = tuple(LoadedVersions(f"vm-{n}", frozenset("v")) for n in range(count))
         events = (
-            StateRead(1, 1, found, ()),
+            StateRead(1, 1, resources, ()),
             VmsListed(vms),
             PoolRead("lm", loaded),
         )
@@ -143,7 +143,7 @@
             figures[f"{type(event).__name__}_ms"] = took_ms
         print_row(
             f"{count} endpoints",
-            full_read_bytes=len(encode(found)),
+            full_read_bytes=len(encode(resources)),
             snapshot_bytes=len(machine.snapshot()),
             **figures,
         )
@@ -174,19 +174,19 @@
 
 
 def measure_idle_daemons() -> None:
-    print_title("Daemons at rest: processor time, by how often they look")
+    print_title("Idle daemons: processor time, by polling period")
     for load_ms, held_ms in POLL_PERIODS_MS:
         extra = {"load_poll_ms": load_ms, "poll_wait_ms": held_ms}
-        with start_small_system(routers=1, router_extra=extra) as found:
-            system = found.system
+        with start_small_system(routers=1, router_extra=extra) as small:
+            system = small.system
             daemons = [*system.routers, *system.states, *system.controls]
             leader = system.leader()
             before = [processor_s(daemon) for daemon in daemons]
             time.sleep(IDLE_S)
             for daemon, used_s in zip(daemons, before, strict=True):
-                mark = " (leader)" if daemon is leader else ""
+                role = " (leader)" if daemon is leader else ""
                 print_row(
-                    f"{daemon.process.name}{mark}, {load_ms:.0f}/{held_ms:.0f} ms",
+                    f"{daemon.process.name}{role}, {load_ms:.0f}/{held_ms:.0f} ms",
                     core_ratio=(processor_s(daemon) - used_s) / IDLE_S,
                     memory_mb=memory_mb(daemon),
                 )
--- a/bench/choice.py
+++ b/bench/choice.py
@@ -1,7 +1,7 @@
-"""The processor time of one choice of an engine, by how many engines there are.
+"""Measures the processor time of one choice of an engine, by the number of engines.
 
-Before what is known of a load was added up once for each engine and choice, and not
-twice, a choice among 70 took 0.49 ms; after, 0.40 ms. python -m bench.choice
+While the context load of each engine was summed twice per choice, a choice among 70
+engines took 0.49 ms; since it is summed once, 0.40 ms. Run: python -m bench.choice
 """
 
 import random
@@ -28,7 +28,7 @@
 
 
 def build_request(number: int) -> CallerRequest:
-    """A long prompt about one of many subjects, in a session of its own."""
+    """Builds a request with a long prompt on one of many topics, in a new session."""
     parts = (
         PromptPart(f"s{number % 3}", 512),
         PromptPart(f"t{number % TOPICS}", 4870),
@@ -55,8 +55,8 @@
 
 
 def build_context(engines: int) -> GatewayContext:
-    """What a gateway knows after some thousand prompts."""
-    known = GatewayContext(
+    """Builds the context of a gateway after some thousand prompts."""
+    context = GatewayContext(
         "h0",
         "vm",
         VersionChooser(SessionVersions(5000.0)),
@@ -68,28 +68,28 @@
         Endpoint(f"i-{n:08x}", "app", f"10.0.0.{n}:80", f"h{n % 3}", "v1", 12, False)
         for n in range(engines)
     )
-    known.directory.replace(EndpointList(1, 1, endpoints), 0.0)
-    states = list(known.directory.all())
+    context.directory.replace(EndpointList(1, 1, endpoints), 0.0)
+    states = list(context.directory.all())
     for number in range(3000):
         state = states[number % engines]
         parts = build_request(number).prompt_parts
-        known.prefix_caches.record_prefill(
+        context.prefix_caches.record_prefill(
             state.endpoint.instance, "m", parts, CACHE_TOKENS, NOW_MS
         )
         state.apply_load(LoadFigures(number % 9, 0, 12), NOW_MS)
-    return known
+    return context
 
 
 def measure_choice_ms(context: GatewayContext) -> float:
-    """The mean processor time of one choice."""
+    """Returns the mean processor time of one choice."""
     begun_s = time.process_time()
     for number in range(CHOICES):
-        asked = build_request(number)
+        request = build_request(number)
         states = context.directory.of_service(SERVICE.name)
         allowed = context.versions.allowed(
-            SERVICE.name, asked.session, asked.request_id, states, NOW_MS
+            SERVICE.name, request.session, request.request_id, states, NOW_MS
         )
-        send = Send(asked, "m", 500.0)
+        send = Send(request, "m", 500.0)
         choose_endpoint(context, SERVICE, allowed, frozenset(), send, NOW_MS)
     return (time.process_time() - begun_s) / CHOICES * 1000.0
 
@@ -97,8 +97,8 @@
 def main() -> None:
     print_title("A choice of an engine, processor time")
     for engines in ENGINES:
-        known = build_context(engines)
-        times = [measure_choice_ms(known) for _ in range(ROUNDS)]
+        context = build_context(engines)
+        times = [measure_choice_ms(context) for _ in range(ROUNDS)]
         print_row(f"{engines} engines", ms=format_spread(times))
 
 
--- a/bench/core.py
+++ b/bench/core.py
@@ -1,5 +1,5 @@
-"""The router's core alone: decisions a second and memory, by endpoints and
-versions. python -m bench.core
+"""Measures the router's core without I/O: decisions per second and memory, by
+endpoints and versions. Run: python -m bench.core
 """
 
 import dataclasses
@@ -27,16 +27,16 @@
 
 
 def build_core(endpoints: int, versions: int) -> tuple[RouterCore, float]:
-    """A core with a configuration of this size, and the time to apply it."""
+    """Builds a core with a configuration of this size, and times its application."""
     endpoint = {"pool": "lm", "url": "http://e", "vm": "e", "hall": "logan"}
     specs: dict[str, Any] = {f"endpoint__n{i}": endpoint for i in range(endpoints)}
     names = [f"w{i}" for i in range(versions)]
-    for place, name in enumerate(names):
+    for index, name in enumerate(names):
         specs[f"version__{name}"] = {
             "model": "m",
-            "input_price_microusd_per_ktoken": place,
-            "output_price_microusd_per_ktoken": place,
-            "quality_prior": 0.5 + place * 0.4 / versions,
+            "input_price_microusd_per_ktoken": index,
+            "output_price_microusd_per_ktoken": index,
+            "quality_prior": 0.5 + index * 0.4 / versions,
         }
     specs["cascade__c"] = {"rungs": names[:16]}
     core = RouterCore(RouterConfig("r/1", "r", "logan"))
@@ -52,7 +52,7 @@
 
 
 def main() -> None:
-    print_title("The core: decisions a second and memory")
+    print_title("The core: decisions per second and memory")
     for versions in VERSIONS:
         for endpoints in ENDPOINTS:
             tracemalloc.start()
@@ -72,14 +72,14 @@
 def measure_decisions_per_s(core: RouterCore) -> float:
     began_s = time.perf_counter()
     for number in range(DECISIONS):
-        asked = dataclasses.replace(request(), request_id=f"q{number}")
-        for effect in core.step(1000.0, RequestArrived(asked)):
+        arrived = dataclasses.replace(request(), request_id=f"q{number}")
+        for effect in core.step(1000.0, RequestArrived(arrived)):
             if isinstance(effect, StartAttempt):
-                # End it, so that the state stays as it was.
+                # End the attempt, so that the core returns to its previous state.
                 ended = AttemptEnded(
-                    asked.request_id, effect.attempt_id, Rejected("", 1.0)
+                    arrived.request_id, effect.attempt_id, Rejected("", 1.0)
                 )
-                core.active_requests[asked.request_id].tried_endpoints |= set(
+                core.active_requests[arrived.request_id].tried_endpoints |= set(
                     core.endpoints.loads
                 )
                 core.step(1000.0, ended)
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -1,8 +1,8 @@
-"""Cost at the quality target: the router's version policy on a seeded feed of
-late, sampled and noisy ratings, against always the costliest and against the
-best fixed mix that hindsight would have chosen.
+"""Measures the cost of reaching the quality target: the router's version policies on a
+seeded feed of late, sampled and noisy ratings, compared with always using the costliest
+version and with the best fixed mix for the true qualities.
 
-python -m bench.cost
+Run: python -m bench.cost
 """
 
 import heapq
@@ -17,7 +17,7 @@
 REQUESTS = 20_000
 RATED_RATIO = 0.2
 RATING_DELAY_REQUESTS = 60
-# Ratings are beta-distributed: within 0 to 1, and true in the mean.
+# Ratings are beta-distributed: between 0 and 1, with the true quality as their mean.
 RATING_SHARPNESS = 4.0
 SEEDS = (1, 2, 3, 4, 5)
 ROUTE = "route"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Rung:
-    """A version: its price, what it really is, and what was expected of it."""
+    """A version: its price, its true quality and the prior estimate of its quality."""
 
     version: str
     price: float
@@ -57,7 +57,7 @@
 
 
 def draw_rating(generator: random.Random, quality: float) -> float:
-    """A noisy rating whose mean is the quality."""
+    """Draws a noisy rating whose mean is the quality."""
     return generator.betavariate(
         quality * RATING_SHARPNESS, (1.0 - quality) * RATING_SHARPNESS
     )
@@ -71,10 +71,10 @@
 
 
 def simulate_policy(policy: str, case: Case, seed: int) -> Outcome:
-    """All requests of one route through one policy."""
+    """Sends all requests of one route through a policy."""
     generator = random.Random(f"{seed}/{policy}")
     chooser = VERSION_POLICIES.get(policy)()
-    book = QualityTracker()
+    tracker = QualityTracker()
     rungs = {rung.version: rung for rung in case.rungs}
     due: list[tuple[int, str, float]] = []
     shares: Counter[str] = Counter()
@@ -82,12 +82,12 @@
     for number in range(REQUESTS):
         while due and due[0][0] <= number:
             _, version, rating = heapq.heappop(due)
-            book.record_rating(ROUTE, version, rungs[version].prior, rating)
+            tracker.record_rating(ROUTE, version, rungs[version].prior, rating)
         options = tuple(
-            Option(r.version, r.price, book.estimate(ROUTE, r.version, r.prior).mean)
+            Option(r.version, r.price, tracker.estimate(ROUTE, r.version, r.prior).mean)
             for r in case.rungs
         )
-        goal = Goal(case.target, book.shortfall(ROUTE, case.target))
+        goal = Goal(case.target, tracker.shortfall(ROUTE, case.target))
         version = chooser.choose(options, goal, generator).version
         rung = rungs[version]
         shares[version] += 1
@@ -101,7 +101,7 @@
 
 
 def hindsight_price(case: Case) -> float:
-    """The price of the best fixed mix, the true qualities known."""
+    """Returns the price of the best fixed mix for the true qualities."""
     options = tuple(Option(r.version, r.price, r.quality) for r in case.rungs)
     return best_mix(options, case.target).price
 
--- a/bench/exposure.py
+++ b/bench/exposure.py
@@ -1,8 +1,8 @@
-"""Exposure to a version that turns bad: how many of its answers are given from
-the turn to the last, and how often a healthy version is taken for bad.
+"""Measures the exposure to a version that turns bad: how many answers it gives before
+it is withdrawn, and how often a healthy version is detected as bad.
 
-The routers' totals are exchanged every 400 ms, as heartbeats do; ratings are
-sampled, noisy and late. python -m bench.exposure
+The routers exchange their totals every 400 ms, as with heartbeats; ratings are
+sampled, noisy and late. Run: python -m bench.exposure
 """
 
 import heapq
@@ -22,7 +22,8 @@
 HEALTHY_ERROR_RATIO = 0.003
 LATENCY_LOG_MEAN = 3.0
 LATENCY_LOG_SD = 0.5
-# The version beside: how often it is asked, its pace, and what both cost.
+# The other version: the ratio of requests that explore it, its latency, and the
+# prices of both.
 EXPLORED_RATIO = 0.01
 OTHER_LOG_MEAN = 4.0
 PRICES = {"watched": 200, "other": 2400}
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Health:
-    """How a version behaves."""
+    """The behaviour of a version."""
 
     quality: float = HEALTHY_QUALITY
     error_ratio: float = HEALTHY_ERROR_RATIO
@@ -50,7 +51,7 @@
 
 
 class WatchedVersion:
-    """One version under the routers' shared detector."""
+    """A version observed by the routers' shared detector."""
 
     def __init__(self, seed: int, answers_per_s: float, rated_ratio: float) -> None:
         self.random = random.Random(seed)
@@ -65,16 +66,16 @@
         self.log_latency = 0.0
 
     def request(self, health: Health) -> bool:
-        """One more request; whether the version answered it.
+        """Simulates a request; returns whether the version answered it.
 
-        The more it is suspected, the more requests go to another version.
+        The more the version is suspected, the more requests go to another one.
         """
         self.now_ms += self.random.expovariate(1.0 / self.mean_gap_ms)
-        spared = self.random.random() < self.detector.diverted_ratio
-        if not spared:
+        diverted = self.random.random() < self.detector.diverted_ratio
+        if not diverted:
             self.answer(health)
         self.apply_due()
-        return not spared
+        return not diverted
 
     def answer(self, health: Health) -> None:
         if self.random.random() < health.error_ratio:
@@ -96,9 +97,9 @@
             self.exchange()
 
     def exchange(self) -> None:
-        soon = self.detector.suspected
+        suspected = self.detector.suspected
         self.exchange_ms = self.now_ms + (
-            SUSPECTED_EXCHANGE_MS if soon else EXCHANGE_MS
+            SUSPECTED_EXCHANGE_MS if suspected else EXCHANGE_MS
         )
         tally = VersionTally(self.answers, self.errors, self.answers, self.log_latency)
         if tally.answers or tally.errors:
@@ -107,32 +108,32 @@
         self.log_latency = 0.0
 
 
-def measure_exposure(seed: int, rate: float, rated: float, turned: Health) -> int:
-    """Bad answers from the turn to the last one."""
-    watch = WatchedVersion(seed, rate, rated)
+def measure_exposure(seed: int, rate: float, rated: float, regressed: Health) -> int:
+    """Counts the bad answers from the regression to the detection."""
+    version = WatchedVersion(seed, rate, rated)
     for _ in range(WARM_ANSWERS):
-        watch.request(HEALTHY)
+        version.request(HEALTHY)
     given = 0
-    while not watch.detector.bad and given < ANSWERS_MAX:
-        given += watch.request(turned)
+    while not version.detector.bad and given < ANSWERS_MAX:
+        given += version.request(regressed)
     return given
 
 
-def measure_naive_exposure(seed: int, rate: float, turned: Health) -> int:
-    """A gate that looks at the last 200 answers' error share only."""
+def measure_naive_exposure(seed: int, rate: float, regressed: Health) -> int:
+    """Measures the baseline: a detector that uses only the last 200 answers' errors."""
     generator = random.Random(seed)
     window: list[bool] = [False] * 200
     for given in range(1, ANSWERS_MAX):
-        window = [*window[1:], generator.random() < turned.error_ratio]
+        window = [*window[1:], generator.random() < regressed.error_ratio]
         if sum(window) > 20:
             return given
     return ANSWERS_MAX
 
 
 class ComparedVersion(WatchedVersion):
-    """The same beside a costlier version, which a request in a hundred explores.
+    """The same with a costlier version, which a request in a hundred explores.
 
-    What is spared goes to it. `shared_slowdown` holds for both.
+    Diverted requests go to the costlier version. `shared_slowdown` applies to both.
     """
 
     def __init__(self, seed: int, answers_per_s: float, compares: bool) -> None:
@@ -159,9 +160,9 @@
         if not self.compares:
             super().exchange()
             return
-        soon = self.detector.suspected
+        suspected = self.detector.suspected
         self.exchange_ms = self.now_ms + (
-            SUSPECTED_EXCHANGE_MS if soon else EXCHANGE_MS
+            SUSPECTED_EXCHANGE_MS if suspected else EXCHANGE_MS
         )
         answers, others = self.answers, self.other_answers
         tallies = {
@@ -177,43 +178,45 @@
 
 
 def measure_compared(rate: float, compares: bool) -> tuple[list[float], int]:
-    """Bad answers of a version that turns 4 times as slow of itself, and how often
-    it is withdrawn when everything does, of as many seeds.
+    """Returns the bad answers of a version when only it becomes 4 times as slow, and
+    the number of seeds that withdraw it when all versions become as slow.
     """
     bad: list[float] = []
     withdrawn = 0
     for seed in SEEDS:
-        alone = ComparedVersion(seed, rate, compares)
-        shared = ComparedVersion(seed, rate, compares)
+        slow_alone = ComparedVersion(seed, rate, compares)
+        all_slow = ComparedVersion(seed, rate, compares)
         for _ in range(WARM_ANSWERS):
-            alone.request(HEALTHY)
-            shared.request(HEALTHY)
+            slow_alone.request(HEALTHY)
+            all_slow.request(HEALTHY)
         given = 0
-        while not alone.detector.bad and given < ANSWERS_MAX:
-            given += alone.request(Health(slowdown=4.0))
+        while not slow_alone.detector.bad and given < ANSWERS_MAX:
+            given += slow_alone.request(Health(slowdown=4.0))
         bad.append(float(given))
-        shared.shared_slowdown = 4.0
+        all_slow.shared_slowdown = 4.0
         for _ in range(ANSWERS_MAX):
-            shared.request(Health(slowdown=4.0))
-        withdrawn += shared.detector.bad
+            all_slow.request(Health(slowdown=4.0))
+        withdrawn += all_slow.detector.bad
     return bad, withdrawn
 
 
 def count_false_alarms(seeds: tuple[int, ...]) -> tuple[int, float]:
-    """Healthy runs of 100,000 answers in which the detector cried, and the
-    share of their requests that went to another version on suspicion.
+    """Counts the healthy runs of 100,000 answers with a detection, and returns with it
+    the share of their requests that suspicion diverted to another version.
     """
-    cried = spared = 0
+    detections = diverted = 0
     for seed in seeds:
-        watch = WatchedVersion(seed, 50.0, 0.2)
+        version = WatchedVersion(seed, 50.0, 0.2)
         for _ in range(HEALTHY_ANSWERS):
-            spared += not watch.request(HEALTHY)
-        cried += watch.detector.bad
-    return cried, spared / (len(seeds) * HEALTHY_ANSWERS)
+            diverted += not version.request(HEALTHY)
+        detections += version.detector.bad
+    return detections, diverted / (len(seeds) * HEALTHY_ANSWERS)
 
 
 def main() -> None:
-    print_title(f"Exposure: bad answers from the turn to the last, {len(SEEDS)} seeds")
+    print_title(
+        f"Exposure: bad answers from the regression to the last, {len(SEEDS)} seeds"
+    )
     for rate, rated in ((5.0, 0.2), (20.0, 0.2), (50.0, 0.2), (20.0, 1.0)):
         print(f"# {rate:g} answers/s of the version, {rated:.0%} rated")
         for name, health in REGRESSIONS.items():
@@ -224,9 +227,11 @@
                 bad_answers=format_spread(ours),
                 last_200_errors=format_spread(naive),
             )
-    print_title("Latency, held to the version's own pace, and beside another version")
+    print_title(
+        "Latency, compared with the version's own history and with another version"
+    )
     for rate in (5.0, 20.0, 50.0):
-        for name, compares in (("own pace", False), ("beside another", True)):
+        for name, compares in (("own history", False), ("another version", True)):
             bad, withdrawn = measure_compared(rate, compares)
             print_row(
                 f"{name}, {rate:g}/s",
@@ -235,13 +240,13 @@
             )
     print_title("False alarms")
     seeds = (101, 102, 103, 104, 105)
-    cried, spared = count_false_alarms(seeds)
+    detections, diverted = count_false_alarms(seeds)
     print_row(
         "healthy",
         runs=len(seeds),
         answers_a_run=HEALTHY_ANSWERS,
-        cried=cried,
-        spared_ratio=spared,
+        detections=detections,
+        diverted_share=diverted,
     )
 
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,6 +1,6 @@
-"""What control costs each VM of a fleet, by the number of gateways: messages
-and bytes between our processes, processor time, memory. Then the time from an
-acknowledged change until it is in force. python -m bench.fleet
+"""Measures the control overhead of each VM of a fleet, by the number of gateways:
+messages and bytes between ashlatch processes, processor time and memory. Then measures
+the time from an acknowledged change until it is in force. Run: python -m bench.fleet
 """
 
 import time
@@ -17,7 +17,7 @@
 
 @dataclass
 class Usage:
-    """What one process has used so far."""
+    """The resources that a process has used so far."""
 
     processor_s: float
     messages: int
@@ -58,7 +58,7 @@
 
 
 def measure_idle(fleet: Fleet) -> None:
-    """Rates of the leader, of the other core VMs and of the gateways."""
+    """Measures the rates of the leader, of the other core VMs and of the gateways."""
     before = {host: read_usage(fleet, host) for host in fleet.processes}
     time.sleep(IDLE_S)
     leader = fleet.leader()
@@ -82,7 +82,7 @@
 
 
 def measure_in_force(fleet: Fleet) -> None:
-    """From an acknowledgement until every gateway handles requests by it."""
+    """Measures the time from an acknowledged change until all gateways apply it."""
     took_ms = []
     acknowledged_ms = []
     hosts = gateway_hosts(fleet)
@@ -103,7 +103,7 @@
 
 
 def applied_at_s(fleet: Fleet, host: str, version: int) -> float:
-    """When a gateway took a version over, by its log."""
+    """Returns when a gateway applied a configuration version, by its log."""
     event = f"event=configuration_applied version={version} "
     process = fleet.processes[host]
     wait_for(lambda: event in process.log, f"version {version} at {host}")
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -1,5 +1,5 @@
-"""A gateway's own processor time: for a request and for an event of a stream,
-by the slope over streams of several lengths, and by part. python -m bench.gateway
+"""Measures the processor time of a gateway for a request and for an event of a stream,
+from streams of several lengths, and its shares by part. Run: python -m bench.gateway
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 CONNECTIONS = 4
 EVENTS = (1, 20, 80)
 HEADERS = "X-Model: *\r\nX-Token-Count: 100,50\r\nX-Prompt-Prefix: aa:50,bb:50\r\n"
-# Modules by the part of the work that they do; the first that fits counts.
+# Path fragments of the modules of each part; the first match counts.
 PARTS = {
     "framing (h11)": ("h11",),
     "log": ("ashlatch/log.py", "pythonjsonlogger", "logging"),
@@ -32,7 +32,7 @@
 
 
 async def send_requests(address: tuple[str, int], path: str, count: int) -> None:
-    """Requests on kept connections, some at once."""
+    """Sends requests over several persistent connections in parallel."""
     raw = build_request(path, HEADERS if path.startswith("/stream") else "")
 
     async def caller(share: int) -> None:
@@ -61,7 +61,7 @@
 
 
 def measure_processor_time() -> None:
-    print_title("A gateway's processor time a request, by events of the answer")
+    print_title("A gateway's processor time per request, by events of the answer")
     for events in (0, *EVENTS):
         script = stub_server.stream(events) if events else stub_server.answer_with()
         fleet = Fleet(scripts=[script])
@@ -88,7 +88,7 @@
 
 
 def measure_by_part() -> None:
-    print_title("The same by part, in one process under a profiler: share of the time")
+    print_title("Share of the processor time by part, in one process under a profiler")
     for events in (0, EVENTS[-1]):
         script = stub_server.stream(events) if events else stub_server.answer_with()
         path = "/stream/1" if events else "/get/1"
@@ -106,7 +106,7 @@
 
 
 def part_shares(stats: pstats.Stats) -> list[tuple[str, float]]:
-    """Own time of functions, without the stand-in's and the caller's."""
+    """Sums the time of functions by part, without those of the tests and benchmarks."""
     times: Counter[str] = Counter()
     for (file, _, _), figures in stats.stats.items():  # type: ignore[attr-defined]
         name = PurePath(file).as_posix()
--- a/bench/hedge.py
+++ b/bench/hedge.py
@@ -1,5 +1,5 @@
-"""Hedges on real processes: the tail of answers when engines stall now and
-then, without hedges and with them. python -m bench.hedge
+"""Measures hedging on real processes: the tail latency of answers when engines stall
+at times, without and with hedges. Run: python -m bench.hedge
 """
 
 import time
@@ -18,9 +18,9 @@
 MODES = {"without": 0.0, "with": 0.05}
 
 
-def measure_call_ms(found: SmallSystem, stream: bool) -> float:
-    """One call: the time to its first token, or to the whole answer."""
-    url = found.system.routers[0].url
+def measure_call_ms(small: SmallSystem, stream: bool) -> float:
+    """Makes a call; returns the time to its first token, or to the whole answer."""
+    url = small.system.routers[0].url
     began_s = time.monotonic()
     if stream:
         streamed = chat_stream(url, KEY, ROUTE)
@@ -31,45 +31,45 @@
     return (time.monotonic() - began_s) * 1000.0
 
 
-def call_at_rate(found: SmallSystem, stream: bool, count: int) -> list[float]:
+def call_at_rate(small: SmallSystem, stream: bool, count: int) -> list[float]:
     began_s = time.monotonic()
 
-    def one(number: int) -> float:
+    def call_at_due_time(number: int) -> float:
         time.sleep(max(0.0, began_s + number / RATE_PER_S - time.monotonic()))
-        return measure_call_ms(found, stream)
+        return measure_call_ms(small, stream)
 
     with ThreadPoolExecutor(48) as pool:
-        return list(pool.map(one, range(count)))
+        return list(pool.map(call_at_due_time, range(count)))
 
 
-def count_attempts(found: SmallSystem) -> int:
-    return sum(len(engine.get("runs")) for engine in found.engines)
+def count_attempts(small: SmallSystem) -> int:
+    return sum(len(engine.get("runs")) for engine in small.engines)
 
 
 def main() -> None:
     print_title(
         f"{STALL_RATIO:.0%} of attempts stall for {STALL_MS:.0f} ms; "
-        f"{CALLS} calls at {RATE_PER_S:.0f} a second"
+        f"{CALLS} calls at {RATE_PER_S:.0f} per second"
     )
     for name, ratio in MODES.items():
         extra = {"policy": {"hedge_ratio": ratio}}
         with start_small_system(
             routers=1, engine_arguments=ENGINE, router_extra=extra
-        ) as found:
+        ) as small:
             for stream in (False, True):
-                call_at_rate(found, stream, WARM_CALLS)
-                for engine in found.engines:
+                call_at_rate(small, stream, WARM_CALLS)
+                for engine in small.engines:
                     engine.control(stall_ratio=STALL_RATIO, stall_ms=STALL_MS)
-                before = count_attempts(found)
-                took = call_at_rate(found, stream, CALLS)
+                before = count_attempts(small)
+                took = call_at_rate(small, stream, CALLS)
                 print_row(
                     f"{name} hedges, {'first token' if stream else 'whole'}",
                     p50_ms=percentile(took, 50),
                     p95_ms=percentile(took, 95),
                     p99_ms=percentile(took, 99),
-                    attempts_a_call=(count_attempts(found) - before) / CALLS,
+                    attempts_a_call=(count_attempts(small) - before) / CALLS,
                 )
-                for engine in found.engines:
+                for engine in small.engines:
                     engine.control(stall_ratio=0.0)
 
 
--- a/bench/latency.py
+++ b/bench/latency.py
@@ -1,7 +1,7 @@
-"""Endpoint choice: every policy on the same arrivals, against `random`,
-`least_reported` and a choice that knows every queue now.
+"""Compares the endpoint policies on the same arrivals with `random`, `least_reported`
+and an oracle that knows the current length of every queue.
 
-python -m bench.latency
+Run: python -m bench.latency
 """
 
 import heapq
@@ -43,7 +43,7 @@
 
 @dataclass
 class Server:
-    """An endpoint: slots, a queue, a speed and a prompt cache."""
+    """An endpoint with slots, a queue, a speed and a prompt cache."""
 
     name: str
     slowdown: float = 1.0
@@ -56,7 +56,7 @@
         return self.running + len(self.queue)
 
     def service_ms(self, job: Job) -> tuple[float, float]:
-        """Prefill, and decoding at a speed that falls with the batch."""
+        """Returns the times for prefill and decoding; decoding slows with the batch."""
         hit = job.prefix in self.cache
         if not hit:
             self.cache.append(job.prefix)
@@ -83,7 +83,7 @@
 
 
 class Simulation:
-    """One run of one policy."""
+    """A simulated run of one policy."""
 
     def __init__(self, policy: str, case: Case, seed: int) -> None:
         self.policy = policy
@@ -106,8 +106,8 @@
         self.first_ms: list[float] = []
         self.total_ms: list[float] = []
 
-    def schedule(self, when_ms: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self.events, (when_ms, next(self.event_numbers), what))
+    def schedule(self, when_ms: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self.events, (when_ms, next(self.event_numbers), action))
 
     def run(self) -> None:
         capacity = len(self.live) * SLOTS / (MEAN_SERVICE_MS * 1.25 + PREFILL_MS)
@@ -126,8 +126,8 @@
         for server in self.live:
             self.schedule(0.0, lambda s=server: self.report(s, last_ms))  # type: ignore[misc]
         while self.events:
-            self.now_ms, _, what = heapq.heappop(self.events)
-            what()
+            self.now_ms, _, action = heapq.heappop(self.events)
+            action()
 
     def report(self, server: Server, last_ms: float) -> None:
         report = LoadReport(
@@ -139,11 +139,11 @@
             frozenset(),
         )
 
-        def seen() -> None:
+        def deliver() -> None:
             for loads in self.loads:
                 loads[server.name].apply_report(report)
 
-        self.schedule(self.now_ms + REPORT_LAG_MS, seen)
+        self.schedule(self.now_ms + REPORT_LAG_MS, deliver)
         if self.now_ms < last_ms:
             again_ms = self.now_ms + REPORT_INTERVAL_MS
             self.schedule(again_ms, lambda: self.report(server, last_ms))
@@ -204,9 +204,9 @@
 
 
 def simulate(policy: str, case: Case, seed: int) -> Simulation:
-    farm = Simulation(policy, case, seed)
-    farm.run()
-    return farm
+    simulation = Simulation(policy, case, seed)
+    simulation.run()
+    return simulation
 
 
 def main() -> None:
@@ -219,11 +219,11 @@
         print(f"# {case.name}")
         best: list[float] = []
         for policy in policies:
-            farms = [simulate(policy, case, seed) for seed in SEEDS]
-            whole = [percentile(f.total_ms[WARM_REQUESTS:], 99) for f in farms]
+            simulations = [simulate(policy, case, seed) for seed in SEEDS]
+            whole = [percentile(f.total_ms[WARM_REQUESTS:], 99) for f in simulations]
             best = best or whole
-            ratios = [mine / known for mine, known in zip(whole, best, strict=True)]
-            first = [f.first_ms[WARM_REQUESTS:] for f in farms]
+            ratios = [mine / oracle for mine, oracle in zip(whole, best, strict=True)]
+            first = [f.first_ms[WARM_REQUESTS:] for f in simulations]
             print_row(
                 policy,
                 first_p50_ms=format_spread([percentile(f, 50) for f in first]),
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,9 +1,9 @@
-"""Overload: router cores before endpoints that can serve so much, asked for 2
-and 5 times as much, against a naive router that takes everything.
+"""Measures overload: router cores in front of endpoints of fixed capacity, at 2 and 5
+times that capacity, compared with a naive router that accepts everything.
 
-Goodput is answers within the deadline against the most that the endpoints can
-give; callers that are refused come back when told, up to three times.
-python -m bench.overload
+Goodput is the ratio of answers within the deadline to the capacity of the endpoints.
+Refused callers retry after the time they are given, up to three times.
+Run: python -m bench.overload
 """
 
 import dataclasses
@@ -51,7 +51,7 @@
 REPORT_INTERVAL_MS = 200.0
 RETRIES_MAX = 3
 SEEDS = (1, 2, 3)
-# One large organisation asks for most, four small ones for their share.
+# One large organisation makes most requests, four small ones stay within their share.
 DEMAND = {"large": 0.80, "s1": 0.05, "s2": 0.05, "s3": 0.05, "s4": 0.05}
 WEIGHTS = {"large": 4.0, "s1": 1.0, "s2": 1.0, "s3": 1.0, "s4": 1.0}
 CAPACITY_PER_S = ENDPOINTS * SLOTS / SERVICE_MS * 1000.0
@@ -64,11 +64,11 @@
 
 
 class Simulation:
-    """One run: three cores, or one naive dispatcher, before four endpoints."""
+    """A run of three cores, or one naive dispatcher, in front of four endpoints."""
 
-    def __init__(self, times: float, seed: int, naive: bool) -> None:
+    def __init__(self, load_factor: float, seed: int, naive: bool) -> None:
         self.random = random.Random(seed)
-        self.load_factor = times
+        self.load_factor = load_factor
         self.naive = naive
         self.now_ms = 1000.0
         self.numbers = itertools.count()
@@ -103,8 +103,8 @@
         core.step(self.now_ms, ConfigurationChanged(table(11, **specs)))
         core.step(self.now_ms, LeaseRenewed(float("inf"), ROUTERS))
 
-    def schedule(self, when_ms: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self.events, (when_ms, next(self.numbers), what))
+    def schedule(self, when_ms: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self.events, (when_ms, next(self.numbers), action))
 
     def run(self) -> None:
         self.report()
@@ -115,8 +115,8 @@
             name = self.random.choices(list(DEMAND), list(DEMAND.values()))[0]
             self.schedule(when_ms, lambda n=name: self.send_request(n, 0))  # type: ignore[misc]
         while self.events and self.now_ms < RUN_MS + 4 * DEADLINE_MS:
-            self.now_ms, _, what = heapq.heappop(self.events)
-            what()
+            self.now_ms, _, action = heapq.heappop(self.events)
+            action()
 
     def report(self) -> None:
         reports = tuple(
@@ -131,17 +131,17 @@
             for name, e in self.endpoints.items()
         )
 
-        def seen() -> None:
+        def deliver() -> None:
             for core in self.cores:
                 core.step(self.now_ms, LoadReported("lm", reports, frozenset()))
 
-        self.schedule(self.now_ms + REPORT_INTERVAL_MS, seen)
+        self.schedule(self.now_ms + REPORT_INTERVAL_MS, deliver)
         if self.now_ms < RUN_MS + DEADLINE_MS:
             self.schedule(self.now_ms + REPORT_INTERVAL_MS, self.report)
 
     def send_request(self, name: str, tries: int) -> None:
         number = next(self.numbers)
-        asked = dataclasses.replace(
+        sent_request = dataclasses.replace(
             request(),
             request_id=f"q{number}",
             key=f"k{number}",
@@ -149,25 +149,27 @@
             deadline_ms=self.now_ms + DEADLINE_MS,
         )
         self.calls += 1
-        self.organisations[asked.request_id] = name
+        self.organisations[sent_request.request_id] = name
         self.requested[name] += tries == 0
-        self.retries[asked.request_id] = tries
-        self.arrived_ms[asked.request_id] = self.now_ms
+        self.retries[sent_request.request_id] = tries
+        self.arrived_ms[sent_request.request_id] = self.now_ms
         if self.naive:
             endpoint = self.random.choice(list(self.endpoints))
-            self.enqueue_attempt(endpoint, lambda: self.finish_naive(asked))
+            self.enqueue_attempt(endpoint, lambda: self.finish_naive(sent_request))
             return
         core = self.random.choice(self.cores)
-        self.schedule(asked.deadline_ms, lambda: self.pass_deadline(core, asked))
-        self.perform(core, core.step(self.now_ms, RequestArrived(asked)))
+        self.schedule(
+            sent_request.deadline_ms, lambda: self.pass_deadline(core, sent_request)
+        )
+        self.perform(core, core.step(self.now_ms, RequestArrived(sent_request)))
 
-    def pass_deadline(self, core: RouterCore, asked: Request) -> None:
-        event = DeadlinePassed(asked.request_id)
+    def pass_deadline(self, core: RouterCore, sent_request: Request) -> None:
+        event = DeadlinePassed(sent_request.request_id)
         self.perform(core, core.step(self.now_ms, event))
 
-    def finish_naive(self, asked: Request) -> None:
-        if self.now_ms <= asked.deadline_ms:
-            self.in_time[asked.organisation] += 1
+    def finish_naive(self, sent_request: Request) -> None:
+        if self.now_ms <= sent_request.deadline_ms:
+            self.in_time[sent_request.organisation] += 1
 
     def perform(self, core: RouterCore, effects: list[Effect]) -> None:
         for effect in effects:
@@ -193,57 +195,57 @@
             self.schedule(again_ms, lambda: self.send_request(name, tries + 1))
 
     def start_attempt(self, core: RouterCore, effect: StartAttempt) -> None:
-        def ended() -> None:
+        def on_end() -> None:
             result = Answered(
                 StoredAnswer(200, "", b""), Usage(1, 10, 1), SERVICE_MS, 10.0
             )
             self.end_attempt(core, effect, result)
 
-        if not self.enqueue_attempt(effect.endpoint, ended):
+        if not self.enqueue_attempt(effect.endpoint, on_end):
             self.end_attempt(core, effect, Rejected("full", 500.0))
 
     def end_attempt(self, core: RouterCore, effect: StartAttempt, result: Any) -> None:
         event = AttemptEnded(effect.request.request_id, effect.attempt_id, result)
         self.perform(core, core.step(self.now_ms, event))
 
-    def enqueue_attempt(self, name: str, ended: Callable[[], None]) -> bool:
-        """Run at an endpoint, or wait there; false when it is full."""
+    def enqueue_attempt(self, name: str, on_end: Callable[[], None]) -> bool:
+        """Runs or queues an attempt at an endpoint; False if its queue is full."""
         self.attempts += 1
         endpoint = self.endpoints[name]
         if not self.naive and len(endpoint.queue) >= QUEUE_MAX:
             return False
-        endpoint.queue.append(ended)
+        endpoint.queue.append(on_end)
         self.start_queued(endpoint)
         return True
 
     def start_queued(self, endpoint: Endpoint) -> None:
         while endpoint.queue and endpoint.running < SLOTS:
-            ended = endpoint.queue.pop(0)
+            on_end = endpoint.queue.pop(0)
             endpoint.running += 1
             took_ms = SERVICE_MS * self.random.uniform(0.7, 1.3)
             self.schedule(
                 self.now_ms + took_ms,
-                lambda e=ended: self.finish(endpoint, e),  # type: ignore[misc]
+                lambda e=on_end: self.finish(endpoint, e),  # type: ignore[misc]
             )
 
-    def finish(self, endpoint: Endpoint, ended: Callable[[], None]) -> None:
+    def finish(self, endpoint: Endpoint, on_end: Callable[[], None]) -> None:
         endpoint.running -= 1
         self.start_queued(endpoint)
-        ended()
+        on_end()
 
 
 def main() -> None:
     print_title(
         f"Overload: {ROUTERS} routers, capacity {CAPACITY_PER_S:.0f}/s, deadline"
-        f" {DEADLINE_MS:.0f} ms; a large organisation asks for 80%, its weight is half"
+        f" {DEADLINE_MS:.0f} ms; a large organisation sends 80%, its weight is half"
     )
-    for times in (0.8, 2.0, 5.0):
+    for load_factor in (0.8, 2.0, 5.0):
         for name in ("naive", "router"):
             began_s = time.perf_counter()
-            runs = [Simulation(times, seed, name == "naive") for seed in SEEDS]
+            runs = [Simulation(load_factor, seed, name == "naive") for seed in SEEDS]
             for run in runs:
                 run.run()
-            best = min(times, 1.0) * CAPACITY_PER_S * (RUN_MS - 1000.0) / 1000.0
+            best = min(load_factor, 1.0) * CAPACITY_PER_S * (RUN_MS - 1000.0) / 1000.0
             small = [
                 sum(run.in_time[s] for s in DEMAND if s != "large")
                 / max(1, sum(run.requested[s] for s in DEMAND if s != "large"))
@@ -251,7 +253,7 @@
             ]
             refusals = [ms for run in runs for ms in run.refusal_ms] or [0.0]
             print_row(
-                f"{times}x {name}",
+                f"{load_factor}x {name}",
                 goodput=format_spread([sum(r.in_time.values()) / best for r in runs]),
                 small_served=format_spread(small),
                 refusal_p99_ms=percentile(refusals, 99),
--- a/bench/router.py
+++ b/bench/router.py
@@ -1,5 +1,5 @@
-"""The router's own time: the same calls to a fake engine directly and through
-the router, in turn, in the same run. python -m bench.router
+"""Measures the latency that the router adds: the same calls go to a fake engine
+directly and through the router, in turn in one run. Run: python -m bench.router
 """
 
 import time
@@ -19,45 +19,45 @@
 
 
 def memory_mb(daemon: Daemon) -> float:
-    """Resident memory of a daemon."""
+    """Returns the resident memory of a daemon."""
     return daemon.process.memory_mb()
 
 
 def processor_s(daemon: Daemon) -> float:
-    """Processor time that a daemon has used."""
+    """Returns the processor time that a daemon has used."""
     return daemon.process.processor_s()
 
 
-def send_call(found: SmallSystem, kind: str, number: int) -> None:
-    url = found.system.routers[0].url
+def send_call(small: SmallSystem, kind: str, number: int) -> None:
+    url = small.system.routers[0].url
     version = "quote-large-1"
     if kind == "direct":
-        reply = chat(found.engines[0].url, KEY, version, X_Request_Id="direct")
+        reply = chat(small.engines[0].url, KEY, version, X_Request_Id="direct")
     elif kind == "session":
         reply = chat(url, KEY, ROUTE, Ashlatch_Session=f"s{number % 5}")
     elif kind == "keyed":
         reply = chat(url, KEY, ROUTE, Idempotency_Key=f"k-{time.monotonic_ns()}")
     elif kind == "order":
-        reply = found.order(f"o-{time.monotonic_ns()}")
+        reply = small.order(f"o-{time.monotonic_ns()}")
     else:
         reply = chat(url, KEY, ROUTE)
     assert reply.status == 200, reply
 
 
-def call_at_rate(found: SmallSystem, kind: str) -> list[float]:
-    """Times of calls that begin at a fixed rate, whatever the answers do."""
+def call_at_rate(small: SmallSystem, kind: str) -> list[float]:
+    """Starts calls at a fixed rate, regardless of the answers; returns their times."""
     began_s = time.monotonic()
     took_ms: list[float] = []
 
-    def one(number: int) -> None:
+    def call_at_due_time(number: int) -> None:
         due_s = began_s + number / RATE_PER_S
         time.sleep(max(0.0, due_s - time.monotonic()))
         start_s = time.perf_counter()
-        send_call(found, kind, number)
+        send_call(small, kind, number)
         took_ms.append((time.perf_counter() - start_s) * 1000.0)
 
     with ThreadPoolExecutor(32) as pool:
-        list(pool.map(one, range(CALLS)))
+        list(pool.map(call_at_due_time, range(CALLS)))
     return took_ms
 
 
@@ -68,17 +68,17 @@
 
 def measure_whole_answers() -> None:
     print_title(
-        f"Whole answers at {RATE_PER_S:.0f} a second, {CALLS} calls each, one router"
+        f"Whole answers at {RATE_PER_S:.0f} per second, {CALLS} calls each, one router"
     )
-    with start_small_system(routers=1, engine_arguments=FAST) as found:
-        daemons = [*found.system.routers, *found.system.states, *found.system.controls]
+    with start_small_system(routers=1, engine_arguments=FAST) as small:
+        daemons = [*small.system.routers, *small.system.states, *small.system.controls]
         for daemon in daemons:
             print_row(f"at rest {daemon.process.name}", memory_mb=memory_mb(daemon))
         base: list[float] = []
         for kind in KINDS:
-            before_s = processor_s(found.system.routers[0])
-            took = call_at_rate(found, kind)
-            used_s = processor_s(found.system.routers[0]) - before_s
+            before_s = processor_s(small.system.routers[0])
+            took = call_at_rate(small, kind)
+            used_s = processor_s(small.system.routers[0]) - before_s
             base = base or took
             print_row(
                 kind,
@@ -93,9 +93,9 @@
 
 
 def measure_streams() -> None:
-    print_title(f"Streams of 200 chunks, {STREAMS} at once")
-    with start_small_system(routers=1, engine_arguments=CHUNKED) as found:
-        engine, router = found.engines[0].url, found.system.routers[0]
+    print_title(f"Streams of 200 chunks, {STREAMS} in parallel")
+    with start_small_system(routers=1, engine_arguments=CHUNKED) as small:
+        engine, router = small.engines[0].url, small.system.routers[0]
         targets = {"direct": (engine, "quote-large-1"), "routed": (router.url, ROUTE)}
         for name, (url, model) in targets.items():
             before_s = processor_s(router)
--- a/bench/state.py
+++ b/bench/state.py
@@ -1,7 +1,8 @@
-"""The replicated state: commits against one bare fdatasync, claims by batch,
-time to in force, a leader's death, restarts, and what a heartbeat costs.
+"""Measures the replicated state: commits compared with a bare fdatasync, claims by
+batch, the time until a change is in force, leader failures, restarts, and the cost of a
+heartbeat.
 
-python -m bench.state
+Run: python -m bench.state
 """
 
 import asyncio
@@ -33,13 +34,13 @@
 POLL_DURATION_S = 8.0
 POLLERS_A_CLIENT = 20
 RESTART_CHANGES = (250, 1000, 4000)
-# Routers, and how long each heartbeat is held, in milliseconds.
+# Number of routers, and how long the leader holds each poll, in milliseconds.
 POLLERS = ((1, 400.0), (30, 400.0), (120, 400.0), (120, 1600.0), (360, 3000.0))
 
 
 @contextmanager
 def running_group(**settings: int) -> Iterator[tuple[System, StateClient]]:
-    """Three members and a client."""
+    """Runs three members and a client."""
     with running(state_extra=settings) as system:
         system.start_states(3)
         system.start_controls(1)
@@ -85,8 +86,8 @@
             )
             for n in range(COMMITS)
         ]
-        for name, place in (("fdatasync", 0), ("commit", 1)):
-            values = [pair[place] for pair in pairs]
+        for name, index in (("fdatasync", 0), ("commit", 1)):
+            values = [pair[index] for pair in pairs]
             print_row(
                 name, p50_ms=percentile(values, 50), p99_ms=percentile(values, 99)
             )
@@ -98,7 +99,7 @@
 
 
 def measure_claim_batches(system: System, client: StateClient) -> None:
-    print_title("Claims a second by how many are open at once")
+    print_title("Claims per second, by the number of open claims")
     leader = system.leader()
     for size in BATCHES:
         count = max(200, size * 10)
@@ -121,17 +122,19 @@
 
 
 def measure_in_force() -> None:
-    print_title(f"From a change's sending to in force on 3 routers, {CHANGES} changes")
-    with start_small_system(routers=3) as found:
+    print_title(
+        f"Time from sending a change to in force on 3 routers, {CHANGES} changes"
+    )
+    with start_small_system(routers=3) as small:
         took = []
         for number in range(CHANGES):
             began_s = time.perf_counter()
-            revision = found.put_model_until_answered(
+            revision = small.put_model_until_answered(
                 f"m-{number}", 0, f"c-{number}", ""
             )
             accepted_s = time.perf_counter()
             wait_until(
-                lambda r=revision: found.system.status()["in_force_revision"] >= r,  # type: ignore[misc]
+                lambda r=revision: small.system.status()["in_force_revision"] >= r,  # type: ignore[misc]
                 "in force",
             )
             took.append(
@@ -140,23 +143,25 @@
                     (time.perf_counter() - began_s) * 1000.0,
                 )
             )
-        for name, place in (("accepted", 0), ("in force", 1)):
-            values = [pair[place] for pair in took]
+        for name, index in (("accepted", 0), ("in force", 1)):
+            values = [pair[index] for pair in took]
             print_row(
                 name, p50_ms=percentile(values, 50), p99_ms=percentile(values, 99)
             )
-        measure_failovers(found)
+        measure_failovers(small)
 
 
-def measure_failovers(found: SmallSystem) -> None:
-    print_title(f"From a leader's kill to the next accepted change, {KILLS} kills")
+def measure_failovers(small: SmallSystem) -> None:
+    print_title(
+        f"Time from killing the leader to the next accepted change, {KILLS} kills"
+    )
     took = []
     for number in range(KILLS):
-        wait_until(lambda: found.system.status()["losses_survived"] >= 1, "whole")
-        leader = found.system.leader()
+        wait_until(lambda: small.system.status()["losses_survived"] >= 1, "whole")
+        leader = small.system.leader()
         leader.process.kill()
         began_s = time.perf_counter()
-        found.put_model_until_answered(f"k-{number}", 0, f"k-{number}", "")
+        small.put_model_until_answered(f"k-{number}", 0, f"k-{number}", "")
         took.append((time.perf_counter() - began_s) * 1000.0)
         leader.process.start()
     print_row("unavailable", ms=format_spread(took))
@@ -193,9 +198,7 @@
 
 
 def measure_heartbeats() -> None:
-    print_title(
-        "Routers' heartbeats at the leader, by routers and how long each is held"
-    )
+    print_title("Routers' heartbeats at the leader, by routers and holding time")
     with running_group(router_lease_ms=8000) as (system, client):
         leader = system.leader()
         for count, held_ms in POLLERS:
@@ -216,7 +219,9 @@
 def run_pollers(
     client: StateClient, leader: Daemon, count: int, held_ms: float
 ) -> tuple[int, float, float]:
-    """So many pollers for a while: polls, processor time and time."""
+    """Runs pollers for a while; returns their number of polls, the processor time
+    of the leader and the elapsed time.
+    """
     polls = [0]
 
     async def poller(client: StateClient, number: int, end_s: float) -> None:
@@ -227,7 +232,7 @@
 
     async def all_pollers() -> None:
         end_s = time.monotonic() + POLL_DURATION_S
-        # One HTTP/2 connection takes 100 calls at once.
+        # An HTTP/2 connection allows 100 concurrent calls.
         clients = [client.another() for _ in range(count // POLLERS_A_CLIENT + 1)]
         await asyncio.gather(
             *(poller(clients[n // POLLERS_A_CLIENT], n, end_s) for n in range(count))
