--- a/bench/exposure.py
+++ b/bench/exposure.py
@@ -97,9 +97,9 @@
             self.exchange()
 
     def exchange(self) -> None:
-        suspected = self.detector.suspected
+        under_suspicion = self.detector.suspected
         self.exchange_ms = self.now_ms + (
-            SUSPECTED_EXCHANGE_MS if suspected else EXCHANGE_MS
+            SUSPECTED_EXCHANGE_MS if under_suspicion else EXCHANGE_MS
         )
         tally = VersionTally(self.answers, self.errors, self.answers, self.log_latency)
         if tally.answers or tally.errors:
@@ -160,9 +160,9 @@
         if not self.compares:
             super().exchange()
             return
-        suspected = self.detector.suspected
+        under_suspicion = self.detector.suspected
         self.exchange_ms = self.now_ms + (
-            SUSPECTED_EXCHANGE_MS if suspected else EXCHANGE_MS
+            SUSPECTED_EXCHANGE_MS if under_suspicion else EXCHANGE_MS
         )
         answers, others = self.answers, self.other_answers
         tallies = {
--- a/bench/table.py
+++ b/bench/table.py
@@ -6,8 +6,8 @@
 
 def format_spread(values: Sequence[float]) -> str:
     """Formats the median with the minimum and the maximum."""
-    median = statistics.median(values)
-    return f"{median:.4g} ({min(values):.4g}..{max(values):.4g})"
+    median_value = statistics.median(values)
+    return f"{median_value:.4g} ({min(values):.4g}..{max(values):.4g})"
 
 
 def percentile(values: Sequence[float], percent: float) -> float:
