--- a/bench/state.py
+++ b/bench/state.py
@@ -25,7 +25,7 @@
 from bench.router import memory_mb, processor_s
 from bench.table import format_spread, percentile, print_row, print_title
 from tests.small_system import SmallSystem, start_small_system
-from tests.system import Daemon, System, running, wait_until
+from tests.system import Daemon, System, running_system, wait_until
 
 COMMITS = 400
 BATCHES = (1, 4, 16, 64, 256)
@@ -41,7 +41,7 @@
 @contextmanager
 def running_group(**settings: int) -> Iterator[tuple[System, StateClient]]:
     """Runs three members and a client."""
-    with running(state_extra=settings) as system:
+    with running_system(state_extra=settings) as system:
         system.start_states(3)
         system.start_controls(1)
         wait_until(lambda: system.voters() == 3, "three voters")
@@ -172,7 +172,9 @@
     for changes in RESTART_CHANGES:
         figures = {}
         for name, every in (("no_snapshot", 1_000_000), ("snapshot", 500)):
-            with running(state_extra={"snapshot_every_records": every}) as system:
+            with running_system(
+                state_extra={"snapshot_every_records": every}
+            ) as system:
                 system.start_states(1)
                 wait_until(lambda: "leading=true" in system.states[0].process.log, "")
                 rpc = RpcLoop()
--- a/tests/demo.py
+++ b/tests/demo.py
@@ -13,7 +13,7 @@
     start_fakes,
     wait_for_endpoints,
 )
-from tests.system import System, running, wait_until
+from tests.system import System, running_system, wait_until
 
 QUEENSLAND_KEY = "demo-yatala-grocery"
 KENYA_KEY = "demo-nairobi-stockists"
@@ -119,7 +119,7 @@
 
 
 def main() -> None:
-    with running() as system:
+    with running_system() as system:
         start(system)
         configure(system)
         call(system)
--- a/tests/deployment.py
+++ b/tests/deployment.py
@@ -80,7 +80,7 @@
     """Waits until this many endpoints are configured and in force."""
 
     def listed() -> bool:
-        found = system.operate("GET", "/v1/resources/endpoint").json
+        found = system.call_api("GET", "/v1/resources/endpoint").json
         status = system.status()
         in_force: int = status["in_force_revision"]
         enough = len(found["resources"]) >= count
--- a/tests/fakes/engine.py
+++ b/tests/fakes/engine.py
@@ -25,13 +25,13 @@
 
 from werkzeug.wrappers import Request, Response
 
-from tests.fakes.web import announce, reply, serve, wait_for_end
+from tests.fakes.web import announce, reply, serve, wait_for_parent
 
 BATCH_SLOWDOWN = 0.5
 CACHE_PREFIXES = 16
 PREFIX_CHARS = 512
 QUEUE_MAX_FACTOR = 4
-LOG_MAX = 100_000
+RUNS_MAX = 100_000
 
 
 @dataclass
@@ -56,13 +56,13 @@
     requests_per_s: float = -1.0
     backoff_s: float = 0.0
     announces_leaving: bool = False
-    turned_away_ms: list[float] = field(default_factory=list)
+    refused_ms: list[float] = field(default_factory=list)
     quality: dict[str, float] = field(default_factory=dict)
     error_ratio: dict[str, float] = field(default_factory=dict)
     version_slowdown: dict[str, float] = field(default_factory=dict)
     finish: dict[str, str] = field(default_factory=dict)
     runs: collections.deque[dict[str, Any]] = field(
-        default_factory=lambda: collections.deque(maxlen=LOG_MAX)
+        default_factory=lambda: collections.deque(maxlen=RUNS_MAX)
     )
     orders: dict[str, int] = field(default_factory=dict)
     cache: collections.OrderedDict[int, None] = field(
@@ -77,7 +77,7 @@
 
     # Batching.
 
-    def enter(self, priority: int) -> bool:
+    def acquire_slot(self, priority: int) -> bool:
         with self.lock:
             if self.queued >= self.slots * QUEUE_MAX_FACTOR:
                 return False
@@ -93,7 +93,7 @@
             self.lock.notify_all()
             return True
 
-    def leave(self) -> None:
+    def release_slot(self) -> None:
         with self.lock:
             self.running -= 1
             self.lock.notify_all()
@@ -121,12 +121,12 @@
 
     # HTTP.
 
-    def answer(self, http: Request) -> Response:
+    def handle(self, http: Request) -> Response:
         match (http.method, http.path):
             case ("POST", "/v1/chat/completions"):
-                return self.with_notices(self.chat(http))
+                return self.add_notices(self.chat(http))
             case ("POST", "/v1/orders"):
-                return self.order(http.get_json())
+                return self.apply_order(http.get_json())
             case ("POST", "/control"):
                 return self.control(http.get_json())
             case ("GET", "/load"):
@@ -134,12 +134,12 @@
             case ("GET", "/runs"):
                 return reply(list(self.runs))
             case ("GET", "/turned-away"):
-                return reply(self.turned_away_ms)
+                return reply(self.refused_ms)
             case ("GET", "/orders"):
                 return reply(self.orders)
         return reply({"error": {"type": "no such path"}}, 404)
 
-    def with_notices(self, response: Response) -> Response:
+    def add_notices(self, response: Response) -> Response:
         if self.announces_leaving:
             response.headers["Ashlatch-Leaving"] = "1"
         if self.requests_per_s >= 0.0:
@@ -168,7 +168,7 @@
                 setattr(self, name, value)
         return reply(self.load())
 
-    def order(self, order: dict[str, Any]) -> Response:
+    def apply_order(self, order: dict[str, Any]) -> Response:
         with self.lock:
             if order["order_id"] in self.orders:
                 return reply({"done": "before"})
@@ -191,7 +191,7 @@
         version = body["model"]
         attempt = http.headers.get("X-Request-Id", "")
         if self.backoff_s > 0.0:
-            self.turned_away_ms.append(time.time() * 1000)
+            self.refused_ms.append(time.time() * 1000)
             response = self.refuse("shed")
             response.headers["Retry-After"] = str(self.backoff_s)
             return response
@@ -199,7 +199,7 @@
             return self.refuse("leaving")
         if version not in self.versions:
             return self.refuse("not_loaded")
-        if not self.enter(int(body.get("priority", 0))):
+        if not self.acquire_slot(int(body.get("priority", 0))):
             return self.refuse("full")
         self.runs.append(
             {
@@ -214,7 +214,7 @@
             os._exit(1)
         shown = attempt + "-other" if self.swap_ids else attempt
         if self.random.random() < self.error_ratio.get(version, 0.0):
-            self.leave()
+            self.release_slot()
             return reply({"error": {"type": "internal"}}, 500, X_Request_Id=shown)
         prompt = json.dumps(body["messages"])
         tokens = min(int(body.get("max_tokens", 10**6)), self.output_tokens)
@@ -224,9 +224,9 @@
             return Response(
                 events, 200, {"X-Request-Id": shown}, content_type="text/event-stream"
             )
-        return self.whole(version, prompt, tokens, shown)
+        return self.answer_whole(version, prompt, tokens, shown)
 
-    def word(self, version: str, place: int) -> str:
+    def token_text(self, version: str, place: int) -> str:
         """Deterministic text: the version's quality and the word's place."""
         quality = self.quality.get(version, 0.0)
         return f"quality={quality} " if place == 0 else f"w{place} "
@@ -234,15 +234,17 @@
     def usage(self, prompt: str, tokens: int) -> dict[str, int]:
         return {"prompt_tokens": len(prompt) // 4, "completion_tokens": tokens}
 
-    def whole(self, version: str, prompt: str, tokens: int, shown: str) -> Response:
+    def answer_whole(
+        self, version: str, prompt: str, tokens: int, shown: str
+    ) -> Response:
         try:
             self.stall()
             time.sleep(self.prefill_s(prompt))
             for _ in range(0, tokens, 10):
                 time.sleep(self.token_s(version) * min(10, tokens))
         finally:
-            self.leave()
-        text = "".join(self.word(version, place) for place in range(tokens))
+            self.release_slot()
+        text = "".join(self.token_text(version, place) for place in range(tokens))
         message = {"role": "assistant", "content": text}
         document = {
             "id": shown,
@@ -269,7 +271,7 @@
                 time.sleep(self.token_s(version))
                 if self.break_after and place - skip >= self.break_after:
                     raise ConnectionAbortedError
-                delta = {"content": self.word(version, place)}
+                delta = {"content": self.token_text(version, place)}
                 choice = {"index": 0, "delta": delta, "finish_reason": None}
                 yield _event({"model": version, "choices": [choice]})
             end = {"index": 0, "delta": {}, "finish_reason": "stop"}
@@ -277,7 +279,7 @@
             yield _event({"choices": [], "usage": self.usage(prompt, tokens)})
             yield b"data: [DONE]\n\n"
         finally:
-            self.leave()
+            self.release_slot()
 
 
 def _event(document: Any) -> bytes:
@@ -307,8 +309,8 @@
         given.seed,
     )
     engine.quality = json.loads(given.quality)
-    announce(port=serve(given.host, given.port, engine.answer))
-    wait_for_end()
+    announce(port=serve(given.host, given.port, engine.handle))
+    wait_for_parent()
 
 
 if __name__ == "__main__":
--- a/tests/fakes/platform.py
+++ b/tests/fakes/platform.py
@@ -16,22 +16,22 @@
 
 from werkzeug.wrappers import Request, Response
 
-from tests.fakes.web import announce, reply, serve, wait_for_end
+from tests.fakes.web import announce, reply, serve, wait_for_parent
 
 
 class Platform:
     def __init__(self, lag_ms: float, report_ms: float) -> None:
         self.lag_s = lag_ms / 1000.0
         self.report_s = report_ms / 1000.0
-        self.lists: list[tuple[float, list[dict[str, Any]]]] = [(0.0, [])]
+        self.vm_lists: list[tuple[float, list[dict[str, Any]]]] = [(0.0, [])]
         self.reports: dict[str, tuple[float, dict[str, Any]]] = {}
-        threading.Thread(target=self.gather, daemon=True).start()
+        threading.Thread(target=self.collect_reports, daemon=True).start()
 
     def vms(self) -> list[dict[str, Any]]:
         now_s = time.monotonic()
-        return [vms for at_s, vms in self.lists if at_s <= now_s][-1]
+        return [vms for at_s, vms in self.vm_lists if at_s <= now_s][-1]
 
-    def gather(self) -> None:
+    def collect_reports(self) -> None:
         while True:
             for vm in self.vms():
                 try:
@@ -44,19 +44,19 @@
                     continue
             time.sleep(self.report_s)
 
-    def answer(self, http: Request) -> Response:
+    def handle(self, http: Request) -> Response:
         if http.path == "/v1/vms" and http.method == "GET":
             return reply({"vms": self.vms()})
         if http.path == "/vms":
             at_s = time.monotonic() + self.lag_s
-            self.lists.append((at_s, http.get_json()["vms"]))
+            self.vm_lists.append((at_s, http.get_json()["vms"]))
             return reply({})
         if http.path.startswith("/v1/pools/"):
             wanted = [vm for vm in http.args.get("vms", "").split(",") if vm]
-            return self.pool(http.path.split("/")[3], wanted)
+            return self.pool_reports(http.path.split("/")[3], wanted)
         return reply({}, 404)
 
-    def pool(self, pool: str, wanted: list[str]) -> Response:
+    def pool_reports(self, pool: str, wanted: list[str]) -> Response:
         now_s = time.monotonic()
         endpoints = []
         for vm in self.vms():
@@ -77,15 +77,17 @@
         self.noise = noise
         self.random = random.Random(seed)
         self.lock = threading.Lock()
-        self.rated: list[tuple[float, dict[str, Any]]] = []
+        self.ratings: list[tuple[float, dict[str, Any]]] = []
 
-    def answer(self, http: Request) -> Response:
+    def handle(self, http: Request) -> Response:
         if http.path == "/v1/answers":
             return self.submit(http.get_json())
         after = int(http.args.get("after", "-1"))
         now_s = time.monotonic()
         with self.lock:
-            due = [r for at_s, r in self.rated if at_s <= now_s and r["number"] > after]
+            due = [
+                r for at_s, r in self.ratings if at_s <= now_s and r["number"] > after
+            ]
         return reply({"ratings": due})
 
     def submit(self, answer: dict[str, Any]) -> Response:
@@ -94,28 +96,28 @@
         with self.lock:
             rating = self.random.gauss(quality, self.noise)
             entry = {
-                "number": len(self.rated),
+                "number": len(self.ratings),
                 "request": answer["request"],
                 "route": answer["route"],
                 "version": answer["version"],
                 "rating": min(1.0, max(0.0, rating)),
             }
-            self.rated.append((time.monotonic() + self.delay_s, entry))
+            self.ratings.append((time.monotonic() + self.delay_s, entry))
         return reply({})
 
 
 class WeightStore:
-    def __init__(self, every_ms: float) -> None:
-        self.every_s = every_ms / 1000.0
+    def __init__(self, interval_ms: float) -> None:
+        self.interval_s = interval_ms / 1000.0
         self.next_s = 0.0
         self.lock = threading.Lock()
 
-    def answer(self, http: Request) -> Response:
+    def handle(self, http: Request) -> Response:
         with self.lock:
             now_s = time.monotonic()
             if now_s < self.next_s:
                 return reply({"error": "rate"}, 429)
-            self.next_s = now_s + self.every_s
+            self.next_s = now_s + self.interval_s
         return reply({})
 
 
@@ -133,11 +135,11 @@
     ratings = Ratings(given.rating_delay_ms, given.rating_noise, given.seed)
     store = WeightStore(given.store_every_ms)
     announce(
-        platform=serve(given.host, 0, platform.answer),
-        ratings=serve(given.host, 0, ratings.answer),
-        store=serve(given.host, 0, store.answer),
+        platform=serve(given.host, 0, platform.handle),
+        ratings=serve(given.host, 0, ratings.handle),
+        store=serve(given.host, 0, store.handle),
     )
-    wait_for_end()
+    wait_for_parent()
 
 
 if __name__ == "__main__":
--- a/tests/fakes/web.py
+++ b/tests/fakes/web.py
@@ -10,7 +10,7 @@
 from werkzeug.serving import ThreadedWSGIServer, WSGIRequestHandler
 from werkzeug.wrappers import Request, Response
 
-Answer = Callable[[Request], Response]
+RequestHandler = Callable[[Request], Response]
 
 
 class _Handler(WSGIRequestHandler):
@@ -36,11 +36,11 @@
     )
 
 
-def serve(host: str, port: int, answer: Answer) -> int:
+def serve(host: str, port: int, handler: RequestHandler) -> int:
     """Serve on a thread; the port that the system picked when given 0."""
 
     def application(environ: Any, start_response: Any) -> Iterable[bytes]:
-        return answer(Request(environ))(environ, start_response)
+        return handler(Request(environ))(environ, start_response)
 
     server = _Server(host, port, application, _Handler)
     threading.Thread(target=server.serve_forever, daemon=True).start()
@@ -52,6 +52,6 @@
     print(json.dumps(ports), flush=True)
 
 
-def wait_for_end() -> None:
+def wait_for_parent() -> None:
     """Live until the parent closes our standard input."""
     sys.stdin.read()
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -13,25 +13,25 @@
 
 from werkzeug.wrappers import Request, Response
 
-from tests.fakes.web import announce, reply, serve, wait_for_end
+from tests.fakes.web import announce, reply, serve, wait_for_parent
 
 
 class Worker:
     def __init__(self) -> None:
         self.lock = threading.Lock()
-        self.ran: collections.Counter[str] = collections.Counter()
+        self.executions: collections.Counter[str] = collections.Counter()
         self.settings: dict[str, Any] = {"delay_ms": 0, "fail": False}
 
-    def answer(self, http: Request) -> Response:
+    def handle(self, http: Request) -> Response:
         if http.path == "/ran":
-            return reply(self.ran)
+            return reply(self.executions)
         if http.path == "/control":
             self.settings.update(http.get_json())
             return reply(self.settings)
         key = http.headers.get("Idempotency-Key", "")
         with self.lock:
-            self.ran[key] += 1
-            number = sum(self.ran.values())
+            self.executions[key] += 1
+            number = sum(self.executions.values())
         time.sleep(self.settings["delay_ms"] / 1000.0)
         if self.settings["fail"]:
             return reply({"error": "failed after it ran"}, 500)
@@ -44,8 +44,8 @@
     parser.add_argument("--host", default="127.0.0.1")
     parser.add_argument("--port", type=int, default=0)
     given = parser.parse_args()
-    announce(port=serve(given.host, given.port, Worker().answer))
-    wait_for_end()
+    announce(port=serve(given.host, given.port, Worker().handle))
+    wait_for_parent()
 
 
 if __name__ == "__main__":
--- a/tests/small_system.py
+++ b/tests/small_system.py
@@ -11,7 +11,7 @@
 
 from tests.chat import chat, service
 from tests.deployment import KENYA, resources, wait_for_endpoints
-from tests.system import Daemon, Fake, HttpReply, System, running, wait_until
+from tests.system import Daemon, Fake, HttpReply, System, running_system, wait_until
 
 KEY = "demo-nairobi-stockists"
 ORGANISATION = "nairobi-stockists"
@@ -68,7 +68,7 @@
         condition = (
             {"If-Match": f'"{revision}"'} if revision else {"If-None-Match": "*"}
         )
-        return self.system.operate(
+        return self.system.call_api(
             "PUT",
             f"/v1/resources/model/{name}",
             {"description": text},
@@ -117,7 +117,7 @@
     **extra: Any,
 ) -> Iterator[SmallSystem]:
     """Starts a system and waits until it serves; three state members, all voters."""
-    with running(**extra) as system:
+    with running_system(**extra) as system:
         system.start_platform()
         small = SmallSystem(system)
         for number in range(2):
--- a/tests/system.py
+++ b/tests/system.py
@@ -24,19 +24,19 @@
 
 BIN = Path(sys.executable).parent
 TOKEN = "operator-token"
-READY_S = 30.0
-STOP_S = 20.0
+READY_TIMEOUT_S = 30.0
+STOP_TIMEOUT_S = 20.0
 # Lines of each log that a failed test shows.
-SHOWN_LINES = 60
+LOG_LINES_SHOWN = 60
 HALLS = ("brisbane-north", "logan", "ipswich")
 
 
-def own_host() -> str:
+def local_host() -> str:
     number = os.getpid()
     return f"127.{64 + (number >> 16) % 64}.{(number >> 8) % 256}.{number % 254 + 1}"
 
 
-HOST = own_host()
+HOST = local_host()
 
 
 # Below the ports that the operating system picks for outgoing connections: one of those
@@ -60,7 +60,9 @@
     return hashlib.sha256(text.encode()).hexdigest()
 
 
-def wait_until(check: Callable[[], Any], what: str, limit_s: float = READY_S) -> Any:
+def wait_until(
+    check: Callable[[], Any], description: str, limit_s: float = READY_TIMEOUT_S
+) -> Any:
     """Ask until the answer is true; a failed ask counts as no."""
     end_s = time.monotonic() + limit_s
     while time.monotonic() < end_s:
@@ -71,7 +73,7 @@
             if found:
                 return found
         time.sleep(0.02)
-    raise AssertionError(f"not within {limit_s} s: {what}")
+    raise AssertionError(f"not within {limit_s} s: {description}")
 
 
 @dataclass(frozen=True)
@@ -120,12 +122,12 @@
         self.popen = subprocess.Popen(
             self.command,
             stdin=subprocess.PIPE,
-            stdout=subprocess.PIPE if self.tells_ports else self._log,
+            stdout=subprocess.PIPE if self.prints_ports else self._log,
             stderr=self._log,
         )
 
     @property
-    def tells_ports(self) -> bool:
+    def prints_ports(self) -> bool:
         """Fakes print their ports; the daemons print their logs."""
         return "tests.fakes" in " ".join(self.command)
 
@@ -157,7 +159,7 @@
             self.popen.send_signal(signal.SIGCONT)
             self.popen.terminate()
         try:
-            return self.popen.wait(STOP_S)
+            return self.popen.wait(STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.kill()
             raise
@@ -298,12 +300,12 @@
 
     def start_engine(self, vm: str, pool: str, hall: str, *arguments: str) -> Fake:
         fake = self._fake("engine", "--vm", vm, *arguments, name=vm)
-        self._list(vm, pool, hall, fake)
+        self._add_vm(vm, pool, hall, fake)
         return fake
 
     def start_worker(self, vm: str, pool: str, hall: str) -> Fake:
         fake = self._fake("worker", name=vm)
-        self._list(vm, pool, hall, fake)
+        self._add_vm(vm, pool, hall, fake)
         return fake
 
     def publish_vms(self) -> None:
@@ -341,7 +343,7 @@
         path.write_text(json.dumps(resources))
         return self.ctl("apply", "-f", str(path), "--wait").stdout
 
-    def operate(
+    def call_api(
         self,
         method: str,
         path: str,
@@ -357,7 +359,7 @@
     def status(self) -> Any:
         for control in range(len(self.controls)):
             with contextlib.suppress(OSError):
-                reply = self.operate("GET", "/v1/status", control=control)
+                reply = self.call_api("GET", "/v1/status", control=control)
                 if reply.status == 200:
                     return reply.json
         raise OSError("no status")
@@ -384,7 +386,7 @@
     def show_logs(self) -> None:
         """Print the last lines of each daemon; pytest shows them on a failure."""
         for daemon in [*self.routers, *self.controls, *self.states]:
-            lines = daemon.process.log.splitlines()[-SHOWN_LINES:]
+            lines = daemon.process.log.splitlines()[-LOG_LINES_SHOWN:]
             print(f"--- {daemon.process.name}", *lines, sep="\n")
 
     def close(self) -> None:
@@ -395,7 +397,7 @@
 
     # Inside.
 
-    def _list(self, vm: str, pool: str, hall: str, fake: Fake) -> None:
+    def _add_vm(self, vm: str, pool: str, hall: str, fake: Fake) -> None:
         self.vms.append({"vm": vm, "pool": pool, "hall": hall, "url": fake.url})
 
     def _write(self, name: str, settings: dict[str, Any]) -> Path:
@@ -419,7 +421,7 @@
 
 
 @contextlib.contextmanager
-def running(**extra: Any) -> Iterator[System]:
+def running_system(**extra: Any) -> Iterator[System]:
     """A system that is ended with the block, and its folder with it."""
     with tempfile.TemporaryDirectory(prefix="ashlatch-") as folder:
         system = System(Path(folder), **extra)
--- a/tests/test_control_failures.py
+++ b/tests/test_control_failures.py
@@ -23,7 +23,7 @@
     for control in range(len(small.system.controls)):
         try:
             path = f"/v1/resources/rollout-progress/{name}"
-            reply = small.system.operate("GET", path, control=control)
+            reply = small.system.call_api("GET", path, control=control)
         except OSError:
             continue
         if reply.status == 200:
@@ -33,7 +33,7 @@
 
 
 def withdrawn(small: SmallSystem) -> set[str]:
-    reply = small.system.operate("GET", "/v1/resources/withdrawal")
+    reply = small.system.call_api("GET", "/v1/resources/withdrawal")
     return {r["name"] for r in reply.json["resources"]}
 
 
@@ -100,7 +100,7 @@
 
 def set_quality_target(small: SmallSystem, quality: float) -> None:
     """Sets a route's quality target; with a low one the small model answers."""
-    reply = small.system.operate("GET", "/v1/resources/route/draft-quotation").json
+    reply = small.system.call_api("GET", "/v1/resources/route/draft-quotation").json
     spec = {**reply["spec"], "quality_target": quality}
     small.system.apply([{"kind": "route", "name": "draft-quotation", "spec": spec}])
 
--- a/tests/test_ctl.py
+++ b/tests/test_ctl.py
@@ -5,7 +5,7 @@
 
 import testtools
 
-from tests.system import System, running, wait_until
+from tests.system import System, running_system, wait_until
 
 MODEL: dict[str, Any] = {
     "kind": "model",
@@ -25,7 +25,7 @@
 
 class CtlTest(testtools.TestCase):
     def test_operator_commands(self) -> None:
-        with running() as system:
+        with running_system() as system:
             system.start_states(3)
             system.start_controls(2)
             wait_until(lambda: system.voters() == 3, "three voters")
--- a/tests/test_router_failures.py
+++ b/tests/test_router_failures.py
@@ -131,7 +131,7 @@
         wanted = {vm["url"] for vm in vms}
 
         def in_force() -> bool:
-            reply = deployment.system.operate("GET", "/v1/resources/endpoint").json
+            reply = deployment.system.call_api("GET", "/v1/resources/endpoint").json
             urls = {r["spec"]["url"] for r in reply["resources"]}
             reached: int = deployment.system.status()["in_force_revision"]
             return urls == wanted and reached >= reply["revision"]
--- a/tests/test_state_failures.py
+++ b/tests/test_state_failures.py
@@ -21,7 +21,7 @@
     Process,
     System,
     request,
-    running,
+    running_system,
     wait_until,
 )
 
@@ -97,7 +97,7 @@
             # The second loss comes right after the report.
             state_of(system, "state-0").process.kill()
             found.put_model_until_answered("kept", revision, "c-2", "two")
-            reply = system.operate("GET", "/v1/resources/model/kept")
+            reply = system.call_api("GET", "/v1/resources/model/kept")
             self.assertEqual("two", reply.json["spec"]["description"])
             wait_until(found.every_router_answers, "every router answers")
 
@@ -130,7 +130,7 @@
                 daemon.process.signal(signal.SIGCONT)
             # The old leader, asked directly, must not serve its old state.
             wait_until(lambda: repaired(system), "the old leader follows")
-            reply = system.operate("GET", "/v1/resources/model/frozen", control=place)
+            reply = system.call_api("GET", "/v1/resources/model/frozen", control=place)
             self.assertEqual("new", reply.json["spec"]["description"])
             stale = found.put_model("frozen", revision, "c-2", place, "stale")
             self.assertEqual(412, stale.status)
@@ -139,7 +139,7 @@
             self.check_revisions(system)
 
     def status(self, system: System, control: int) -> dict[str, int]:
-        found: dict[str, int] = system.operate(
+        found: dict[str, int] = system.call_api(
             "GET", "/v1/status", control=control
         ).json
         return found
@@ -191,7 +191,7 @@
             wait_until(found.every_router_answers, "every router answers")
             cut.restore()
             wait_until(lambda: repaired(system), "the old leader follows")
-            reply = system.operate("GET", "/v1/resources/model/cut")
+            reply = system.call_api("GET", "/v1/resources/model/cut")
             self.assertEqual("new", reply.json["spec"]["description"])
 
 
@@ -245,7 +245,7 @@
 
 class RestartTest(testtools.TestCase):
     def test_a_restart_after_a_thousand_changes(self) -> None:
-        with running(state_extra={"snapshot_every_records": 400}) as system:
+        with running_system(state_extra={"snapshot_every_records": 400}) as system:
             system.start_states(3)
             system.start_controls(1)
             wait_until(lambda: system.voters() == 3, "three voters")
@@ -275,7 +275,7 @@
             self.assertLess(time.monotonic() - began_s, 20.0)
 
     def listed(self, system: System) -> list[str]:
-        reply = system.operate("GET", "/v1/resources/model")
+        reply = system.call_api("GET", "/v1/resources/model")
         return (
             [r["name"] for r in reply.json["resources"]] if reply.status == 200 else []
         )
@@ -284,7 +284,7 @@
 class DiskTest(testtools.TestCase):
     def test_a_full_disk_stops_one_member_and_it_comes_back(self) -> None:
         """The kernel itself cuts the write short, by a limit on file sizes."""
-        with running() as system:
+        with running_system() as system:
             system.start_states(3)
             system.start_controls(1)
             wait_until(lambda: system.voters() == 3, "three voters")
@@ -314,7 +314,7 @@
             wait_until(lambda: repaired(system), "the member is back")
 
     def test_damage_in_the_middle_stops_the_member(self) -> None:
-        with running() as system:
+        with running_system() as system:
             system.start_states(1)
             system.start_controls(1)
             wait_until(lambda: system.voters() == 1, "a voter")
@@ -333,7 +333,7 @@
             self.assertIn("error=LogDamaged", daemon.process.log)
 
     def test_initialise_does_not_overwrite(self) -> None:
-        with running() as system:
+        with running_system() as system:
             system.start_states(1)
             command = [*system.states[0].process.command, "--initialise"]
             done = subprocess.run(command, capture_output=True, text=True)
@@ -343,7 +343,7 @@
 
 class SettingsTest(testtools.TestCase):
     def test_wrong_settings_name_the_field_and_start_nothing(self) -> None:
-        with running() as system:
+        with running_system() as system:
             path = system.folder / "wrong.json"
             wrong = {"vm": "Vm!", "listen": "nowhere", "data_folder": "d", "colour": 1}
             path.write_text(json.dumps(wrong))
