--- a/tests/test_state_failures.py
+++ b/tests/test_state_failures.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 import testtools
-
 from tests.small_system import OrderLoad, Relay, SmallSystem, start_small_system
+
 from tests.system import (
     BIN,
     HOST,
@@ -21,7 +21,7 @@
     Process,
     System,
     request,
-    running,
+    running_system,
     wait_until,
 )
 
@@ -97,7 +97,7 @@
             # The second loss follows immediately after the report.
             state_daemon(system, "state-0").process.kill()
             small.put_model_until_answered("kept", revision, "c-2", "two")
-            reply = system.operate("GET", "/v1/resources/model/kept")
+            reply = system.call_api("GET", "/v1/resources/model/kept")
             self.assertEqual("two", reply.json["spec"]["description"])
             wait_until(small.every_router_answers, "every router answers")
 
@@ -130,7 +130,7 @@
                 daemon.process.signal(signal.SIGCONT)
             # The old leader must not serve its old state, even if it is called itself.
             wait_until(lambda: is_repaired(system), "the old leader follows")
-            reply = system.operate(
+            reply = system.call_api(
                 "GET", "/v1/resources/model/frozen", control=control_index
             )
             self.assertEqual("new", reply.json["spec"]["description"])
@@ -141,7 +141,7 @@
             self.check_revisions(system)
 
     def status(self, system: System, control: int) -> dict[str, int]:
-        status: dict[str, int] = system.operate(
+        status: dict[str, int] = system.call_api(
             "GET", "/v1/status", control=control
         ).json
         return status
@@ -193,7 +193,7 @@
             wait_until(small.every_router_answers, "every router answers")
             cut.restore()
             wait_until(lambda: is_repaired(system), "the old leader follows")
-            reply = system.operate("GET", "/v1/resources/model/cut")
+            reply = system.call_api("GET", "/v1/resources/model/cut")
             self.assertEqual("new", reply.json["spec"]["description"])
 
 
@@ -247,7 +247,7 @@
 
 class RestartTest(testtools.TestCase):
     def test_a_restart_after_a_thousand_changes(self) -> None:
-        with running(state_extra={"snapshot_every_records": 400}) as system:
+        with running_system(state_extra={"snapshot_every_records": 400}) as system:
             system.start_states(3)
             system.start_controls(1)
             wait_until(lambda: system.voters() == 3, "three voters")
@@ -277,7 +277,7 @@
             self.assertLess(time.monotonic() - started_s, 20.0)
 
     def listed(self, system: System) -> list[str]:
-        reply = system.operate("GET", "/v1/resources/model")
+        reply = system.call_api("GET", "/v1/resources/model")
         return (
             [r["name"] for r in reply.json["resources"]] if reply.status == 200 else []
         )
@@ -286,7 +286,7 @@
 class DiskTest(testtools.TestCase):
     def test_a_full_disk_stops_one_member_and_it_comes_back(self) -> None:
         """The kernel cuts the write short, by a limit on file sizes."""
-        with running() as system:
+        with running_system() as system:
             system.start_states(3)
             system.start_controls(1)
             wait_until(lambda: system.voters() == 3, "three voters")
@@ -316,7 +316,7 @@
             wait_until(lambda: is_repaired(system), "the member is back")
 
     def test_corruption_in_the_middle_of_the_log_stops_the_member(self) -> None:
-        with running() as system:
+        with running_system() as system:
             system.start_states(1)
             system.start_controls(1)
             wait_until(lambda: system.voters() == 1, "a voter")
@@ -335,7 +335,7 @@
             self.assertIn("error=LogDamaged", daemon.process.log)
 
     def test_initialise_does_not_overwrite(self) -> None:
-        with running() as system:
+        with running_system() as system:
             system.start_states(1)
             command = [*system.states[0].process.command, "--initialise"]
             result = subprocess.run(command, capture_output=True, text=True)
@@ -345,7 +345,7 @@
 
 class SettingsTest(testtools.TestCase):
     def test_invalid_settings_are_reported_by_field_and_start_nothing(self) -> None:
-        with running() as system:
+        with running_system() as system:
             path = system.folder / "wrong.json"
             invalid = {
                 "vm": "Vm!",
