--- a/tests/demo.py
+++ b/tests/demo.py
@@ -1,4 +1,4 @@
-"""make demo: the whole path on fakes, from nothing to an ordered stop."""
+"""Runs the demo of `make demo`: a whole system on fakes, from start to shutdown."""
 
 import json
 import sys
@@ -25,8 +25,8 @@
     print(f"[{time.monotonic() - BEGAN_S:5.1f} s] {text}", flush=True)
 
 
-def check(condition: bool, what: str) -> None:
-    say(f"{'ok ' if condition else 'NOT'}  {what}")
+def check(condition: bool, description: str) -> None:
+    say(f"{'ok ' if condition else 'NOT'}  {description}")
     if not condition:
         sys.exit(1)
 
@@ -53,7 +53,7 @@
     wait_for_endpoints(system, len(system.vms))
     say(f"{len(system.vms)} endpoints in force, from the platform's list")
 
-    def routed() -> bool:
+    def all_routers_answer() -> bool:
         answers = [
             chat(router.url, key, route).status
             for router in system.routers
@@ -64,7 +64,7 @@
         ]
         return set(answers) == {200}
 
-    wait_until(routed, "every router answers")
+    wait_until(all_routers_answer, "every router answers")
 
 
 def call(system: System) -> None:
@@ -79,14 +79,17 @@
         f"{stream.headers['ashlatch-version']}",
     )
     order = {"item": "chain", "count": 40}
-    named = {"Idempotency_Key": "order-17"}
-    one = service(first, KENYA_KEY, "orders-app", "orders", order, **named)
-    two = service(third, KENYA_KEY, "orders-app", "orders", order, **named)
-    check(one.status == two.status == 200, "an order, and its retry elsewhere")
-    check(one.body == two.body, "both got the same answer")
+    headers = {"Idempotency_Key": "order-17"}
+    first_reply = service(first, KENYA_KEY, "orders-app", "orders", order, **headers)
+    retry_reply = service(third, KENYA_KEY, "orders-app", "orders", order, **headers)
+    check(
+        first_reply.status == retry_reply.status == 200,
+        "an order, and its retry elsewhere",
+    )
+    check(first_reply.body == retry_reply.body, "both got the same answer")
     workers = [f for f in system.fakes if "orders-app" in f.process.name]
-    ran = sum(worker.get("ran").get("order-17", 0) for worker in workers)
-    check(ran == 1, f"the order ran {ran} time")
+    executions = sum(worker.get("ran").get("order-17", 0) for worker in workers)
+    check(executions == 1, f"the order ran {executions} time")
 
 
 def withdraw(system: System) -> None:
@@ -100,14 +103,14 @@
     check("quote-small-1" not in versions, f"new work goes to {versions}")
     refused = chat(system.routers[0].url, "demo-embu-brakes", "draft-quotation")
     kind = refused.json["type"]
-    check(refused.status == 403, f"an organisation without another: {kind}")
+    check(refused.status == 403, f"an organisation without another version: {kind}")
 
 
 def show_decisions(system: System) -> None:
     say("decision log lines:")
     logs = [d.process.log for d in (*system.controls, *system.routers)]
-    for mark in DECISIONS:
-        lines = [line for log in logs for line in log.splitlines() if mark in line]
+    for event in DECISIONS:
+        lines = [line for log in logs for line in log.splitlines() if event in line]
         for line in lines[-SHOWN_DECISIONS:]:
             print("   ", line)
 
@@ -115,7 +118,7 @@
 def stop(system: System) -> None:
     daemons = [*system.routers, *system.controls, *system.states]
     statuses = [daemon.process.terminate() for daemon in daemons]
-    check(set(statuses) == {0}, "all daemons stopped in order")
+    check(set(statuses) == {0}, "all daemons shut down cleanly")
 
 
 def main() -> None:
--- a/tests/fakes/engine.py
+++ b/tests/fakes/engine.py
@@ -1,14 +1,14 @@
-"""A model engine: continuous batching, priorities, cancel, resume, a prompt
-cache, load reports, fenced orders and refusal when full.
+"""A fake model engine with continuous batching, priorities, cancellation, resumption, a
+prefix cache, load reports, fenced orders and refusal when full.
 
 One process runs one engine: python -m tests.fakes.engine --vm NAME --versions a,b
 
-`POST /control` changes it: {"quality": {"a": 0.4}, "error_ratio": {"a": 0.3},
+`POST /control` configures it: {"quality": {"a": 0.4}, "error_ratio": {"a": 0.3},
 "slowdown": 4, "version_slowdown": {"a": 4}, "leaving": true, "swap_ids": true,
 "break_after": 5, "crash_on": "a text", "stall_ratio": 0.02, "stall_ms": 1000,
 "requests_per_s": 2.5, "backoff_s": 2, "announces_leaving": true}. `requests_per_s` is
-a rate limit that its answers name, -1 for none; with `backoff_s` it turns all requests
-away and asks for a backoff.
+the rate limit that its answers carry, -1 for none; with `backoff_s` it refuses all
+requests and asks for a backoff.
 """
 
 import argparse
@@ -99,7 +99,7 @@
             self.lock.notify_all()
 
     def token_s(self, version: str) -> float:
-        """The time for one token grows with the batch."""
+        """Returns the time for one token, which grows with the batch."""
         batch = 1.0 + BATCH_SLOWDOWN * (self.running - 1) / self.slots
         slowdown = self.slowdown * self.version_slowdown.get(version, 1.0)
         return self.token_ms * batch * slowdown / 1000.0
@@ -115,7 +115,7 @@
         return self.prefill_ms * (0.2 if hit else 1.0) * self.slowdown / 1000.0
 
     def stall(self) -> None:
-        """Some requests hang for a while before anything comes."""
+        """Delays some requests before their first token."""
         if self.random.random() < self.stall_ratio:
             time.sleep(self.stall_ms / 1000.0)
 
@@ -143,8 +143,8 @@
         if self.announces_leaving:
             response.headers["Ashlatch-Leaving"] = "1"
         if self.requests_per_s >= 0.0:
-            named = str(self.requests_per_s)
-            response.headers["Ashlatch-Requests-Per-S"] = named
+            limit = str(self.requests_per_s)
+            response.headers["Ashlatch-Requests-Per-S"] = limit
         return response
 
     def load(self) -> dict[str, Any]:
@@ -210,32 +210,35 @@
             }
         )
         if self.crash_on and self.crash_on in json.dumps(body["messages"]):
-            # As a process that crashes: no connection is ended in order.
+            # Like a crashed process: connections are not shut down properly.
             os._exit(1)
-        shown = attempt + "-other" if self.swap_ids else attempt
+        response_id = attempt + "-other" if self.swap_ids else attempt
         if self.random.random() < self.error_ratio.get(version, 0.0):
             self.release_slot()
-            return reply({"error": {"type": "internal"}}, 500, X_Request_Id=shown)
+            return reply({"error": {"type": "internal"}}, 500, X_Request_Id=response_id)
         prompt = json.dumps(body["messages"])
         tokens = min(int(body.get("max_tokens", 10**6)), self.output_tokens)
         skip = int(http.headers.get("Ashlatch-Resume-Chunks", "0"))
         if body.get("stream"):
             events = self.stream(version, prompt, tokens, skip)
             return Response(
-                events, 200, {"X-Request-Id": shown}, content_type="text/event-stream"
+                events,
+                200,
+                {"X-Request-Id": response_id},
+                content_type="text/event-stream",
             )
-        return self.answer_whole(version, prompt, tokens, shown)
+        return self.answer_whole(version, prompt, tokens, response_id)
 
-    def token_text(self, version: str, place: int) -> str:
-        """Deterministic text: the version's quality and the word's place."""
+    def token_text(self, version: str, index: int) -> str:
+        """Returns deterministic text: the version's quality, then numbered words."""
         quality = self.quality.get(version, 0.0)
-        return f"quality={quality} " if place == 0 else f"w{place} "
+        return f"quality={quality} " if index == 0 else f"w{index} "
 
     def usage(self, prompt: str, tokens: int) -> dict[str, int]:
         return {"prompt_tokens": len(prompt) // 4, "completion_tokens": tokens}
 
     def answer_whole(
-        self, version: str, prompt: str, tokens: int, shown: str
+        self, version: str, prompt: str, tokens: int, response_id: str
     ) -> Response:
         try:
             self.stall()
@@ -244,10 +247,10 @@
                 time.sleep(self.token_s(version) * min(10, tokens))
         finally:
             self.release_slot()
-        text = "".join(self.token_text(version, place) for place in range(tokens))
+        text = "".join(self.token_text(version, index) for index in range(tokens))
         message = {"role": "assistant", "content": text}
         document = {
-            "id": shown,
+            "id": response_id,
             "object": "chat.completion",
             "model": version,
             "choices": [
@@ -259,7 +262,7 @@
             ],
             "usage": self.usage(prompt, tokens),
         }
-        return reply(document, X_Request_Id=shown)
+        return reply(document, X_Request_Id=response_id)
 
     def stream(
         self, version: str, prompt: str, tokens: int, skip: int
@@ -267,11 +270,11 @@
         try:
             self.stall()
             time.sleep(self.prefill_s(prompt))
-            for place in range(skip, tokens):
+            for index in range(skip, tokens):
                 time.sleep(self.token_s(version))
-                if self.break_after and place - skip >= self.break_after:
+                if self.break_after and index - skip >= self.break_after:
                     raise ConnectionAbortedError
-                delta = {"content": self.token_text(version, place)}
+                delta = {"content": self.token_text(version, index)}
                 choice = {"index": 0, "delta": delta, "finish_reason": None}
                 yield _event({"model": version, "choices": [choice]})
             end = {"index": 0, "delta": {}, "finish_reason": "stop"}
@@ -298,18 +301,18 @@
     parser.add_argument("--host", default="127.0.0.1")
     parser.add_argument("--port", type=int, default=0)
     parser.add_argument("--seed", type=int, default=0)
-    given = parser.parse_args()
+    options = parser.parse_args()
     engine = Engine(
-        given.vm,
-        {v for v in given.versions.split(",") if v},
-        given.slots,
-        given.token_ms,
-        given.prefill_ms,
-        given.output_tokens,
-        given.seed,
+        options.vm,
+        {v for v in options.versions.split(",") if v},
+        options.slots,
+        options.token_ms,
+        options.prefill_ms,
+        options.output_tokens,
+        options.seed,
     )
-    engine.quality = json.loads(given.quality)
-    announce(port=serve(given.host, given.port, engine.handle))
+    engine.quality = json.loads(options.quality)
+    announce(port=serve(options.host, options.port, engine.handle))
     wait_for_parent()
 
 
--- a/tests/fakes/platform.py
+++ b/tests/fakes/platform.py
@@ -1,8 +1,8 @@
-"""The platform's list of VMs and the pools' load reports, both lagging; the
-rating service, late and noisy; and the weight store, rate-limited.
+"""Fakes of the platform's list of VMs and the pools' load reports, both delayed; of the
+rating service, late and noisy; and of the rate-limited weight store.
 
-`POST /vms` sets the list: {"vms": [{"vm", "pool", "hall", "url"}, ...]}; it is
-seen after the lag. Reports are gathered from the engines every interval.
+`POST /vms` sets the list: {"vms": [{"vm", "pool", "hall", "url"}, ...]}; it becomes
+visible after the lag. Load reports are collected from the engines at an interval.
 """
 
 import argparse
@@ -70,7 +70,7 @@
 
 
 class Ratings:
-    """Rates by the `quality=` that the fake engines write, with noise."""
+    """Rates answers by the `quality=` in the fake engines' texts, with noise."""
 
     def __init__(self, delay_ms: float, noise: float, seed: int) -> None:
         self.delay_s = delay_ms / 1000.0
@@ -130,14 +130,14 @@
     parser.add_argument("--store-every-ms", type=float, default=200.0)
     parser.add_argument("--host", default="127.0.0.1")
     parser.add_argument("--seed", type=int, default=0)
-    given = parser.parse_args()
-    platform = Platform(given.lag_ms, given.report_ms)
-    ratings = Ratings(given.rating_delay_ms, given.rating_noise, given.seed)
-    store = WeightStore(given.store_every_ms)
+    options = parser.parse_args()
+    platform = Platform(options.lag_ms, options.report_ms)
+    ratings = Ratings(options.rating_delay_ms, options.rating_noise, options.seed)
+    store = WeightStore(options.store_every_ms)
     announce(
-        platform=serve(given.host, 0, platform.handle),
-        ratings=serve(given.host, 0, ratings.handle),
-        store=serve(given.host, 0, store.handle),
+        platform=serve(options.host, 0, platform.handle),
+        ratings=serve(options.host, 0, ratings.handle),
+        store=serve(options.host, 0, store.handle),
     )
     wait_for_parent()
 
--- a/tests/fakes/web.py
+++ b/tests/fakes/web.py
@@ -1,4 +1,4 @@
-"""What the fakes share: a JSON server on `werkzeug`, with keep-alive off."""
+"""A JSON server on `werkzeug` that the fakes share, without keep-alive."""
 
 import json
 import socket
@@ -30,14 +30,14 @@
 
 
 def reply(document: Any, status: int = 200, **headers: str) -> Response:
-    named = {name.replace("_", "-"): value for name, value in headers.items()}
+    fields = {name.replace("_", "-"): value for name, value in headers.items()}
     return Response(
-        json.dumps(document), status, named, content_type="application/json"
+        json.dumps(document), status, fields, content_type="application/json"
     )
 
 
 def serve(host: str, port: int, handler: RequestHandler) -> int:
-    """Serve on a thread; the port that the system picked when given 0."""
+    """Serves on a thread; returns the port, which the system picks for port 0."""
 
     def application(environ: Any, start_response: Any) -> Iterable[bytes]:
         return handler(Request(environ))(environ, start_response)
@@ -48,10 +48,10 @@
 
 
 def announce(**ports: int) -> None:
-    """Tell the parent which ports are open: one JSON line on stdout."""
+    """Reports the open ports to the parent as one JSON line on stdout."""
     print(json.dumps(ports), flush=True)
 
 
 def wait_for_parent() -> None:
-    """Live until the parent closes our standard input."""
+    """Waits until the parent closes the standard input."""
     sys.stdin.read()
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -1,8 +1,8 @@
-"""An application worker: a plain service that counts what it runs.
+"""A fake application worker that counts the requests it executes.
 
-`POST /orders` runs once for each call that reaches it; `GET /ran` tells how
-often each idempotency key was run. `POST /control` {"delay_ms": 100,
-"break_ratio": 1.0} slows it or makes it run and then drop the connection.
+`POST /orders` is executed once for each call that arrives; `GET /ran` returns the
+number of executions by idempotency key. `POST /control` {"delay_ms": 100, "fail": true}
+delays the answers, or makes it answer with status 500 after the execution.
 """
 
 import argparse
@@ -35,16 +35,16 @@
         time.sleep(self.settings["delay_ms"] / 1000.0)
         if self.settings["fail"]:
             return reply({"error": "failed after it ran"}, 500)
-        shown = http.headers.get("X-Request-Id", "")
-        return reply({"number": number, "key": key}, X_Request_Id=shown)
+        response_id = http.headers.get("X-Request-Id", "")
+        return reply({"number": number, "key": key}, X_Request_Id=response_id)
 
 
 def main() -> None:
     parser = argparse.ArgumentParser()
     parser.add_argument("--host", default="127.0.0.1")
     parser.add_argument("--port", type=int, default=0)
-    given = parser.parse_args()
-    announce(port=serve(given.host, given.port, Worker().handle))
+    options = parser.parse_args()
+    announce(port=serve(options.host, options.port, Worker().handle))
     wait_for_parent()
 
 
--- a/tests/system.py
+++ b/tests/system.py
@@ -1,8 +1,8 @@
-"""Starts a whole system on loopback, as processes: states, controls, routers
-and the fakes. Used by the demo, the tests of failures and the measurements.
+"""Starts a whole system on loopback as processes: state members, control processes,
+routers and fakes. Used by the demo, the tests of failures and the benchmarks.
 
-Addresses are 127.x.y.z made of this process's number, so that two runs do not
-meet; ports are picked by the operating system.
+Addresses are 127.x.y.z, derived from the id of this process, so that parallel runs do
+not collide; the fakes' ports are picked by the operating system.
 """
 
 import contextlib
@@ -26,7 +26,7 @@
 TOKEN = "operator-token"
 READY_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 20.0
-# Lines of each log that a failed test shows.
+# The number of lines of each log that a failed test prints.
 LOG_LINES_SHOWN = 60
 HALLS = ("brisbane-north", "logan", "ipswich")
 
@@ -39,13 +39,13 @@
 HOST = local_host()
 
 
-# Below the ports that the operating system picks for outgoing connections: one of those
-# may be taken between the look and the daemon's start.
+# Below the ephemeral ports of the operating system: an outgoing connection could take
+# one of those between the check and the daemon's start.
 _PORTS = itertools.count(12_000)
 
 
 def free_port() -> int:
-    """A port of the own address that nobody listens on."""
+    """Returns a port of the local address that nobody listens on."""
     for port in _PORTS:
         with socket.socket() as probe:
             try:
@@ -63,15 +63,15 @@
 def wait_until(
     check: Callable[[], Any], description: str, limit_s: float = READY_TIMEOUT_S
 ) -> Any:
-    """Ask until the answer is true; a failed ask counts as no."""
+    """Polls a check until it returns a true value; an I/O error counts as false."""
     end_s = time.monotonic() + limit_s
     while time.monotonic() < end_s:
         with contextlib.suppress(
             OSError, ValueError, KeyError, http.client.HTTPException
         ):
-            found = check()
-            if found:
-                return found
+            value = check()
+            if value:
+                return value
         time.sleep(0.02)
     raise AssertionError(f"not within {limit_s} s: {description}")
 
@@ -94,13 +94,13 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = 30.0,
 ) -> HttpReply:
-    """One call by the standard library, apart from the code under test."""
+    """Makes an HTTP call with the standard library, not with the code under test."""
     address, _, path = url.removeprefix("http://").partition("/")
     connection = http.client.HTTPConnection(address, timeout=timeout_s)
     try:
         body = None if document is None else json.dumps(document).encode()
-        named = {"Content-Type": "application/json", **(headers or {})}
-        connection.request(method, "/" + path, body, named)
+        all_headers = {"Content-Type": "application/json", **(headers or {})}
+        connection.request(method, "/" + path, body, all_headers)
         response = connection.getresponse()
         fields = {k.lower(): v for k, v in response.getheaders()}
         return HttpReply(response.status, fields, response.read())
@@ -109,7 +109,7 @@
 
 
 class Process:
-    """One process; its log is a file."""
+    """A child process that logs to a file."""
 
     def __init__(self, name: str, command: list[str], folder: Path) -> None:
         self.name = name
@@ -128,7 +128,7 @@
 
     @property
     def prints_ports(self) -> bool:
-        """Fakes print their ports; the daemons print their logs."""
+        """True for fakes, which print their ports; daemons print their logs instead."""
         return "tests.fakes" in " ".join(self.command)
 
     @property
@@ -136,14 +136,14 @@
         return self.log_path.read_text(encoding="utf-8")
 
     def processor_s(self) -> float:
-        """Processor time that it has used."""
+        """Returns the processor time that the process has used."""
         fields = Path(f"/proc/{self.popen.pid}/stat").read_text().split()
         return (int(fields[13]) + int(fields[14])) / 100.0
 
-    def memory_mb(self, which: str = "VmRSS") -> float:
-        """Resident memory; `VmHWM` is the most that it has had."""
+    def memory_mb(self, field_name: str = "VmRSS") -> float:
+        """Returns the resident memory; `VmHWM` selects its peak."""
         text = Path(f"/proc/{self.popen.pid}/status").read_text()
-        line = next(line for line in text.splitlines() if line.startswith(which))
+        line = next(line for line in text.splitlines() if line.startswith(field_name))
         return int(line.split()[1]) / 1024.0
 
     def signal(self, number: int) -> None:
@@ -154,7 +154,7 @@
         self.popen.wait()
 
     def terminate(self) -> int:
-        """Ask it to end in order, and wait."""
+        """Asks the process to shut down, and waits for its end."""
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGCONT)
             self.popen.terminate()
@@ -165,7 +165,7 @@
             raise
 
     def close(self) -> None:
-        """End it, whatever it is doing."""
+        """Ends the process in any state, by force if it does not stop."""
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGCONT)
             if self.popen.stdin is not None:
@@ -180,7 +180,7 @@
 
 @dataclass
 class Daemon:
-    """One of our daemons with its settings."""
+    """A daemon of ashlatch with its settings."""
 
     process: Process
     settings: dict[str, Any]
@@ -223,40 +223,40 @@
     platform: Fake | None = None
     relay: Callable[[str], str] | None = None
 
-    # Our daemons.
+    # Daemons.
 
     def start_states(self, count: int) -> None:
         listens = [f"{HOST}:{free_port()}" for _ in range(count)]
         addresses = list(listens)
         if self.relay is not None:
             addresses = [self.relay(address) for address in listens]
-        for place, address in enumerate(addresses):
+        for index, address in enumerate(addresses):
             settings = {
-                "vm": f"state-{place}",
-                "hall": HALLS[place % 3],
-                "listen": listens[place],
+                "vm": f"state-{index}",
+                "hall": HALLS[index % 3],
+                "listen": listens[index],
                 "advertise": address,
-                "data_folder": str(self.folder / f"data-{place}"),
+                "data_folder": str(self.folder / f"data-{index}"),
                 "peers": [a for a in addresses if a != address],
                 **self.state_extra,
             }
-            if place == 0:
-                path = self._write(f"state-{place}", settings)
+            if index == 0:
+                path = self._write(f"state-{index}", settings)
                 command = [str(BIN / "ashlatch-state"), "--settings", str(path)]
                 subprocess.run(
                     [*command, "--initialise"], check=True, stdout=subprocess.DEVNULL
                 )
-            self.states.append(self._daemon("state", f"state-{place}", settings))
+            self.states.append(self._daemon("state", f"state-{index}", settings))
 
     @property
     def state_addresses(self) -> list[str]:
         return [daemon.settings["advertise"] for daemon in self.states]
 
     def start_controls(self, count: int) -> None:
-        for place in range(count):
+        for index in range(count):
             settings: dict[str, Any] = {
-                "vm": f"control-{place}",
-                "hall": HALLS[place % 3],
+                "vm": f"control-{index}",
+                "hall": HALLS[index % 3],
                 "listen": f"{HOST}:{free_port()}",
                 "state_addresses": self.state_addresses,
                 "operators": [{"name": "demo", "token_sha256": sha256(TOKEN)}],
@@ -265,7 +265,7 @@
                 settings["platform_url"] = self.platform.urls["platform"]
                 settings["rating_url"] = self.platform.urls["ratings"]
                 settings["weight_store_url"] = self.platform.urls["store"]
-            self.controls.append(self._daemon("control", f"control-{place}", settings))
+            self.controls.append(self._daemon("control", f"control-{index}", settings))
 
     def start_routers(self, count: int) -> None:
         for _ in range(count):
@@ -277,10 +277,10 @@
             )
 
     def start_router(self, **extra: Any) -> Daemon:
-        place = len(self.routers)
+        index = len(self.routers)
         settings: dict[str, Any] = {
-            "vm": f"router-{place}",
-            "hall": HALLS[place % 3],
+            "vm": f"router-{index}",
+            "hall": HALLS[index % 3],
             "listen": f"{HOST}:{free_port()}",
             "state_addresses": self.state_addresses,
             **self.router_extra,
@@ -288,7 +288,7 @@
         }
         if self.platform is not None:
             settings["rating_url"] = self.platform.urls["ratings"]
-        daemon = self._daemon("router", f"router-{place}", settings)
+        daemon = self._daemon("router", f"router-{index}", settings)
         self.routers.append(daemon)
         return daemon
 
@@ -309,7 +309,7 @@
         return fake
 
     def publish_vms(self) -> None:
-        """Give the platform the list of all VMs."""
+        """Sets the list of all VMs at the platform."""
         assert self.platform is not None
         url = self.platform.urls["platform"]
         request(f"{url}/vms", "POST", {"vms": self.vms})
@@ -319,7 +319,7 @@
     def ctl(
         self, *arguments: str, check: bool = True
     ) -> subprocess.CompletedProcess[str]:
-        """Run ashlatchctl."""
+        """Runs ashlatchctl."""
         environment = {
             **os.environ,
             "ASHLATCH_SERVER": " ".join(daemon.url for daemon in self.controls),
@@ -338,7 +338,7 @@
         return done
 
     def apply(self, resources: list[dict[str, Any]]) -> str:
-        """Apply resources and wait until they are in force."""
+        """Applies resources and waits until they are in force."""
         path = self.folder / f"apply-{time.monotonic_ns()}.json"
         path.write_text(json.dumps(resources))
         return self.ctl("apply", "-f", str(path), "--wait").stdout
@@ -351,10 +351,10 @@
         headers: dict[str, str] | None = None,
         control: int = 0,
     ) -> HttpReply:
-        """One call of the resource API."""
-        named = {"Authorization": f"Bearer {TOKEN}", **(headers or {})}
+        """Calls the resource API."""
+        all_headers = {"Authorization": f"Bearer {TOKEN}", **(headers or {})}
         url = f"{self.controls[control].url}{path}"
-        return request(url, method, document, named)
+        return request(url, method, document, all_headers)
 
     def status(self) -> Any:
         for control in range(len(self.controls)):
@@ -365,9 +365,9 @@
         raise OSError("no status")
 
     def leader(self) -> Daemon:
-        """The state daemon that leads."""
+        """Waits for a leader and returns its state daemon."""
 
-        def find() -> Daemon | None:
+        def find_leader() -> Daemon | None:
             for member in self.status()["members"]:
                 if member["role"] == "leader":
                     for daemon in self.states:
@@ -375,27 +375,27 @@
                             return daemon
             return None
 
-        found: Daemon = wait_until(find, "a leader")
-        return found
+        leader: Daemon = wait_until(find_leader, "a leader")
+        return leader
 
     def voters(self) -> int:
-        """How many members vote, the leader among them."""
+        """Returns the number of voting members, including the leader."""
         members = self.status()["members"]
         return sum(1 for m in members if m["role"] in ("leader", "voter"))
 
     def show_logs(self) -> None:
-        """Print the last lines of each daemon; pytest shows them on a failure."""
+        """Prints the last lines of each daemon; pytest shows them on a failure."""
         for daemon in [*self.routers, *self.controls, *self.states]:
             lines = daemon.process.log.splitlines()[-LOG_LINES_SHOWN:]
             print(f"--- {daemon.process.name}", *lines, sep="\n")
 
     def close(self) -> None:
-        """End everything."""
+        """Ends all processes."""
         daemons = [*self.routers, *self.controls, *self.states]
         for process in [d.process for d in daemons] + [f.process for f in self.fakes]:
             process.close()
 
-    # Inside.
+    # Helpers.
 
     def _add_vm(self, vm: str, pool: str, hall: str, fake: Fake) -> None:
         self.vms.append({"vm": vm, "pool": pool, "hall": hall, "url": fake.url})
@@ -422,7 +422,7 @@
 
 @contextlib.contextmanager
 def running_system(**extra: Any) -> Iterator[System]:
-    """A system that is ended with the block, and its folder with it."""
+    """Yields a system; ends its processes and removes its folder afterwards."""
     with tempfile.TemporaryDirectory(prefix="ashlatch-") as folder:
         system = System(Path(folder), **extra)
         try:
