--- a/tests/demo.py
+++ b/tests/demo.py
@@ -79,9 +79,13 @@
         f"{stream.headers['ashlatch-version']}",
     )
     order = {"item": "chain", "count": 40}
-    headers = {"Idempotency_Key": "order-17"}
-    first_reply = service(first, KENYA_KEY, "orders-app", "orders", order, **headers)
-    retry_reply = service(third, KENYA_KEY, "orders-app", "orders", order, **headers)
+    call_headers = {"Idempotency_Key": "order-17"}
+    first_reply = service(
+        first, KENYA_KEY, "orders-app", "orders", order, **call_headers
+    )
+    retry_reply = service(
+        third, KENYA_KEY, "orders-app", "orders", order, **call_headers
+    )
     check(
         first_reply.status == retry_reply.status == 200,
         "an order, and its retry elsewhere",
--- a/tests/fakes/platform.py
+++ b/tests/fakes/platform.py
@@ -77,7 +77,7 @@
         self.noise = noise
         self.random = random.Random(seed)
         self.lock = threading.Lock()
-        self.ratings: list[tuple[float, dict[str, Any]]] = []
+        self.rating_entries: list[tuple[float, dict[str, Any]]] = []
 
     def handle(self, http: Request) -> Response:
         if http.path == "/v1/answers":
@@ -86,7 +86,9 @@
         now_s = time.monotonic()
         with self.lock:
             due = [
-                r for at_s, r in self.ratings if at_s <= now_s and r["number"] > after
+                r
+                for at_s, r in self.rating_entries
+                if at_s <= now_s and r["number"] > after
             ]
         return reply({"ratings": due})
 
@@ -96,13 +98,13 @@
         with self.lock:
             rating = self.random.gauss(quality, self.noise)
             entry = {
-                "number": len(self.ratings),
+                "number": len(self.rating_entries),
                 "request": answer["request"],
                 "route": answer["route"],
                 "version": answer["version"],
                 "rating": min(1.0, max(0.0, rating)),
             }
-            self.ratings.append((time.monotonic() + self.delay_s, entry))
+            self.rating_entries.append((time.monotonic() + self.delay_s, entry))
         return reply({})
 
 
--- a/tests/system.py
+++ b/tests/system.py
@@ -375,8 +375,8 @@
                             return daemon
             return None
 
-        leader: Daemon = wait_until(find_leader, "a leader")
-        return leader
+        leader_daemon: Daemon = wait_until(find_leader, "a leader")
+        return leader_daemon
 
     def voters(self) -> int:
         """Returns the number of voting members, including the leader."""
