--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1,7 +1,7 @@
-"""Shows that the proofs can fail: each mutant removes one guard from a copy
-of the tree and must make the named proof fail.
+"""Mutation tests: each mutant removes one guard from a copy of the tree, and the named
+test must then fail.
 
-python -m tests.mutants [NAME ...]
+Run: python -m tests.mutants [NAME ...]
 """
 
 import argparse
@@ -15,8 +15,17 @@
 ROOT = Path(__file__).parent.parent
 GROUP = ("-m", "tests.soak", "--only", "group", "--seed", "1", "--steps", "600000")
 TRAFFIC = ("-m", "tests.soak", "--only", "traffic", "--seed", "1", "--steps", "120000")
-# Few worlds let a lease run out between the choice and the send: 38 of 1,000.
-MANY = ("-m", "tests.soak", "--only", "traffic", "--seed", "1", "--steps", "1000000")
+# A lease rarely expires between the choice and the send: in 38 of 1,000 simulations.
+LONG_TRAFFIC = (
+    "-m",
+    "tests.soak",
+    "--only",
+    "traffic",
+    "--seed",
+    "1",
+    "--steps",
+    "1000000",
+)
 RAFT = ("-m", "pytest", "-x", "tests/test_raft.py")
 ROUTER = ("-m", "pytest", "-x", "tests/test_router.py")
 EVIDENCE = ("-m", "pytest", "-x", "tests/test_evidence.py")
@@ -34,7 +43,7 @@
 )
 SYNC = ("-m", "pytest", "-x", "tests/test_sync.py")
 CHOOSING = ("-m", "pytest", "-x", "tests/test_choosing.py")
-AUDIENCE = (
+RECIPIENTS = (
     "-m",
     "pytest",
     "-x",
@@ -44,15 +53,15 @@
 CRASHING = ("-m", "pytest", "-x", "tests/test_crashing_requests.py")
 QUARANTINE = ("-m", "pytest", "-x", "tests/test_quarantine.py")
 CRASH_LOAD = ("-m", "pytest", "-x", "tests/test_crash_load.py")
-LIVES = ("-m", "pytest", "-x", "tests/test_incarnations.py")
-FOREIGN = ("-m", "pytest", "-x", "tests/test_malformed_input.py")
+INCARNATIONS = ("-m", "pytest", "-x", "tests/test_incarnations.py")
+MALFORMED = ("-m", "pytest", "-x", "tests/test_malformed_input.py")
 CLOCK = ("-m", "pytest", "-x", "tests/test_clock.py")
-ENGINES = ("-m", "pytest", "-x", "tests/test_full_engines.py")
+FULL_ENGINES = ("-m", "pytest", "-x", "tests/test_full_engines.py")
 EVACUATION = ("-m", "pytest", "-x", "tests/test_evacuation.py")
 COLD = ("-m", "pytest", "-x", "tests/test_cold.py")
-EXPOSED = ("-m", "pytest", "-x", "tests/test_exposure.py")
+EXPOSURE = ("-m", "pytest", "-x", "tests/test_exposure.py")
 REGIONS = ("-m", "pytest", "-x", "tests/test_regions.py")
-LIMITS = ("-m", "pytest", "-x", "tests/test_limit_load.py")
+LIMIT_LOAD = ("-m", "pytest", "-x", "tests/test_limit_load.py")
 RATE_LIMITS = ("-m", "pytest", "-x", "tests/test_rate_limits.py", "-k", "not Fleet")
 ROUTER_LIMITS = (
     "-m",
@@ -75,38 +84,38 @@
     "not SheddingChat",
 )
 CONNECTIONS = ("-m", "pytest", "-x", "tests/test_connections.py")
-LIMIT_S = 180.0
+TIMEOUT_S = 180.0
 SHOWN_LINES = 3
 
 
 @dataclass(frozen=True)
 class Mutant:
-    """One guard, how it is removed, and the proof that must notice."""
+    """A guard in a source file, its replacement, and the test that must then fail."""
 
     name: str
     path: str
     guard: str
-    without: str
-    proof: tuple[str, ...]
+    replacement: str
+    test_command: tuple[str, ...]
 
 
 MUTANTS = (
     Mutant(
-        "stream-begun-anew",
+        "stream-restarted",
         "ashlatch/router/attempt.py",
         "    if active.stream_started:\n        # Another",
         "    if False:\n        # Another",
         TRAFFIC,
     ),
     Mutant(
-        "hedge-of-unrepeatable",
+        "hedge-of-non-repeatable-request",
         "ashlatch/router/sending.py",
         "        request.repeatable\n        and active.current_attempt is not None",
         "        active.current_attempt is not None",
         TRAFFIC,
     ),
     Mutant(
-        "both-streams-pass",
+        "both-hedge-streams-forwarded",
         "ashlatch/router/core.py",
         "        return active.stream_started"
         " and active.current_attempt.attempt_id == attempt_id",
@@ -114,21 +123,21 @@
         TRAFFIC,
     ),
     Mutant(
-        "loser-is-recorded",
+        "cancelled-hedge-not-recorded",
         "ashlatch/router/core.py",
         "            self.cancelled_attempts[hedge.attempt_id] = hedge.endpoint.name\n",
         "",
         ROUTER,
     ),
     Mutant(
-        "vm-death-blames-version",
+        "vm-failure-counted-against-version",
         "ashlatch/policy/evidence.py",
         "        if not failure.replied:\n            return []\n",
         "        if not failure.replied:\n            return _errors([failure])\n",
         EVIDENCE,
     ),
     Mutant(
-        "load-blames-version",
+        "overload-counted-against-version",
         "ashlatch/policy/evidence.py",
         "(timing.sent_ms if overloaded else timing.ended_ms)",
         "timing.ended_ms",
@@ -163,7 +172,7 @@
         GROUP,
     ),
     Mutant(
-        "commit-before-own-sync",
+        "commit-before-local-sync",
         "ashlatch/raft/replication.py",
         "        return core.synced_index\n",
         "        return core.log.last_index\n",
@@ -192,7 +201,7 @@
         RAFT,
     ),
     Mutant(
-        "snapshot-parts-mixed",
+        "snapshot-chunks-mixed",
         "ashlatch/raft/replication.py",
         "    if chunk.offset == 0 or chunk.meta != core.snapshot_meta:",
         "    if chunk.offset == 0:",
@@ -218,7 +227,7 @@
         "        if now_ms + LEASE_MARGIN_MS >= self.lease_until_ms:\n"
         "            return False\n",
         "",
-        MANY,
+        LONG_TRAFFIC,
     ),
     Mutant(
         "no-check-of-leaving-at-send",
@@ -230,7 +239,7 @@
         TRAFFIC,
     ),
     Mutant(
-        "pin-moves-freely",
+        "pinned-version-ignored",
         "ashlatch/store/ledger.py",
         "        version = pin.version if pin is not None and kept else candidate",
         "        version = candidate",
@@ -244,7 +253,7 @@
         ROUTER,
     ),
     Mutant(
-        "second-answer-taken",
+        "second-answer-recorded",
         "ashlatch/store/ledger.py",
         "        if record.state is RequestState.ANSWERED:\n"
         "            return AnswerRecorded(record.version, record.answer)\n",
@@ -252,21 +261,21 @@
         TRAFFIC,
     ),
     Mutant(
-        "unrepeatable-reopened",
+        "non-repeatable-request-reopened",
         "ashlatch/store/ledger.py",
         "        repeat = not_run or record.repeatable\n",
         "        repeat = True\n",
         TRAFFIC,
     ),
     Mutant(
-        "stop-forgets-callers",
+        "stop-drops-active-requests",
         "ashlatch/router/updates.py",
         "    core.draining = True\n",
         "    core.draining = True\n    core.active_requests.clear()\n",
         TRAFFIC,
     ),
     Mutant(
-        "not-run-after-lapse",
+        "reported-not-run-after-lease-expiry",
         "ashlatch/router/core.py",
         "        if active.request.keyed and not self.lease_valid(self.now_ms):\n"
         "            return None\n",
@@ -274,42 +283,42 @@
         ROUTER,
     ),
     Mutant(
-        "not-run-after-break",
+        "reported-not-run-after-broken-connection",
         "ashlatch/router/attempt.py",
         "        case Broken():\n            active.maybe_ran = True\n",
         "        case Broken():\n",
         TRAFFIC,
     ),
     Mutant(
-        "retry-of-unrepeatable",
+        "retry-of-non-repeatable-request",
         "ashlatch/router/attempt.py",
         "    if not active.request.repeatable:\n        detail = f",
         "    if False:\n        detail = f",
         TRAFFIC,
     ),
     Mutant(
-        "share-falls",
+        "rollout-share-decreases",
         "ashlatch/fleet/evaluation.py",
         "    return Decision(stage, max(share, rollout.share), reason)",
         "    return Decision(stage, share, reason)",
         SESSIONS,
     ),
     Mutant(
-        "moves-by-datagram-only",
+        "session-moves-by-datagram-only",
         "ashlatch/gateway/sessions.py",
         "        self.hashes.update(rollout.moved)\n",
         "",
         SESSIONS,
     ),
     Mutant(
-        "moves-wait-for-the-next-question",
+        "session-moves-wait-for-next-sync",
         "ashlatch/gateway/versions.py",
         "        moves.record(hash_value, here=True)\n        self.session_moved()\n",
         "        moves.record(hash_value, here=True)\n",
         SYNC,
     ),
     Mutant(
-        "moves-wait-at-core-vms",
+        "session-moves-wait-at-core-vms",
         "ashlatch/fleet/soft_state.py",
         "        if not moved.keys() >= set(sessions.moved):\n"
         "            self.urgent.set()\n",
@@ -317,7 +326,7 @@
         SYNC,
     ),
     Mutant(
-        "end-of-answer-moves-session",
+        "answer-end-changes-session-version",
         "ashlatch/gateway/sessions.py",
         "        if last is None or last.version == version:\n"
         "            self.record(service, session, version, now_ms)",
@@ -332,28 +341,28 @@
         SESSIONS,
     ),
     Mutant(
-        "young-leader-makes-all-forget",
+        "starting-leader-clears-gateways",
         "ashlatch/fleet/soft_state.py",
         "        return None if starting and request.gateways_known else self.gateways",
         "        return self.gateways",
         FLEET,
     ),
     Mutant(
-        "over-rollouts-are-told",
+        "finished-rollouts-reported",
         "ashlatch/gateway/sessions.py",
         "            self.unreported.clear()\n",
         "            pass\n",
         CHOOSING,
     ),
     Mutant(
-        "moves-of-an-earlier-rollout",
+        "session-moves-of-earlier-rollout-dropped",
         "ashlatch/fleet/leader.py",
         "        return tuple(sorted({*rollout.moved, *begun.moved}))\n",
         "        pass\n",
         FLEET,
     ),
     Mutant(
-        "latest-answers-held-to-calm-ones",
+        "recent-answers-not-evaluated-separately",
         "ashlatch/fleet/evaluation.py",
         "        for window_ms in WINDOWS_MS:\n"
         "            yield self._sum_window(window_ms, now_ms)\n",
@@ -361,7 +370,7 @@
         FLEET,
     ),
     Mutant(
-        "pace-learnt-while-slow",
+        "baseline-recorded-while-slow",
         "ashlatch/policy/slowness.py",
         " if b.at_ms <= at_ms), None)",
         "), None)",
@@ -375,49 +384,49 @@
         SLOWNESS,
     ),
     Mutant(
-        "compared-with-other-times",
+        "compared-with-answers-of-other-times",
         "ashlatch/policy/detector.py",
         "            self.normal_ms = math.nextafter(now_ms, -math.inf)\n",
         "            pass\n",
         SLOWNESS,
     ),
     Mutant(
-        "near-core-vm-without-a-leader",
+        "local-core-vm-without-a-leader-selected",
         "ashlatch/gateway/sync.py",
         "            if reply.current:\n                emit(log, LocalCoreSelected",
         "            if True:\n                emit(log, LocalCoreSelected",
         SYNC,
     ),
     Mutant(
-        "lost-core-vm-of-the-own-hall-first",
+        "unreachable-local-core-vm-first",
         "ashlatch/gateway/core_selection.py",
         "        others = [other for other in self.addresses() if other != address]\n",
         "        others = [c.address for c in self._cores if c.hall == self._hall]\n",
-        AUDIENCE,
+        RECIPIENTS,
     ),
     Mutant(
-        "one-relay-for-each-hall",
+        "fixed-relay-for-each-hall",
         "ashlatch/gateway/recipients.py",
         "            relays.append(generator.choice(candidates))\n",
         "            relays.append(candidates[0])\n",
-        AUDIENCE,
+        RECIPIENTS,
     ),
     Mutant(
-        "loads-kept-to-oneself",
+        "loads-not-broadcast",
         "ashlatch/gateway/reports.py",
         "        context.broadcast(",
         "        str(",
-        ENGINES,
+        FULL_ENGINES,
     ),
     Mutant(
-        "refusing-endpoints-kept-to-oneself",
+        "refusals-of-peers-ignored",
         "ashlatch/gateway/peer_updates.py",
         "    if state is None or not state.record_refusal(sender.received_ms):\n",
         "    if True:\n",
-        ENGINES,
+        FULL_ENGINES,
     ),
     Mutant(
-        "crash-not-held-against-the-request",
+        "crash-not-counted-against-the-request",
         "ashlatch/gateway/exchange.py",
         "        if await self._crash_detector.has_crashed(attempt.state, failure):\n",
         "        if False:\n",
@@ -431,7 +440,7 @@
         CRASHING,
     ),
     Mutant(
-        "good-run-clears-nothing",
+        "completed-request-clears-nothing",
         "ashlatch/gateway/crash_detector.py",
         "        if self._context.quarantine.record_completed(fingerprint):\n",
         "        if False:\n",
@@ -445,7 +454,7 @@
         CRASHING,
     ),
     Mutant(
-        "suspects-go-together",
+        "suspected-requests-not-isolated",
         "ashlatch/gateway/choice.py",
         "    if isolated:\n",
         "    if False:\n",
@@ -459,53 +468,53 @@
         QUARANTINE,
     ),
     Mutant(
-        "held-ones-give-way",
+        "quarantined-fingerprints-evicted-first",
         "ashlatch/policy/quarantine.py",
         "    return len(record.counted_crashes), newest_ms, record.fingerprint\n",
         "    return 0, newest_ms, record.fingerprint\n",
         QUARANTINE,
     ),
     Mutant(
-        "told-once",
+        "crashes-reported-once",
         "ashlatch/policy/quarantine.py",
         "            if times < REPORTS_MAX:\n",
         "            if False:\n",
         QUARANTINE,
     ),
     Mutant(
-        "start-forgotten",
+        "endpoint-start-ignored",
         "ashlatch/catalog.py",
         "        return comparable and self.started_unix_ms > other.started_unix_ms\n",
         "        return False\n",
-        LIVES,
+        INCARNATIONS,
     ),
     Mutant(
-        "older-start-believed",
+        "older-start-accepted",
         "ashlatch/gateway/directory.py",
         "max(previous.endpoint.started_unix_ms, listed.started_unix_ms)",
         "listed.started_unix_ms",
-        LIVES,
+        INCARNATIONS,
     ),
     Mutant(
-        "beliefs-outlive-the-process",
+        "estimates-outlive-the-process",
         "ashlatch/gateway/directory.py",
         "        if is_new:\n            self._reset_estimates()\n",
         "",
-        LIVES,
+        INCARNATIONS,
     ),
     Mutant(
-        "reads-of-the-ended-life-believed",
+        "prefills-of-the-ended-process-applied",
         "ashlatch/gateway/core_updates.py",
         "            if state is not None and state.ended_recently(now_ms):\n",
         "            if False:\n",
-        LIVES,
+        INCARNATIONS,
     ),
     Mutant(
-        "foreign-entry-spoils-the-list",
+        "malformed-entry-invalidates-the-list",
         "ashlatch/platform/reading.py",
         "        except JsonUnreadable as error:\n            left_out",
         "        except KeyError as error:\n            left_out",
-        FOREIGN,
+        MALFORMED,
     ),
     Mutant(
         "suspension-not-counted",
@@ -515,42 +524,42 @@
         CLOCK,
     ),
     Mutant(
-        "loop-leaves-suspension-out",
+        "event-loop-ignores-suspension",
         "ashlatch/rpc.py",
         "        self.loop = ClockLoop()\n",
         "        self.loop = asyncio.new_event_loop()\n",
         CLOCK,
     ),
     Mutant(
-        "served-by-old-knowledge-on-waking",
+        "stale-context-used-after-suspension",
         "ashlatch/gateway/sync.py",
         "        return self._now_ms() - self._last_current_ms > SUSPENDED_MS\n",
         "        return False\n",
         CLOCK,
     ),
     Mutant(
-        "full-engines-cost-nothing",
+        "full-engines-predict-no-wait",
         "ashlatch/gateway/forecast.py",
         "        return max(0.0, beyond) * self._slot_time_ms / slots\n",
         "        return 0.0 * beyond\n",
-        ENGINES,
+        FULL_ENGINES,
     ),
     Mutant(
-        "evacuated-hall-takes-work",
+        "evacuated-hall-gets-requests",
         "ashlatch/gateway/directory.py",
         "        if self.evacuated:\n            return _EVACUATED\n",
         "",
         EVACUATION,
     ),
     Mutant(
-        "older-evacuations-count",
+        "older-evacuations-applied",
         "ashlatch/gateway/directory.py",
         "        if evacuations.number <= self.evacuations.number:\n",
         "        if False:\n",
         EVACUATION,
     ),
     Mutant(
-        "waking-taken-for-a-lost-core",
+        "resume-taken-for-a-lost-core",
         "ashlatch/gateway/sync.py",
         "                if self._now_ms() > late_ms and not resumed:\n",
         "                if False:\n",
@@ -571,130 +580,130 @@
         COLD,
     ),
     Mutant(
-        "ended-endpoint-comes-back-warm",
+        "restarted-endpoint-not-cold",
         "ashlatch/gateway/directory.py",
         "if self._restart_unconfirmed and now_ms - self.ended_ms < UNCONFIRMED_MAX_MS:",
         "if False:",
         COLD,
     ),
     Mutant(
-        "load-test-by-the-bound-of-one-sheet",
+        "load-test-with-a-fixed-share",
         "ashlatch/fleet/exposure.py",
         "        share * TESTED_SHARE_RATIO,\n",
         "        0.125,\n",
-        EXPOSED,
+        EXPOSURE,
     ),
     Mutant(
-        "region-of-the-organisation-ignored",
+        "regions-of-the-organisation-ignored",
         "ashlatch/gateway/admission.py",
         "        return self.route.regions, organisation_regions\n",
         "        return self.route.regions, ()\n",
         REGIONS,
     ),
     Mutant(
-        "limits-not-asked-for",
+        "limits-not-checked",
         "ashlatch/gateway/permission.py",
         "limit_ms = limit_wait_ms(context, state, now_ms)",
         "limit_ms = 0.0",
         RATE_LIMITS,
     ),
     Mutant(
-        "limited-sends-untold",
+        "limited-sends-not-broadcast",
         "ashlatch/gateway/limits.py",
         "context.broadcast(RateLimitedSend(state.endpoint.instance))",
         "pass",
-        LIMITS,
+        LIMIT_LOAD,
     ),
     Mutant(
-        "limits-untold",
+        "limits-not-broadcast",
         "ashlatch/gateway/limits.py",
         "context.tell(LimitNamed(state.endpoint.instance, per_s, round(age_ms, 1)))",
         "pass",
-        LIMITS,
+        LIMIT_LOAD,
     ),
     Mutant(
         "limit-ended-by-an-older-answer",
         "ashlatch/policy/rate_limit.py",
         "return per_s <= self.per_s or self.received_ms < sent_ms",
         "return True",
-        LIMITS,
+        LIMIT_LOAD,
     ),
     Mutant(
-        "word-of-a-gateway-that-stood-still",
+        "limit-from-a-suspended-gateway-applied",
         "ashlatch/gateway/limits.py",
         "if not state.limit.accepts(update.limit_per_s, now_ms - update.age_ms):",
         "if False:",
-        LIMITS,
+        LIMIT_LOAD,
     ),
     Mutant(
         "limit-ended-by-a-refusal",
         "ashlatch/gateway/limits.py",
         "if per_s == NO_LIMIT and not (report.executed and state.limit.limited):",
         "if per_s == NO_LIMIT and not state.limit.limited:",
-        LIMITS,
+        LIMIT_LOAD,
     ),
     Mutant(
         "limits-before-gateways-are-known",
         "ashlatch/gateway/limits.py",
         "if not context.cold_gate.knows_gateways(now_ms):",
         "if False:",
-        LIMITS,
+        LIMIT_LOAD,
     ),
     Mutant(
-        "whole-limit-while-out-of-touch",
+        "whole-limit-while-disconnected",
         "ashlatch/policy/rate_limit.py",
         "return 1.0 if self.connected else 1.0 / self.gateways",
         "return 1.0",
-        LIMITS,
+        LIMIT_LOAD,
     ),
     Mutant(
         "limit-outlives-its-endpoint",
         "ashlatch/gateway/directory.py",
         "        self.limit = RateLimit()\n",
         "",
-        LIMITS,
+        LIMIT_LOAD,
     ),
     Mutant(
-        "all-send-at-the-next-token",
+        "no-jitter-at-the-next-token",
         "ashlatch/policy/rate_limit.py",
         "needed = 1.0 + self._jitter * self._jitter_max(sharing)",
         "needed = 1.0",
-        LIMITS,
+        LIMIT_LOAD,
     ),
     Mutant(
-        "sends-of-others-forgotten",
+        "sends-of-peers-forgotten",
         "ashlatch/policy/rate_limit.py",
         "least = -DEBT_MAX_S * rate_per_s",
         "least = 0.0",
-        LIMITS,
+        LIMIT_LOAD,
     ),
     Mutant(
-        "owed-at-another-rate",
+        "debt-kept-after-a-rate-change",
         "ashlatch/policy/rate_limit.py",
         "        if changed:\n",
         "        if not self.limited:\n",
-        LIMITS,
+        LIMIT_LOAD,
     ),
     Mutant(
-        "who-sent-goes-first",
+        "last-sender-goes-first",
         "ashlatch/policy/rate_limit.py",
         "return 2.0 - 1.0 / self.gateways if self.connected else 1.0",
         "return 1.0",
-        LIMITS,
+        LIMIT_LOAD,
     ),
     Mutant(
-        "never-asked-again",
+        "zero-limit-never-probed",
         "ashlatch/policy/rate_limit.py",
         "return max(self.per_s, RATE_MIN_PER_S) * sharing.share",
         "return max(self.per_s, 1e-9) * sharing.share",
-        LIMITS,
+        LIMIT_LOAD,
     ),
     Mutant(
-        "all-told-the-same-moment",
+        "same-retry-time-for-all-callers",
         "ashlatch/gateway/retry_time.py",
         "min(retry_ms + step_ms, now_ms + RETRY_MAX_MS)",
         "opens_ms",
-        LIMITS,
+        LIMIT_LOAD,
     ),
     Mutant(
         "load-test-of-a-limited-endpoint",
@@ -704,14 +713,14 @@
         CHOOSING,
     ),
     Mutant(
-        "sessions-go-back",
+        "sessions-revert-to-the-old-version",
         "ashlatch/gateway/versions.py",
         "if drawn_by_share and not session:",
         "if drawn_by_share:",
         CHOOSING,
     ),
     Mutant(
-        "silent-request-left-for-a-limited-endpoint",
+        "unanswered-request-left-for-a-limited-endpoint",
         "ashlatch/gateway/exchange.py",
         "if self._chooser.choose(self._model, exclude_limited=True) is None:",
         "if self._chooser.choose(self._model) is None:",
@@ -746,14 +755,14 @@
         ROUTER_LIMITS,
     ),
     Mutant(
-        "backoffs-not-kept",
+        "backoffs-not-observed",
         "ashlatch/gateway/directory.py",
         "backoff_ms = self.backoff.wait_ms(now_ms)",
         "backoff_ms = 0.0",
         BACKOFF,
     ),
     Mutant(
-        "backoff-cut-short",
+        "backoff-shortened",
         "ashlatch/policy/backoff.py",
         "if until_ms <= self.until_ms:",
         "if False:",
@@ -767,7 +776,7 @@
         BACKOFF_POLICY,
     ),
     Mutant(
-        "all-try-at-the-end-of-a-backoff",
+        "no-single-probe-after-a-backoff",
         "ashlatch/policy/backoff.py",
         "self._probe_until_ms = now_ms + PROBE_MS",
         "self._probe_until_ms = now_ms",
@@ -781,49 +790,49 @@
         BACKOFF,
     ),
     Mutant(
-        "load-of-who-sheds-believed",
+        "load-of-a-shedding-endpoint-applied",
         "ashlatch/gateway/attempt.py",
         "if not head.backoff_ms:",
         "if True:",
         BACKOFF,
     ),
     Mutant(
-        "load-test-within-a-backoff",
+        "load-test-during-a-backoff",
         "ashlatch/gateway/versions.py",
         "    if not state.permission(now_ms).granted:\n        return []\n",
         "",
         BACKOFF,
     ),
     Mutant(
-        "another-endpoint-tested-within-a-backoff",
+        "another-endpoint-tested-during-a-backoff",
         "ashlatch/gateway/versions.py",
         "in (None, DenialReason.BACKOFF)",
         "is None",
         BACKOFF,
     ),
     Mutant(
-        "leaving-by-the-list-alone",
+        "announced-leaving-ignored",
         "ashlatch/gateway/directory.py",
         "return self.endpoint.leaving or self.announced_leaving",
         "return self.endpoint.leaving",
         BACKOFF,
     ),
     Mutant(
-        "announcements-untold",
+        "announced-leaving-not-broadcast",
         "ashlatch/gateway/notices.py",
         "context.broadcast(EndpointLeaving(state.endpoint.instance))",
         "pass",
         BACKOFF,
     ),
     Mutant(
-        "absent-endpoints-forgotten",
+        "unlisted-endpoints-forgotten",
         "ashlatch/gateway/directory.py",
         "previous = self._unlisted | self._states",
         "previous = self._states",
         BACKOFF,
     ),
     Mutant(
-        "sheddings-untold",
+        "backoffs-not-broadcast",
         "ashlatch/gateway/notices.py",
         "context.broadcast(\n"
         "            BackoffRequested("
@@ -832,42 +841,42 @@
         SHEDDING,
     ),
     Mutant(
-        "backoff-of-another-for-as-long",
+        "backoff-of-a-peer-not-capped",
         "ashlatch/policy/backoff.py",
         "now_ms + min(backoff_ms, PEERS_MAX_MS)\n        self.peers",
         "now_ms + backoff_ms\n        self.peers",
         SHEDDING,
     ),
     Mutant(
-        "return-without-the-backoff",
+        "retry-time-without-the-backoff",
         "ashlatch/gateway/retry_time.py",
         "_TIMED_REASONS = frozenset({DenialReason.BACKOFF, DenialReason.LIMITED})",
         "_TIMED_REASONS = frozenset({DenialReason.LIMITED})",
         BACKOFF,
     ),
     Mutant(
-        "unreadable-times-ignored",
+        "unreadable-retry-after-ignored",
         "ashlatch/http/retry_after.py",
         "        return UNREADABLE_BACKOFF_MS\n",
         "        return 0.0\n",
         RETRY_AFTER,
     ),
     Mutant(
-        "router-sends-within-a-backoff",
+        "router-sends-during-a-backoff",
         "ashlatch/router/endpoints.py",
         "backoff_ms = backoff.wait_ms(now_ms) if backoff else 0.0",
         "backoff_ms = 0.0",
         ROUTER_BACKOFF,
     ),
     Mutant(
-        "router-hears-of-no-leaving",
+        "router-ignores-leaving",
         "ashlatch/router/notices.py",
         "        core.endpoints.leaving.add(event.endpoint)\n",
         "",
         ROUTER_BACKOFF,
     ),
     Mutant(
-        "added-member-silent-since-the-leader-began",
+        "added-member-unresponsive-since-the-leader-began",
         "ashlatch/fleet/membership.py",
         "status.added_ms.get(member.member_id, status.leading_since_ms)",
         "status.leading_since_ms",
@@ -881,28 +890,28 @@
         RAFT,
     ),
     Mutant(
-        "running-sessions-untold",
+        "running-sessions-not-broadcast",
         "ashlatch/gateway/session_updates.py",
         "context.broadcast(SessionActive(service, awaited_version, hash_value))",
         "pass",
         TRIAL_BEGINS,
     ),
     Mutant(
-        "running-sessions-told-once",
+        "running-sessions-broadcast-once",
         "ashlatch/gateway/session_updates.py",
         "COPIES = 2",
         "COPIES = 1",
         TRIAL_BEGINS,
     ),
     Mutant(
-        "new-sessions-of-a-trial-untold",
+        "new-sessions-of-a-trial-not-broadcast",
         "ashlatch/gateway/versions.py",
         "return self._starts_in_trial(rollout, hash_value, now_ms, isolated)",
         "return False",
         TRIAL_BEGINS,
     ),
     Mutant(
-        "idle-connections-past-the-part",
+        "idle-connections-over-the-share",
         "ashlatch/gateway/pool.py",
         "if len(self._idle.get(endpoint.instance, ())) >= idle_max:",
         "if False:",
@@ -912,7 +921,7 @@
 
 
 def run(mutant: Mutant) -> bool:
-    """Whether the proof failed on the mutant, as it should."""
+    """Runs the test on the mutant; returns whether it failed, as it should."""
     with tempfile.TemporaryDirectory(prefix="ashlatch-mutant-") as folder:
         copy = Path(folder)
         for part in ("ashlatch", "tests", "examples"):
@@ -923,14 +932,14 @@
         if text.count(mutant.guard) != 1:
             print(f"{mutant.name}: STALE, its guard is not there once")
             return False
-        path.write_text(text.replace(mutant.guard, mutant.without))
-        command = [sys.executable, *mutant.proof]
+        path.write_text(text.replace(mutant.guard, mutant.replacement))
+        command = [sys.executable, *mutant.test_command]
         try:
             done = subprocess.run(
-                command, cwd=copy, capture_output=True, text=True, timeout=LIMIT_S
+                command, cwd=copy, capture_output=True, text=True, timeout=TIMEOUT_S
             )
         except subprocess.TimeoutExpired:
-            print(f"{mutant.name}: NOT NOTICED within {LIMIT_S} s")
+            print(f"{mutant.name}: NOT NOTICED within {TIMEOUT_S} s")
             return False
     output = (done.stdout + done.stderr).splitlines()
     shown = [line for line in output if "Failed" in line or "FAILED" in line]
