--- a/ashlatch/cmdline/api.py
+++ b/ashlatch/cmdline/api.py
@@ -28,7 +28,7 @@
 
 @dataclass
 class ApiError(AshlatchError):
-    """The resource API answered a call with an error status."""
+    """A call failed: the API answered with an error, or the call is not possible."""
 
     status: int
     problem: str
@@ -101,8 +101,8 @@
             return None
         if reply.status != 200:
             raise ApiError(reply.status, reply.body.decode("utf-8", "replace"))
-        found: dict[str, Any] = json.loads(reply.body)
-        return found
+        resource: dict[str, Any] = json.loads(reply.body)
+        return resource
 
     def put(self, document: Document, if_revision: int, change_id: str) -> int:
         """Creates or changes a resource; returns the accepted revision."""
--- a/ashlatch/cmdline/ctl.py
+++ b/ashlatch/cmdline/ctl.py
@@ -274,14 +274,14 @@
 @_pass_api
 def member_list(api: ApiClient) -> None:
     """Show the members, and how many of them may fail without an outage."""
-    found = api.call_json("GET", "/v1/status")
-    for entry in found["members"]:
+    reply = api.call_json("GET", "/v1/status")
+    for entry in reply["members"]:
         click.echo(
             f"{entry['member_id']} vm={entry['vm']} address={entry['address']} "
             f"role={entry['role']} lag={entry['lag']} "
             f"silent_ms={entry['silent_ms']:.0f}"
         )
-    click.echo(f"losses_survived={found['losses_survived']}")
+    click.echo(f"losses_survived={reply['losses_survived']}")
 
 
 @member.command("remove")
@@ -292,8 +292,8 @@
 
     To add a member, start it with an empty data folder.
     """
-    found = api.call_json("DELETE", f"/v1/members/{member_id}")
-    remaining = [entry["member_id"] for entry in found["members"]]
+    reply = api.call_json("DELETE", f"/v1/members/{member_id}")
+    remaining = [entry["member_id"] for entry in reply["members"]]
     click.echo(f"members: {', '.join(remaining)}")
     if member_id in remaining:
         sys.exit(EXIT_FAILED)
@@ -346,10 +346,10 @@
 
 def _read_logs(logs: tuple[TextIO, ...]) -> list[Line]:
     """Reads the events of several logs, ordered by time."""
-    found: list[Line] = []
+    events: list[Line] = []
     for log in logs or (sys.stdin,):
-        found += read_lines(Path(log.name).stem, log)
-    return sorted(found, key=lambda line: line.at)
+        events += read_lines(Path(log.name).stem, log)
+    return sorted(events, key=lambda line: line.at)
 
 
 def run() -> None:
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -51,7 +51,7 @@
 REPORT_INTERVAL_MS = 200.0
 RETRIES_MAX = 3
 SEEDS = (1, 2, 3)
-# One large organisation makes most requests, four small ones stay within their share.
+# The shares of requests: most by one large organisation, the rest by four small ones.
 DEMAND = {"large": 0.80, "s1": 0.05, "s2": 0.05, "s3": 0.05, "s4": 0.05}
 WEIGHTS = {"large": 4.0, "s1": 1.0, "s2": 1.0, "s3": 1.0, "s4": 1.0}
 CAPACITY_PER_S = ENDPOINTS * SLOTS / SERVICE_MS * 1000.0
--- a/tests/fakes/platform.py
+++ b/tests/fakes/platform.py
@@ -93,8 +93,8 @@
         return reply({"ratings": due})
 
     def submit(self, answer: dict[str, Any]) -> Response:
-        found = re.search(r"quality=([0-9.]+)", answer["answer"])
-        quality = float(found.group(1)) if found else 0.5
+        match = re.search(r"quality=([0-9.]+)", answer["answer"])
+        quality = float(match.group(1)) if match else 0.5
         with self.lock:
             rating = self.random.gauss(quality, self.noise)
             entry = {
