--- a/ashlatch/explain/sessions.py
+++ b/ashlatch/explain/sessions.py
@@ -74,7 +74,7 @@
     The sends of one request are not compared, since a retry may use another version.
     """
     latest: dict[tuple[str, str], Line] = {}
-    changes = []
+    detected = []
     for line in _send_events(lines):
         key = (line.get("service"), line.get("session"))
         before = latest.get(key)
@@ -82,8 +82,8 @@
         if before is None or before.get("request") == line.get("request"):
             continue
         if before.get("version") != line.get("version"):
-            changes.append(VersionChange(before, line))
-    return changes
+            detected.append(VersionChange(before, line))
+    return detected
 
 
 def _send_events(lines: list[Line]) -> Iterator[Line]:
