--- a/ashlatch/adapter/engine.py
+++ b/ashlatch/adapter/engine.py
@@ -23,11 +23,7 @@
 from ashlatch.router.event import Answered, AttemptResult, Broken, NotSent, Rejected
 from ashlatch.store.command import StoredAnswer, Usage
 
-__all__ = [
-    "EngineCall",
-    "Prices",
-]
-
+__all__ = ["EngineCall", "Prices"]
 
 DONE = b"[DONE]"
 EVENT_END = b"\n\n"
--- a/ashlatch/adapter/service.py
+++ b/ashlatch/adapter/service.py
@@ -21,10 +21,7 @@
 from ashlatch.router.event import Answered, AttemptResult, Broken, NotSent, Rejected
 from ashlatch.store.command import StoredAnswer, Usage
 
-__all__ = [
-    "call_service",
-]
-
+__all__ = ["call_service"]
 
 DEFAULT_RETRY_AFTER_MS = 500.0
 REFUSED_STATUS = 503
--- a/ashlatch/client.py
+++ b/ashlatch/client.py
@@ -24,10 +24,7 @@
 from ashlatch.store.slots import FIRST_GROUP, slot_of
 from ashlatch.store.status import merge_statuses
 
-__all__ = [
-    "StateClient",
-]
-
+__all__ = ["StateClient"]
 
 R = TypeVar("R")
 
--- a/ashlatch/cmdline/daemon.py
+++ b/ashlatch/cmdline/daemon.py
@@ -30,15 +30,7 @@
     load,
 )
 
-__all__ = [
-    "EXIT_FAILED",
-    "EXIT_SETTINGS",
-    "Daemon",
-    "load_or_exit",
-    "run",
-    "Shutdown",
-]
-
+__all__ = ["EXIT_FAILED", "EXIT_SETTINGS", "Daemon", "load_or_exit", "run", "Shutdown"]
 
 EXIT_FAILED = 1
 EXIT_SETTINGS = 2
--- a/ashlatch/cmdline/evacuations.py
+++ b/ashlatch/cmdline/evacuations.py
@@ -14,12 +14,7 @@
 from ashlatch.cmdline.api import ApiClient, ApiError, Document
 from ashlatch.platform.operator import OperatorAction, OperatorCall, evacuation_request
 
-__all__ = [
-    "CoreEvacuationClient",
-    "EvacuationClient",
-    "ResourceEvacuationClient",
-]
-
+__all__ = ["CoreEvacuationClient", "EvacuationClient", "ResourceEvacuationClient"]
 
 RESOURCE_KIND = "evacuation"
 
--- a/ashlatch/control/core.py
+++ b/ashlatch/control/core.py
@@ -32,12 +32,7 @@
 from ashlatch.store.configuration import ResourceId
 from ashlatch.store.protocol import VersionReport
 
-__all__ = [
-    "HANDLERS",
-    "ControlCore",
-    "ControlLeaseChanged",
-]
-
+__all__ = ["HANDLERS", "ControlCore", "ControlLeaseChanged"]
 
 HANDLERS = Handlers("control")
 
--- a/ashlatch/control/daemon.py
+++ b/ashlatch/control/daemon.py
@@ -56,9 +56,7 @@
 from ashlatch.store.configuration import ResourceId
 from ashlatch.store.protocol import ControlPoll, ReadReply, ReadRequest
 
-__all__ = [
-    "ControlDaemon",
-]
+__all__ = ["ControlDaemon"]
 
 
 log = logging.getLogger("ashlatch.control")
--- a/ashlatch/fleet/daemon.py
+++ b/ashlatch/fleet/daemon.py
@@ -18,17 +18,14 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from ashlatch.fleet.bootstrap import open_member
-from ashlatch.fleet.command_client import CommandClient
-from ashlatch.fleet.leader_link import LeaderLink
-from ashlatch.fleet.prefix_caches import read_prefix_caches
-from ashlatch.fleet.soft_state import SoftState, has_updates
-
 from ashlatch.catalog import CoreVm, Endpoint, Rollout, Service
 from ashlatch.clock import monotonic_ms
+from ashlatch.fleet.bootstrap import open_member
+from ashlatch.fleet.command_client import CommandClient
 from ashlatch.fleet.discovery import ListReader
 from ashlatch.fleet.exposure import plan_exposure
 from ashlatch.fleet.leader import ListPoller, RolloutController
+from ashlatch.fleet.leader_link import LeaderLink
 from ashlatch.fleet.logs import (
     CrashesCommitted,
     CrashesNotCommitted,
@@ -43,6 +40,7 @@
 from ashlatch.fleet.membership import find_unresponsive_member, join_group
 from ashlatch.fleet.operators import NoQuorum, OperatorApi
 from ashlatch.fleet.peers import CoreConnections
+from ashlatch.fleet.prefix_caches import read_prefix_caches
 from ashlatch.fleet.protocol import (
     COMMAND,
     JOIN,
@@ -54,6 +52,7 @@
     SyncRequest,
 )
 from ashlatch.fleet.seeds import Seeds
+from ashlatch.fleet.soft_state import SoftState, has_updates
 from ashlatch.http.connection import HttpBounds
 from ashlatch.http.listener import HttpListener
 from ashlatch.log import emit
@@ -69,9 +68,7 @@
 from ashlatch.store.transport import Transport
 from ashlatch.suspension import watch_suspension
 
-__all__ = [
-    "CoreDaemon",
-]
+__all__ = ["CoreDaemon"]
 
 
 log = logging.getLogger("ashlatch.fleet")
--- a/ashlatch/fleet/discovery.py
+++ b/ashlatch/fleet/discovery.py
@@ -15,19 +15,15 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from ashlatch.platform.json_decoding import JsonUnreadable
-
 from ashlatch.catalog import Endpoint
 from ashlatch.errors import AshlatchError
 from ashlatch.fleet.logs import EntriesSkipped
 from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
 from ashlatch.log import emit
 from ashlatch.platform.instances import Page, decode_page, page_target
+from ashlatch.platform.json_decoding import JsonUnreadable
 
-__all__ = [
-    "ListReader",
-    "ListUnreadable",
-]
+__all__ = ["ListReader", "ListUnreadable"]
 
 
 log = logging.getLogger("ashlatch.fleet")
--- a/ashlatch/fleet/leader_link.py
+++ b/ashlatch/fleet/leader_link.py
@@ -14,22 +14,19 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ashlatch.fleet.soft_state import SoftState
-from ashlatch.gateway.prefix_cache import PromptPrefill
-
 from ashlatch.catalog import CoreVm
 from ashlatch.errors import TransportError
 from ashlatch.fleet.logs import UrgentReportFailed
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.peers import CoreConnections
 from ashlatch.fleet.protocol import SYNC, SyncReply, SyncRequest, gateways_digest
+from ashlatch.fleet.soft_state import SoftState
+from ashlatch.gateway.prefix_cache import PromptPrefill
 from ashlatch.gateway.tally import Tally
 from ashlatch.log import emit
 from ashlatch.raft.group import GroupStatus
 
-__all__ = [
-    "LeaderLink",
-]
+__all__ = ["LeaderLink"]
 
 
 log = logging.getLogger("ashlatch.fleet")
--- a/ashlatch/fleet/machine.py
+++ b/ashlatch/fleet/machine.py
@@ -31,7 +31,6 @@
     "RecordCrashes",
 ]
 
-
 _HANDLERS = Handlers("fleet")
 FINAL_STAGES = (RolloutStage.COMPLETED, RolloutStage.ROLLED_BACK)
 
--- a/ashlatch/fleet/membership.py
+++ b/ashlatch/fleet/membership.py
@@ -17,12 +17,7 @@
 from ashlatch.raft.group import GroupStatus
 from ashlatch.raft.message import Member
 
-__all__ = [
-    "find_unresponsive_member",
-    "has_enough_voters",
-    "join_group",
-]
-
+__all__ = ["find_unresponsive_member", "has_enough_voters", "join_group"]
 
 # How often a VM that is no member or knows no leader tries to join.
 JOIN_RETRY_S = 0.25
--- a/ashlatch/fleet/prefix_caches.py
+++ b/ashlatch/fleet/prefix_caches.py
@@ -17,7 +17,12 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from ashlatch.catalog import Endpoint
+from ashlatch.errors import AshlatchError
+from ashlatch.fleet.logs import PrefixCacheReadFailed, PrefixCachesRead
 from ashlatch.gateway.prefix_cache import PromptPrefill
+from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
+from ashlatch.log import emit
 from ashlatch.platform.json_decoding import JsonUnreadable
 from ashlatch.platform.prefix_cache import (
     PREFIX_CACHE_TARGET,
@@ -26,16 +31,7 @@
     prefix_cache_headers,
 )
 
-from ashlatch.catalog import Endpoint
-from ashlatch.errors import AshlatchError
-from ashlatch.fleet.logs import PrefixCacheReadFailed, PrefixCachesRead
-from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
-from ashlatch.log import emit
-
-__all__ = [
-    "MemoryUnreadable",
-    "read_prefix_caches",
-]
+__all__ = ["MemoryUnreadable", "read_prefix_caches"]
 
 
 log = logging.getLogger("ashlatch.fleet")
--- a/ashlatch/fleet/soft_state.py
+++ b/ashlatch/fleet/soft_state.py
@@ -13,22 +13,17 @@
 import asyncio
 from collections.abc import Iterable
 
-from ashlatch.fleet.prefill_log import PrefillLog
-from ashlatch.gateway.prefix_cache import PromptPrefill
-from ashlatch.policy.prefill_rate import PrefillRates
-
 from ashlatch.catalog import CoreVm, EndpointList, GatewayVm, SessionHashes
 from ashlatch.clock import monotonic_ms
 from ashlatch.fleet.machine import FleetState
+from ashlatch.fleet.prefill_log import PrefillLog
 from ashlatch.fleet.protocol import SyncReply, SyncRequest, gateways_digest
+from ashlatch.gateway.prefix_cache import PromptPrefill
 from ashlatch.gateway.tally import Tallies
+from ashlatch.policy.prefill_rate import PrefillRates
 from ashlatch.policy.quarantine import UnloggedCrashes
 
-__all__ = [
-    "SoftState",
-    "has_updates",
-]
-
+__all__ = ["SoftState", "has_updates"]
 
 # A core VM whose last reply from the leader is older reports this to gateways.
 LEADER_TIMEOUT_MS = 1500.0
--- a/ashlatch/gateway/choice.py
+++ b/ashlatch/gateway/choice.py
@@ -13,9 +13,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from ashlatch.gateway.context import GatewayContext
-
 from ashlatch.catalog import Route, Service
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Forecast, Forecaster, Send
 from ashlatch.gateway.message import CallerRequest
@@ -33,7 +32,6 @@
     "EscalationDecision",
 ]
 
-
 # If the confidence of an answer is lower, the request is sent to the largest model.
 CONFIDENCE_MIN = 50.0
 # Engines serve prompts in classes by their prefill time, bounded by these values,
--- a/ashlatch/gateway/chooser.py
+++ b/ashlatch/gateway/chooser.py
@@ -12,21 +12,17 @@
 import asyncio
 from collections.abc import Iterable
 
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.retry_time import find_retry_time
-
 from ashlatch.gateway.admission import RETRY_AFTER_S, Admission, Refused
 from ashlatch.gateway.choice import Choice, choose_endpoint
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Send
 from ashlatch.gateway.message import RefusalReason
+from ashlatch.gateway.retry_time import find_retry_time
 from ashlatch.gateway.versions import AllowedEndpoints
 from ashlatch.policy.permission import DenialReason
 
-__all__ = [
-    "EndpointChooser",
-]
-
+__all__ = ["EndpointChooser"]
 
 # The retry time when only endpoints in evacuated halls are left. Operators end an
 # evacuation after seconds to hours, and a caller with seconds left should try once
--- a/ashlatch/gateway/cold.py
+++ b/ashlatch/gateway/cold.py
@@ -14,11 +14,7 @@
 from ashlatch.policy.cold import ColdEndpoint, send_interval_ms
 from ashlatch.policy.permission import NEVER_MS
 
-__all__ = [
-    "ColdSendLimiter",
-    "mark_returned_cold",
-]
-
+__all__ = ["ColdSendLimiter", "mark_returned_cold"]
 
 # When all VMs start together, each gateway first knows only a few of the others, and
 # would assume that it may send to endpoints that many gateways share. All gateways have
--- a/ashlatch/gateway/crash_detector.py
+++ b/ashlatch/gateway/crash_detector.py
@@ -13,28 +13,23 @@
 import logging
 from collections.abc import Awaitable, Callable
 
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.fingerprint import format_fingerprint
-from ashlatch.gateway.updates import CrashRecordUpdate, EndpointRefuses
-
 from ashlatch.clock import unix_ms
 from ashlatch.gateway.attempt import AttemptFailed, FailureKind
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
+from ashlatch.gateway.fingerprint import format_fingerprint
 from ashlatch.gateway.logs import (
     CrashRecordCleared,
     CrashRecorded,
     EndpointNotListening,
     FingerprintQuarantined,
 )
+from ashlatch.gateway.updates import CrashRecordUpdate, EndpointRefuses
 from ashlatch.http.upstream import CONNECT_REFUSED, ConnectFailed, Upstream
 from ashlatch.log import emit
 from ashlatch.policy.quarantine import CrashRecord
 
-__all__ = [
-    "CrashDetector",
-    "apply_peer_crashes",
-    "record_refusal",
-]
+__all__ = ["CrashDetector", "apply_peer_crashes", "record_refusal"]
 
 
 log = logging.getLogger("ashlatch.gateway")
--- a/ashlatch/gateway/daemon.py
+++ b/ashlatch/gateway/daemon.py
@@ -15,15 +15,14 @@
 import traceback
 from collections.abc import Callable
 
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.liveness import LivenessProber
-
 from ashlatch.catalog import GatewayVm
 from ashlatch.fleet.seeds import Seeds
 from ashlatch.gateway.admission import Refused, admit, refuse
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.cold import ColdSendLimiter
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.exchange import Exchange
+from ashlatch.gateway.liveness import LivenessProber
 from ashlatch.gateway.logs import (
     HandlerFailed,
     RequestEnded,
@@ -47,9 +46,7 @@
 from ashlatch.settings import GatewaySettings
 from ashlatch.suspension import watch_suspension
 
-__all__ = [
-    "GatewayDaemon",
-]
+__all__ = ["GatewayDaemon"]
 
 
 log = logging.getLogger("ashlatch.gateway")
--- a/ashlatch/gateway/directory.py
+++ b/ashlatch/gateway/directory.py
@@ -14,13 +14,13 @@
 from dataclasses import dataclass, field
 
 import msgspec
-from ashlatch.policy.load_advertisement import LoadAdvertisement
 
 from ashlatch.catalog import Endpoint, EndpointList, Evacuations
 from ashlatch.gateway.message import LoadFigures
 from ashlatch.policy.backoff import Backoff
 from ashlatch.policy.breaker import Breaker
 from ashlatch.policy.load import EndpointLoad, LoadReport
+from ashlatch.policy.load_advertisement import LoadAdvertisement
 from ashlatch.policy.permission import (
     ALLOWED,
     NEVER_MS,
@@ -31,11 +31,7 @@
 from ashlatch.policy.rate_limit import RateLimit
 from ashlatch.policy.workload import Workload
 
-__all__ = [
-    "Directory",
-    "EndpointState",
-]
-
+__all__ = ["Directory", "EndpointState"]
 
 # After this many failures in a row, an endpoint receives no requests for this long.
 BREAKER_FAILURES = 2
--- a/ashlatch/gateway/exchange.py
+++ b/ashlatch/gateway/exchange.py
@@ -12,16 +12,6 @@
 import asyncio
 from dataclasses import dataclass
 
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.crash_detector import CrashDetector
-from ashlatch.gateway.request_record import RequestRecord
-from ashlatch.gateway.timeouts import (
-    AnswerTimeout,
-    answer_timeout,
-    connect_timeout_s,
-    event_timeout,
-)
-
 from ashlatch.catalog import RepeatPolicy
 from ashlatch.gateway.admission import (
     RETRY_AFTER_S,
@@ -39,14 +29,20 @@
     larger_models,
 )
 from ashlatch.gateway.chooser import EndpointChooser
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.crash_detector import CrashDetector
 from ashlatch.gateway.events import EventSplitter, StreamEvent
 from ashlatch.gateway.message import AnswerHead, Dispatch, RefusalReason
+from ashlatch.gateway.request_record import RequestRecord
+from ashlatch.gateway.timeouts import (
+    AnswerTimeout,
+    answer_timeout,
+    connect_timeout_s,
+    event_timeout,
+)
 from ashlatch.http.connection import CallerGone, Headers, Responder
 
-__all__ = [
-    "Exchange",
-]
-
+__all__ = ["Exchange"]
 
 # Endpoints that cannot be reached, or that have gone from their address, have not run
 # the request, so they do not count as attempts. The limit keeps a request from trying
--- a/ashlatch/gateway/fingerprint.py
+++ b/ashlatch/gateway/fingerprint.py
@@ -13,10 +13,7 @@
 
 from ashlatch.gateway.message import CallerRequest
 
-__all__ = [
-    "request_fingerprint",
-    "format_fingerprint",
-]
+__all__ = ["request_fingerprint", "format_fingerprint"]
 
 
 def request_fingerprint(request: CallerRequest, organisation: str) -> int:
--- a/ashlatch/gateway/permission.py
+++ b/ashlatch/gateway/permission.py
@@ -10,16 +10,13 @@
 :license: MIT, see LICENSE for details.
 """
 
-from ashlatch.gateway.context import GatewayContext
-
 from ashlatch.catalog import Service
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.limits import limit_wait_ms
 from ashlatch.policy.permission import ALLOWED, DenialReason, Permission, combine
 
-__all__ = [
-    "send_permission",
-]
+__all__ = ["send_permission"]
 
 
 def send_permission(
--- a/ashlatch/gateway/recipients.py
+++ b/ashlatch/gateway/recipients.py
@@ -16,9 +16,8 @@
 import random
 from dataclasses import dataclass
 
-from ashlatch.policy.load_advertisement import FULL
-
 from ashlatch.catalog import GatewayVm
+from ashlatch.policy.load_advertisement import FULL
 
 __all__ = [
     "Recipients",
@@ -28,7 +27,6 @@
     "gateways_in_hall",
 ]
 
-
 # Prompts with a shorter prefill hardly delay other requests.
 SEND_MIN_MS = 30.0
 # Prompts that occupy an engine for longer than most answers take to begin matter to
--- a/ashlatch/gateway/retry_time.py
+++ b/ashlatch/gateway/retry_time.py
@@ -11,19 +11,14 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ashlatch.gateway.context import GatewayContext
-
 from ashlatch.catalog import Service
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.limits import limit_interval_ms
 from ashlatch.gateway.permission import send_permission
 from ashlatch.policy.permission import DenialReason
 
-__all__ = [
-    "RetryTime",
-    "find_retry_time",
-]
-
+__all__ = ["RetryTime", "find_retry_time"]
 
 SECOND_MS = 1000.0
 # A caller should try again after this time at the latest.
--- a/ashlatch/gateway/session_updates.py
+++ b/ashlatch/gateway/session_updates.py
@@ -13,10 +13,7 @@
 from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.updates import SessionActive, SessionMoved
 
-__all__ = [
-    "announce_session",
-]
-
+__all__ = ["announce_session"]
 
 # Datagrams are lost at times, so each update is sent this many times. Each copy is
 # relayed within a hall by a different gateway.
--- a/ashlatch/gateway/sync.py
+++ b/ashlatch/gateway/sync.py
@@ -15,12 +15,6 @@
 import random
 from collections.abc import Callable
 
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.core_selection import CoreSelector
-from ashlatch.gateway.core_updates import CoreUpdates
-from ashlatch.gateway.prefix_cache import PromptPrefill
-from ashlatch.policy.prefill_rate import PrefillRate
-
 from ashlatch.catalog import EndpointList, GatewayVm
 from ashlatch.codec import TRAFFIC
 from ashlatch.errors import TransportError
@@ -28,6 +22,9 @@
 from ashlatch.fleet.peers import CoreConnections
 from ashlatch.fleet.protocol import SYNC, SyncReply, SyncRequest, gateways_digest
 from ashlatch.fleet.seeds import Seeds
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.core_selection import CoreSelector
+from ashlatch.gateway.core_updates import CoreUpdates
 from ashlatch.gateway.logs import (
     CoreLost,
     CoreRegained,
@@ -36,14 +33,14 @@
     LocalCoreUnreachable,
     UrgentReportFailed,
 )
+from ashlatch.gateway.prefix_cache import PromptPrefill
 from ashlatch.gateway.tally import Tally
 from ashlatch.gateway.traffic import TrafficKind
 from ashlatch.log import emit
+from ashlatch.policy.prefill_rate import PrefillRate
 from ashlatch.policy.quarantine import CrashRecord
 
-__all__ = [
-    "CoreSync",
-]
+__all__ = ["CoreSync"]
 
 
 log = logging.getLogger("ashlatch.gateway")
--- a/ashlatch/gateway/timeouts.py
+++ b/ashlatch/gateway/timeouts.py
@@ -21,7 +21,6 @@
     "event_timeout",
 ]
 
-
 # A send that may be repeated is abandoned when nothing has been received for this many
 # times the route's target, and for at least the minimum.
 SILENCE_RATIO = 1.5
--- a/ashlatch/gateway/versions.py
+++ b/ashlatch/gateway/versions.py
@@ -28,12 +28,7 @@
 from ashlatch.policy.endpoint import rank
 from ashlatch.policy.permission import DenialReason
 
-__all__ = [
-    "AllowedEndpoints",
-    "VersionChooser",
-    "VersionReason",
-]
-
+__all__ = ["AllowedEndpoints", "VersionChooser", "VersionReason"]
 
 # The utilisation up to which the endpoint of a load test gets requests: nearly all of
 # its slots.
--- a/ashlatch/router/admission.py
+++ b/ashlatch/router/admission.py
@@ -9,12 +9,10 @@
 :license: MIT, see LICENSE for details.
 """
 
-from ashlatch.router.completion import complete_with_answer, fail_request, send_problem
-from ashlatch.router.planning_result import NoPlan
-
 from ashlatch.http import problem as problems
 from ashlatch.http.problem import Problem
 from ashlatch.policy.limit import Capacity, LimitReason
+from ashlatch.router.completion import complete_with_answer, fail_request, send_problem
 from ashlatch.router.core import HANDLERS, ActiveRequest, CachedPin, RouterCore
 from ashlatch.router.effect import ProposeClaim, ProposeClose, ScheduleClaimRetry
 from ashlatch.router.event import (
@@ -24,6 +22,7 @@
     RequestArrived,
     RequestKind,
 )
+from ashlatch.router.planning_result import NoPlan
 from ashlatch.router.sending import no_plan_problem, plan_attempt, start_attempt
 from ashlatch.store.command import (
     Claim,
@@ -37,7 +36,6 @@
 
 __all__ = []
 
-
 CLAIM_RETRY_MS = 100.0
 NO_STATE_RETRY_MS = 1000.0
 DRAIN_RETRY_MS = 1000.0
--- a/ashlatch/router/daemon.py
+++ b/ashlatch/router/daemon.py
@@ -20,7 +20,6 @@
 from typing import ClassVar
 
 import msgspec
-from ashlatch.router.responder import Responder
 from werkzeug.wrappers import Request as HttpRequest
 from werkzeug.wrappers import Response
 
@@ -54,14 +53,12 @@
     VersionTotalsReceived,
 )
 from ashlatch.router.host import RouterHost
+from ashlatch.router.responder import Responder
 from ashlatch.rpc import Address
 from ashlatch.settings import RouterSettings
 from ashlatch.store.protocol import RouterPoll, RouterReply, VersionReport
 
-__all__ = [
-    "RouterDaemon",
-    "configuration_changed",
-]
+__all__ = ["RouterDaemon", "configuration_changed"]
 
 
 log = logging.getLogger("ashlatch.router")
--- a/ashlatch/router/endpoints.py
+++ b/ashlatch/router/endpoints.py
@@ -20,10 +20,7 @@
 from ashlatch.policy.rate_limit import LimitSharing, RateLimit
 from ashlatch.settings import PolicySettings
 
-__all__ = [
-    "EndpointStates",
-]
-
+__all__ = ["EndpointStates"]
 
 _LEAVING = Permission(DenialReason.LEAVING, NEVER_MS)
 
--- a/ashlatch/router/host.py
+++ b/ashlatch/router/host.py
@@ -66,11 +66,7 @@
 from ashlatch.rpc import RpcLoop
 from ashlatch.settings import RouterSettings, parse_addresses
 
-__all__ = [
-    "Chunk",
-    "Mailbox",
-    "RouterHost",
-]
+__all__ = ["Chunk", "Mailbox", "RouterHost"]
 
 
 log = logging.getLogger("ashlatch.router")
--- a/ashlatch/router/plan.py
+++ b/ashlatch/router/plan.py
@@ -12,9 +12,6 @@
 import random
 from dataclasses import dataclass, field, replace
 
-from ashlatch.router.planning_result import Exclusion, ExclusionReason, NoPlan, Plan
-from ashlatch.router.rollouts import apply_rollouts, has_suspected_successor
-
 from ashlatch.policy.detector import Detector
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES, Candidate, subset
 from ashlatch.policy.load import EndpointLoad
@@ -25,13 +22,11 @@
 from ashlatch.resources import Route
 from ashlatch.router.endpoints import EndpointStates
 from ashlatch.router.event import Request
+from ashlatch.router.planning_result import Exclusion, ExclusionReason, NoPlan, Plan
+from ashlatch.router.rollouts import apply_rollouts, has_suspected_successor
 from ashlatch.settings import PolicySettings
 
-__all__ = [
-    "Planner",
-    "ReadyEndpoint",
-]
-
+__all__ = ["Planner", "ReadyEndpoint"]
 
 OTHER_HALL_LATENCY_MS = 2.0
 EXPECTED_OUTPUT_TOKENS = 200
--- a/ashlatch/router/updates.py
+++ b/ashlatch/router/updates.py
@@ -28,10 +28,7 @@
     VersionTotalsReceived,
 )
 
-__all__ = [
-    "ConfigurationApplied",
-    "VersionSuspended",
-]
+__all__ = ["ConfigurationApplied", "VersionSuspended"]
 
 
 @dataclass(frozen=True)
--- a/ashlatch/store/daemon.py
+++ b/ashlatch/store/daemon.py
@@ -33,9 +33,7 @@
 from ashlatch.store.status import build_status
 from ashlatch.store.transport import Transport
 
-__all__ = [
-    "StateDaemon",
-]
+__all__ = ["StateDaemon"]
 
 
 log = logging.getLogger("ashlatch.state")
--- a/ashlatch/store/member.py
+++ b/ashlatch/store/member.py
@@ -29,13 +29,7 @@
 from ashlatch.store.command import Command, Outcome
 from ashlatch.store.machine import StoreMachine
 
-__all__ = [
-    "FolderExists",
-    "GroupMember",
-    "GroupsDiffer",
-    "initialise",
-    "open_folder",
-]
+__all__ = ["FolderExists", "GroupMember", "GroupsDiffer", "initialise", "open_folder"]
 
 
 log = logging.getLogger("ashlatch.state")
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -8,8 +8,6 @@
 import tracemalloc
 from typing import Any
 
-from tests.small_system import start_small_system
-
 from ashlatch.adapter.platform import ListedVm
 from ashlatch.codec import encode
 from ashlatch.control import membership, placement, rollout
@@ -36,6 +34,7 @@
 from ashlatch.store.protocol import RouterPoll, RouterReply, VersionReport
 from bench.router import memory_mb, processor_s
 from bench.table import print_row, print_title
+from tests.small_system import start_small_system
 
 _HANDLER_MODULES = (membership, placement, rollout)
 
--- a/bench/liveness.py
+++ b/bench/liveness.py
@@ -8,11 +8,10 @@
 import asyncio
 import time
 
-from ashlatch.gateway.liveness import LivenessProber
-
 from ashlatch.catalog import Endpoint, EndpointList
 from ashlatch.clock import SuspendAwareLoop
 from ashlatch.gateway.directory import Directory
+from ashlatch.gateway.liveness import LivenessProber
 from bench.table import format_spread, print_row, print_title
 
 ENDPOINTS = (9, 70, 140)
--- a/bench/state.py
+++ b/bench/state.py
@@ -12,8 +12,6 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 
-from tests.small_system import SmallSystem, start_small_system
-
 from ashlatch.client import StateClient
 from ashlatch.codec import encode
 from ashlatch.rpc import Address, RpcLoop
@@ -21,6 +19,7 @@
 from ashlatch.store.protocol import ReadRequest, RouterPoll, RouterReply
 from bench.router import memory_mb, processor_s
 from bench.table import format_spread, percentile, print_row, print_title
+from tests.small_system import SmallSystem, start_small_system
 from tests.system import Daemon, System, running_system, wait_until
 
 COMMITS = 400
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -618,7 +618,8 @@
         "limits-not-broadcast",
         "ashlatch/gateway/limits.py",
         "context.broadcast(\n"
-        "            RateLimitChanged(state.endpoint.instance, per_s, round(age_ms, 1))\n"
+        "            RateLimitChanged("
+        "state.endpoint.instance, per_s, round(age_ms, 1))\n"
         "        )",
         "pass",
         LIMIT_LOAD,
--- a/tests/test_malformed_input.py
+++ b/tests/test_malformed_input.py
@@ -15,18 +15,18 @@
 
 import h11
 import testtools
-from ashlatch.platform.json_decoding import JsonUnreadable
-from ashlatch.platform.prefix_cache import decode_prefix_cache
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from tests.stub_server import StubServer
 
 from ashlatch.fleet.discovery import ListReader, ListUnreadable
 from ashlatch.http.connection import HttpRequest
 from ashlatch.platform.document import DocumentError, decode_catalog
 from ashlatch.platform.headers import MalformedRequest, decode_answer, decode_request
 from ashlatch.platform.instances import decode_page
+from ashlatch.platform.json_decoding import JsonUnreadable
+from ashlatch.platform.prefix_cache import decode_prefix_cache
 from tests import stub_server
+from tests.stub_server import StubServer
 
 ENTRY = {
     "id": "i-1",
--- a/tests/test_state_failures.py
+++ b/tests/test_state_failures.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 import testtools
-from tests.small_system import OrderLoad, Relay, SmallSystem, start_small_system
 
+from tests.small_system import OrderLoad, Relay, SmallSystem, start_small_system
 from tests.system import (
     BIN,
     HOST,
--- a/tests/test_sync.py
+++ b/tests/test_sync.py
@@ -6,18 +6,18 @@
 from typing import Any
 
 import testtools
-from ashlatch.fleet.leader_link import LeaderLink
-from ashlatch.fleet.soft_state import SoftState
-from ashlatch.gateway.context import GatewayContext
 
 from ashlatch.catalog import CoreVm, GatewayVm, Rollout, RolloutStage, SessionHashes
 from ashlatch.errors import TransportError
+from ashlatch.fleet.leader_link import LeaderLink
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.peers import CoreConnections
 from ashlatch.fleet.protocol import SyncReply, SyncRequest
 from ashlatch.fleet.seeds import Seeds
+from ashlatch.fleet.soft_state import SoftState
 from ashlatch.gateway import sync
 from ashlatch.gateway.budget import BudgetTerms
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.sessions import SessionVersions, session_hash
 from ashlatch.gateway.sync import CoreSync
 from ashlatch.gateway.versions import VersionChooser
