--- a/ashlatch/gateway/attempt.py
+++ b/ashlatch/gateway/attempt.py
@@ -121,7 +121,7 @@
 
     async def begin(self, timeout: AnswerTimeout) -> AnswerHead:
         """Sends, and waits for the head of the answer; raises `AttemptFailed`."""
-        self.state.sent(self._now_ms())
+        self.state.record_sent(self._now_ms())
         self._counted = True
         self.state.unanswered += 1
         try:
@@ -141,7 +141,7 @@
         head = decode_answer(
             await self._receive(connection.head, timeout, "no answer head received")
         )
-        self.state.progressed(self._now_ms())
+        self.state.record_progress(self._now_ms())
         if not head.backoff_ms:
             # An endpoint that sheds reports that it is idle.
             self.load = head.load
@@ -163,7 +163,7 @@
         part = await self._receive(
             self._connection.part, timeout, "no further part received"
         )
-        self.state.progressed(self._now_ms())
+        self.state.record_progress(self._now_ms())
         return part
 
     async def _receive(
--- a/ashlatch/gateway/choice.py
+++ b/ashlatch/gateway/choice.py
@@ -108,7 +108,7 @@
         return Choice(state, len(healthy), utilisation, None, allowed, denied)
     if service.engine is None:
         candidates = tuple(_candidate(context, s, now_ms) for s in healthy)
-        chosen = context.policy.choose(candidates, "", context.generator)
+        chosen = context.endpoint_policy.choose(candidates, "", context.generator)
         state = next(s for s in healthy if s.endpoint.instance == chosen.endpoint)
         utilisation = chosen.utilisation
         return Choice(state, len(healthy), utilisation, None, allowed, denied)
--- a/ashlatch/gateway/context.py
+++ b/ashlatch/gateway/context.py
@@ -63,7 +63,7 @@
     hall: str
     vm: str
     versions: VersionChooser
-    policy: EndpointPolicy
+    endpoint_policy: EndpointPolicy
     budget_terms: BudgetTerms
     regions: dict[str, str] = field(default_factory=dict)
     table: RouteTable | None = None
--- a/ashlatch/gateway/daemon.py
+++ b/ashlatch/gateway/daemon.py
@@ -78,15 +78,15 @@
 class GatewayDaemon:
     """One gateway process.
 
-    `reload_settings` returns the current settings after a change. `early` is a socket
-    that already listens on the callers' address.
+    `read_settings` reads the settings file again. `early` is a socket that already
+    listens on the callers' address.
     """
 
     def __init__(
         self,
         settings: GatewaySettings,
         failed: Callable[[BaseException], None],
-        reload_settings: Callable[[], GatewaySettings],
+        read_settings: Callable[[], GatewaySettings],
         early: socket.socket | None = None,
     ) -> None:
         self.settings = settings
@@ -104,7 +104,7 @@
             settings.halls,
             generator=random.Random(settings.vm),
         )
-        self._seeds = Seeds(settings, reload_settings)
+        self._seeds = Seeds(settings, read_settings)
 
     def start(self) -> None:
         """Opens the listeners and starts the background tasks."""
--- a/ashlatch/gateway/directory.py
+++ b/ashlatch/gateway/directory.py
@@ -148,7 +148,7 @@
         backs_off = self.backoff.wait_ms(now_ms) > 0.0
         return self.announced_leaving or backs_off or self.limit.limited
 
-    def sent(self, now_ms: float) -> None:
+    def record_sent(self, now_ms: float) -> None:
         """Records that a request is sent there."""
         self.last_sent_ms = now_ms
         self.backoff.record_sent(now_ms)
@@ -156,7 +156,7 @@
             self.last_progress_ms = now_ms
         self.load.record_sent(now_ms)
 
-    def progressed(self, now_ms: float) -> None:
+    def record_progress(self, now_ms: float) -> None:
         """Records that it has sent data."""
         self.last_progress_ms = now_ms
 
@@ -211,7 +211,7 @@
         """Returns the estimated number of requests per slot."""
         return self.requests(now_ms) / self.endpoint.slots
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Records a successful attempt."""
         self.breaker.record_success()
         self.failure_ratio -= FAILURE_GAIN * self.failure_ratio
@@ -247,7 +247,7 @@
         """Checks whether its process or its VM was just found to have ended."""
         return now_ms - self.ended_ms < ENDED_RECENTLY_MS
 
-    def failed(self, now_ms: float, unreachable: bool) -> None:
+    def record_failure(self, now_ms: float, unreachable: bool) -> None:
         """Records an attempt that failed because of the endpoint."""
         self.failure_ratio += FAILURE_GAIN * (1.0 - self.failure_ratio)
         if unreachable:
--- a/ashlatch/gateway/recipients.py
+++ b/ashlatch/gateway/recipients.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 
 from ashlatch.catalog import GatewayVm
-from ashlatch.policy.load_advertisement import FULL
+from ashlatch.policy.load_advertisement import FULL_LEVEL
 
 __all__ = [
     "Recipients",
@@ -76,7 +76,7 @@
     hall and of the endpoint's receive it; all gateways if the endpoint is full, since
     requests for a cached prefix come from any hall.
     """
-    return _recipients(level >= FULL, endpoint_hall, local, gateways, generator)
+    return _recipients(level >= FULL_LEVEL, endpoint_hall, local, gateways, generator)
 
 
 def all_recipients(
--- a/ashlatch/gateway/request_record.py
+++ b/ashlatch/gateway/request_record.py
@@ -153,7 +153,7 @@
         self._broadcast_load(attempt)
         self._apply_answer_head(attempt)
         first_ms = self._elapsed_ms(attempt)
-        self._context.tallies.started(self._tally_key(attempt), first_ms)
+        self._context.tallies.record_start(self._tally_key(attempt), first_ms)
         attempt.state.confirm_running(self._admission.service.cold_ms, self._now_ms())
         service = self._admission.service.name
         forecast = attempt.forecast
@@ -236,9 +236,9 @@
         state = attempt.state
         if state.breaker.open:
             emit(log, EndpointResumed(state.endpoint.instance, state.endpoint.service))
-        state.succeeded()
+        state.record_success()
         self._record_session_end(attempt)
-        self._context.tallies.answered(self._tally_key(attempt))
+        self._context.tallies.record_answer(self._tally_key(attempt))
 
     def record_failure(self, attempt: Attempt, failure: AttemptFailed) -> None:
         """Records a send that brought no answer."""
@@ -250,9 +250,9 @@
             self.sends -= 1
             self.unreachable += 1
         if kind is FailureKind.ERROR:
-            self._context.tallies.failed(self._tally_key(attempt))
+            self._context.tallies.record_failure(self._tally_key(attempt))
         if kind is FailureKind.SILENT and not self.events:
-            self._context.tallies.started(
+            self._context.tallies.record_start(
                 self._tally_key(attempt), self._elapsed_ms(attempt)
             )
         if kind is FailureKind.MISDIRECTED:
@@ -285,7 +285,7 @@
         """Counts a failure against its endpoint."""
         unreachable = kind in (FailureKind.UNREACHABLE, FailureKind.BROKEN)
         was_open = state.breaker.open
-        state.failed(self._now_ms(), unreachable)
+        state.record_failure(self._now_ms(), unreachable)
         if state.breaker.open and not was_open:
             endpoint = state.endpoint
             event = EndpointSuspended(
--- a/ashlatch/gateway/tally.py
+++ b/ashlatch/gateway/tally.py
@@ -73,7 +73,7 @@
 
     _counts: dict[TallyKey, Tally] = field(default_factory=dict)
 
-    def started(self, key: TallyKey, first_ms: float) -> None:
+    def record_start(self, key: TallyKey, first_ms: float) -> None:
         """Counts an answer that began, or was abandoned, after a time.
 
         It counts at once: a stream may end much later, but its start describes the
@@ -81,11 +81,11 @@
         """
         self.add((Tally(key, times={bucket_of(first_ms): 1}),))
 
-    def answered(self, key: TallyKey) -> None:
+    def record_answer(self, key: TallyKey) -> None:
         """Counts an answer that was complete."""
         self.add((Tally(key, answered=1),))
 
-    def failed(self, key: TallyKey) -> None:
+    def record_failure(self, key: TallyKey) -> None:
         """Counts an answer that failed."""
         self.add((Tally(key, failed=1),))
 
--- a/ashlatch/policy/load_advertisement.py
+++ b/ashlatch/policy/load_advertisement.py
@@ -13,11 +13,11 @@
 
 from dataclasses import dataclass
 
-__all__ = ["FULL", "LoadAdvertisement", "load_level"]
+__all__ = ["FULL_LEVEL", "LoadAdvertisement", "load_level"]
 
 # Load levels are quarters of the slots: finer levels would change with nearly every
 # answer.
-FULL = 4
+FULL_LEVEL = 4
 # The lowest level that is broadcast, half of the slots: a burst fills the other half
 # within a second.
 BUSY_LEVEL = 2
@@ -31,7 +31,7 @@
 
     With queued requests, there are more requests than slots.
     """
-    return min(FULL, FULL * requests // max(1, slots))
+    return min(FULL_LEVEL, FULL_LEVEL * requests // max(1, slots))
 
 
 @dataclass
--- a/ashlatch/router/core.py
+++ b/ashlatch/router/core.py
@@ -147,9 +147,11 @@
     effects: list[Effect] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        self.random = random.Random(f"{self.config.policy.seed}/{self.config.router}")
+        self.generator = random.Random(
+            f"{self.config.policy.seed}/{self.config.router}"
+        )
         self.planner = Planner(
-            self.config.policy, self.config.vm, self.config.hall, self.random
+            self.config.policy, self.config.vm, self.config.hall, self.generator
         )
         self.retry_budget = RetryBudget(self.config.policy.retry_ratio)
         self.hedging = Hedging(self.config.policy.hedge_samples_min)
--- a/ashlatch/router/notices.py
+++ b/ashlatch/router/notices.py
@@ -89,7 +89,7 @@
     if not limit.accepts(per_s, event.sent_ms):
         return
     if per_s != NO_LIMIT:
-        random_value = core.random.random()
+        random_value = core.generator.random()
         limit.set_rate(per_s, core.endpoints.limit_sharing, random_value, core.now_ms)
     elif event.was_run:
         limit.clear()
--- a/tests/crash_simulation.py
+++ b/tests/crash_simulation.py
@@ -218,7 +218,7 @@
         name = chosen.state.endpoint.instance
         request.sends += 1
         request.tried.add(name)
-        chosen.state.sent(self.now_ms)
+        chosen.state.record_sent(self.now_ms)
         for other in self.gateways:
             other.prefix_caches.record_prefill(
                 name, MODEL, request.ask.prompt_parts, MEMORY_TOKENS, self.now_ms
--- a/tests/engines.py
+++ b/tests/engines.py
@@ -269,7 +269,7 @@
         if self.engines[state.endpoint.instance].crashed:
             self._connection_refused(context, caller_request, load, state, attempted)
             return
-        state.sent(self.now_ms)
+        state.record_sent(self.now_ms)
         state.workload.add(prefill_ms, self.now_ms)
         context.broadcast(PromptSent(state.endpoint.instance, round(prefill_ms, 1)))
         context.prefix_caches.record_prefill(
@@ -285,7 +285,7 @@
         state: EndpointState,
         attempted: frozenset[str],
     ) -> None:
-        state.failed(self.now_ms, unreachable=True)
+        state.record_failure(self.now_ms, unreachable=True)
         if state.record_refusal(self.now_ms):
             context.broadcast(EndpointRefuses(state.endpoint.instance))
         attempted |= {state.endpoint.instance}
--- a/tests/limit_simulation.py
+++ b/tests/limit_simulation.py
@@ -226,7 +226,7 @@
             return
         state = chosen.state
         record_limited_send(context, state, self.now_ms)
-        state.sent(self.now_ms)
+        state.record_sent(self.now_ms)
         self.served[number] += 1
         index = int(state.endpoint.instance.partition("-")[2])
         endpoint = self.endpoints[index]
--- a/tests/shed_simulation.py
+++ b/tests/shed_simulation.py
@@ -90,7 +90,7 @@
             return
         state = chosen.state
         request.tried.add(state.endpoint.instance)
-        state.sent(self.now_ms)
+        state.record_sent(self.now_ms)
         index = int(state.endpoint.instance.partition("-")[2])
         self.sends[index].append((self.now_ms / 1000.0, request.gateway))
         head = self._answer(index)
--- a/tests/test_choosing.py
+++ b/tests/test_choosing.py
@@ -132,7 +132,7 @@
         self.assertEqual(1, len(tested.states))
         self.assertEqual("v2", tested.states[0].endpoint.version)
         for _ in range(8):
-            tested.states[0].sent(0.0)
+            tested.states[0].record_sent(0.0)
         self.assertEqual({"v1"}, self.versions("s"))
         self.sessions.record("app", "s", "v2", 0.0)
         self.assertEqual({"v2"}, self.versions("s"))
@@ -156,7 +156,7 @@
         moved = [s for s in sessions if self.versions(s) == {"v2"}]
         self.apply(RolloutStage.LOAD_TEST, 0.1, 2)
         for _ in range(8):
-            self.states[1].sent(0.0)
+            self.states[1].record_sent(0.0)
         self.assertTrue(20 < len(moved) < 70, len(moved))
         for session in sessions:
             expected = "v2" if session in moved else "v1"
@@ -275,10 +275,10 @@
     def test_stall(self) -> None:
         state = EndpointState(Endpoint("i", "app", "a:1", "h", "v1", 8, False))
         self.assertFalse(state.stalled(0.0))
-        state.sent(0.0)
+        state.record_sent(0.0)
         self.assertFalse(state.stalled(200.0))
         self.assertTrue(state.stalled(400.0))
-        state.progressed(400.0)
+        state.record_progress(400.0)
         self.assertFalse(state.stalled(500.0))
 
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -151,22 +151,22 @@
         return wait_ms == 0.0
 
     def test_a_warm_endpoint(self) -> None:
-        self.state.sent(0.0)
+        self.state.record_sent(0.0)
         self.assertTrue(self.allows(1.0))
 
     def test_one_send_after_another(self) -> None:
         self.state.mark_cold_until(5000.0)
         self.assertTrue(self.allows(0.0))
-        self.state.sent(0.0)
+        self.state.record_sent(0.0)
         self.assertFalse(self.allows(365.0))
         self.assertTrue(self.allows(367.0))
-        self.state.sent(367.0)
+        self.state.record_sent(367.0)
         self.assertFalse(self.allows(400.0))
         self.assertTrue(self.allows(5001.0))
 
     def test_services_that_start_warm(self) -> None:
         self.state.mark_cold_until(5000.0)
-        self.state.sent(0.0)
+        self.state.record_sent(0.0)
         self.assertTrue(self.allows(1.0, Service("app", 100, None)))
 
     def test_a_gateway_that_knows_no_others(self) -> None:
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -253,7 +253,7 @@
 
         async def watch() -> None:
             for state in self.directory.all():
-                state.sent(asyncio.get_running_loop().time() * 1000.0 - 2000.0)
+                state.record_sent(asyncio.get_running_loop().time() * 1000.0 - 2000.0)
             self.directory.apply_evacuations(Evacuations(1, ("a", "b")))
             watching = asyncio.create_task(
                 LivenessProber(self.directory, connect).run()
--- a/tests/test_evaluation.py
+++ b/tests/test_evaluation.py
@@ -78,7 +78,7 @@
         evidence = self.evidence(answered=8)
         tallies = Tallies()
         for _ in range(6):
-            tallies.started(TallyKey("app", "v2", "r"), 450.0)
+            tallies.record_start(TallyKey("app", "v2", "r"), 450.0)
         evidence.add(tallies.take(), 0.0)
         self.assertEqual(RolloutStage.ROLLED_BACK, self.decide(0.2, evidence).stage)
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -42,7 +42,7 @@
     state.apply_load(LoadFigures(8, 3, 8), 0.0)
     state.advertised_load.record(4, 0.0)
     state.workload.add(900.0, 0.0)
-    state.failed(0.0, unreachable=False)
+    state.record_failure(0.0, unreachable=False)
 
 
 class DirectoryTest(testtools.TestCase):
--- a/tests/test_liveness.py
+++ b/tests/test_liveness.py
@@ -35,14 +35,14 @@
             directory.replace(EndpointList(1, 1, (endpoint,)), 0.0)
             (state,) = directory.all()
             loop = asyncio.get_running_loop()
-            state.sent(loop.time() * 1000.0)
+            state.record_sent(loop.time() * 1000.0)
             prober = asyncio.create_task(
                 LivenessProber(directory, refuse_with(reason)).run()
             )
             for _ in range(10):
                 await asyncio.sleep(0.1)
                 if progress:
-                    state.progressed(loop.time() * 1000.0)
+                    state.record_progress(loop.time() * 1000.0)
             prober.cancel()
             return state
 
--- a/tests/test_load_advertisement.py
+++ b/tests/test_load_advertisement.py
@@ -3,7 +3,7 @@
 import testtools
 
 from ashlatch.policy.load_advertisement import (
-    FULL,
+    FULL_LEVEL,
     REPEAT_MS,
     LoadAdvertisement,
     load_level,
@@ -13,8 +13,8 @@
 class LoadLevelTest(testtools.TestCase):
     def test_quarters(self) -> None:
         levels = [load_level(requests, 16) for requests in (0, 3, 4, 8, 15, 16, 40)]
-        self.assertEqual([0, 0, 1, 2, 3, FULL, FULL], levels)
-        self.assertEqual(FULL, load_level(1, 0))
+        self.assertEqual([0, 0, 1, 2, 3, FULL_LEVEL, FULL_LEVEL], levels)
+        self.assertEqual(FULL_LEVEL, load_level(1, 0))
 
 
 class LoadAdvertisementTest(testtools.TestCase):
@@ -25,7 +25,7 @@
 
     def test_an_unchanged_level_is_repeated_after_a_time(self) -> None:
         advertised = LoadAdvertisement()
-        broadcast = [advertised.is_new(FULL, n * 100.0) for n in range(25)]
+        broadcast = [advertised.is_new(FULL_LEVEL, n * 100.0) for n in range(25)]
         self.assertEqual(
             [0, 10, 20], [n for n, is_new in enumerate(broadcast) if is_new]
         )
@@ -39,6 +39,6 @@
 
     def test_a_received_level_is_not_broadcast(self) -> None:
         advertised = LoadAdvertisement()
-        advertised.record(FULL, 0.0)
-        self.assertFalse(advertised.is_new(FULL, 10.0))
-        self.assertTrue(advertised.is_new(FULL, REPEAT_MS))
+        advertised.record(FULL_LEVEL, 0.0)
+        self.assertFalse(advertised.is_new(FULL_LEVEL, 10.0))
+        self.assertTrue(advertised.is_new(FULL_LEVEL, REPEAT_MS))
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -124,7 +124,7 @@
         states = [EndpointState(OLD), EndpointState(NEW)]
         busy = states[1]
         for _ in range(8):
-            busy.sent(0.0)
+            busy.record_sent(0.0)
         for session in (f"s{n}" for n in range(200)):
             version_before = ""
             for record in good_rollout(3):
