--- a/ashlatch/gateway/attempt.py
+++ b/ashlatch/gateway/attempt.py
@@ -15,16 +15,22 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
+from ashlatch.gateway.timeouts import CONNECT_MAX_S, AnswerTimeout
+
 from ashlatch.errors import AshlatchError
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Forecast
 from ashlatch.gateway.message import AnswerHead, CallerRequest, Dispatch, LoadFigures
 from ashlatch.gateway.pool import ConnectionPool
-from ashlatch.gateway.timeouts import CONNECT_MAX_S, AnswerTimeout
 from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
 from ashlatch.platform.headers import decode_answer, endpoint_headers
 
-__all__ = ["Attempt", "AttemptFailed", "FailureKind"]
+__all__ = [
+    "Attempt",
+    "AttemptFailed",
+    "FailureKind",
+]
+
 
 R = TypeVar("R")
 
@@ -116,7 +122,7 @@
 
     async def begin(self, timeout: AnswerTimeout) -> AnswerHead:
         """Sends, and waits for the head of the answer; raises `AttemptFailed`."""
-        self.state.sent(self._now_ms())
+        self.state.record_sent(self._now_ms())
         self._counted = True
         self.state.unanswered += 1
         try:
@@ -138,7 +144,7 @@
                 connection.read_head, timeout, "no answer head received"
             )
         )
-        self.state.progressed(self._now_ms())
+        self.state.record_progress(self._now_ms())
         if not head.backoff_ms:
             # An endpoint that sheds reports that it is idle.
             self.load = head.load
@@ -160,7 +166,7 @@
         part = await self._receive(
             self._connection.read_chunk, timeout, "no further part received"
         )
-        self.state.progressed(self._now_ms())
+        self.state.record_progress(self._now_ms())
         return part
 
     async def _receive(
--- a/ashlatch/gateway/choice.py
+++ b/ashlatch/gateway/choice.py
@@ -13,8 +13,9 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from ashlatch.catalog import Route, Service
 from ashlatch.gateway.context import GatewayContext
+
+from ashlatch.catalog import Route, Service
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Forecast, Forecaster, Send
 from ashlatch.gateway.message import CallerRequest
@@ -32,6 +33,7 @@
     "EscalationDecision",
 ]
 
+
 # If the confidence of an answer is lower, the request is sent to the largest model.
 CONFIDENCE_MIN = 50.0
 # Engines serve prompts in classes by their prefill time, bounded by these values,
@@ -107,7 +109,7 @@
         return Choice(state, len(healthy), utilisation, None, allowed, denied)
     if service.engine is None:
         candidates = tuple(_candidate(context, s, now_ms) for s in healthy)
-        chosen = context.policy.choose(candidates, "", context.generator)
+        chosen = context.endpoint_policy.choose(candidates, "", context.generator)
         state = next(s for s in healthy if s.endpoint.instance == chosen.endpoint)
         utilisation = chosen.utilisation
         return Choice(state, len(healthy), utilisation, None, allowed, denied)
--- a/ashlatch/gateway/daemon.py
+++ b/ashlatch/gateway/daemon.py
@@ -15,14 +15,15 @@
 import traceback
 from collections.abc import Callable
 
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.liveness import LivenessProber
+
 from ashlatch.catalog import GatewayVm
 from ashlatch.fleet.seeds import Seeds
 from ashlatch.gateway.admission import Refused, admit, refuse
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.cold import ColdSendLimiter
-from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.exchange import Exchange
-from ashlatch.gateway.liveness import LivenessProber
 from ashlatch.gateway.logs import (
     HandlerFailed,
     RequestEnded,
@@ -46,7 +47,9 @@
 from ashlatch.settings import GatewaySettings
 from ashlatch.suspension import watch_suspension
 
-__all__ = ["GatewayDaemon"]
+__all__ = [
+    "GatewayDaemon",
+]
 
 
 log = logging.getLogger("ashlatch.gateway")
@@ -76,15 +79,15 @@
 class GatewayDaemon:
     """One gateway process.
 
-    `reload_settings` returns the current settings after a change. `early` is a socket
-    that already listens on the callers' address.
+    `read_settings` reads the settings file again. `early` is a socket that already
+    listens on the callers' address.
     """
 
     def __init__(
         self,
         settings: GatewaySettings,
         failed: Callable[[BaseException], None],
-        reload_settings: Callable[[], GatewaySettings],
+        read_settings: Callable[[], GatewaySettings],
         early: socket.socket | None = None,
     ) -> None:
         self.settings = settings
@@ -102,7 +105,7 @@
             settings.halls,
             generator=random.Random(settings.vm),
         )
-        self._seeds = Seeds(settings, reload_settings)
+        self._seeds = Seeds(settings, read_settings)
 
     def start(self) -> None:
         """Opens the listeners and starts the background tasks."""
--- a/ashlatch/gateway/recipients.py
+++ b/ashlatch/gateway/recipients.py
@@ -16,8 +16,9 @@
 import random
 from dataclasses import dataclass
 
+from ashlatch.policy.load_advertisement import FULL_LEVEL
+
 from ashlatch.catalog import GatewayVm
-from ashlatch.policy.load_advertisement import FULL
 
 __all__ = [
     "Recipients",
@@ -27,6 +28,7 @@
     "gateways_in_hall",
 ]
 
+
 # Prompts with a shorter prefill hardly delay other requests.
 SEND_MIN_MS = 30.0
 # Prompts that occupy an engine for longer than most answers take to begin matter to
@@ -75,7 +77,7 @@
     hall and of the endpoint's receive it; all gateways if the endpoint is full, since
     requests for a cached prefix come from any hall.
     """
-    return _recipients(level >= FULL, endpoint_hall, local, gateways, generator)
+    return _recipients(level >= FULL_LEVEL, endpoint_hall, local, gateways, generator)
 
 
 def all_recipients(
--- a/ashlatch/gateway/request_record.py
+++ b/ashlatch/gateway/request_record.py
@@ -13,13 +13,16 @@
 import logging
 import math
 
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.crash_detector import record_refusal
+from ashlatch.gateway.fingerprint import format_fingerprint
+from ashlatch.gateway.session_updates import announce_session
+from ashlatch.gateway.updates import EndpointReplaced, PromptSent
+
 from ashlatch.gateway.admission import Admission
 from ashlatch.gateway.attempt import Attempt, AttemptFailed, FailureKind
 from ashlatch.gateway.choice import Choice, EscalationDecision
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.crash_detector import record_refusal
 from ashlatch.gateway.directory import EndpointState
-from ashlatch.gateway.fingerprint import format_fingerprint
 from ashlatch.gateway.forecast import Forecast
 from ashlatch.gateway.limits import LimitReport, apply_answer_limit, record_limited_send
 from ashlatch.gateway.logs import (
@@ -33,15 +36,15 @@
 )
 from ashlatch.gateway.notices import apply_notice
 from ashlatch.gateway.reports import broadcast_load
-from ashlatch.gateway.session_updates import announce_session
 from ashlatch.gateway.tally import TallyKey
 from ashlatch.gateway.traffic import TrafficKind
-from ashlatch.gateway.updates import EndpointReplaced, PromptSent
 from ashlatch.http.upstream import CONNECT_REFUSED
 from ashlatch.log import emit
 from ashlatch.policy.permission import DenialReason
 
-__all__ = ["RequestRecord"]
+__all__ = [
+    "RequestRecord",
+]
 
 
 log = logging.getLogger("ashlatch.gateway")
@@ -151,7 +154,7 @@
         self._broadcast_load(attempt)
         self._apply_answer_head(attempt)
         first_ms = self._elapsed_ms(attempt)
-        self._context.tallies.started(self._tally_key(attempt), first_ms)
+        self._context.tallies.record_start(self._tally_key(attempt), first_ms)
         attempt.state.confirm_running(self._admission.service.cold_ms, self._now_ms())
         service = self._admission.service.name
         forecast = attempt.forecast
@@ -234,9 +237,9 @@
         state = attempt.state
         if state.breaker.open:
             emit(log, EndpointResumed(state.endpoint.instance, state.endpoint.service))
-        state.succeeded()
+        state.record_success()
         self._record_session_end(attempt)
-        self._context.tallies.answered(self._tally_key(attempt))
+        self._context.tallies.record_answer(self._tally_key(attempt))
 
     def record_failure(self, attempt: Attempt, failure: AttemptFailed) -> None:
         """Records a send that brought no answer."""
@@ -248,9 +251,9 @@
             self.sends -= 1
             self.unreachable += 1
         if kind is FailureKind.ERROR:
-            self._context.tallies.failed(self._tally_key(attempt))
+            self._context.tallies.record_failure(self._tally_key(attempt))
         if kind is FailureKind.SILENT and not self.events:
-            self._context.tallies.started(
+            self._context.tallies.record_start(
                 self._tally_key(attempt), self._elapsed_ms(attempt)
             )
         if kind is FailureKind.MISDIRECTED:
@@ -283,7 +286,7 @@
         """Counts a failure against its endpoint."""
         unreachable = kind in (FailureKind.UNREACHABLE, FailureKind.BROKEN)
         was_open = state.breaker.open
-        state.failed(self._now_ms(), unreachable)
+        state.record_failure(self._now_ms(), unreachable)
         if state.breaker.open and not was_open:
             endpoint = state.endpoint
             event = EndpointSuspended(
