--- a/ashlatch/catalog.py
+++ b/ashlatch/catalog.py
@@ -150,9 +150,9 @@
     """One running endpoint VM.
 
     `instance` is its id, which may stay the same when the process restarts:
-    `started_unix_ms` tells its incarnations apart, 0 if unknown. A new incarnation has
-    nothing of the state of the previous one. `leaving` endpoints take no new work. An
-    endpoint stays cold for `cold_left_ms`, counted from when the list was read.
+    `started_unix_ms` distinguishes its incarnations, 0 if unknown. A new incarnation
+    has nothing of the state of the previous one. `leaving` endpoints take no new work.
+    An endpoint stays cold for `cold_left_ms`, counted from when the list was read.
     """
 
     instance: str
--- a/ashlatch/fleet/logs.py
+++ b/ashlatch/fleet/logs.py
@@ -191,7 +191,7 @@
 
 @dataclass(frozen=True)
 class RolloutUpdateLost(LogEvent):
-    """An update of a roll-out was not committed; it is decided again."""
+    """An update of a roll-out was not committed; the decision is made again."""
 
     event: ClassVar[str] = "move_lost"
     service: str
--- a/ashlatch/gateway/core_updates.py
+++ b/ashlatch/gateway/core_updates.py
@@ -108,7 +108,7 @@
             cache_tokens = self._context.prefix_cache_tokens(prefill.instance)
             state = self._context.directory.state(prefill.instance)
             if state is not None and state.ended_recently(now_ms):
-                # Reported of the process that has just ended, whose cache is lost.
+                # Reported for the process that has just ended, whose cache is lost.
                 continue
             if cache_tokens:
                 parts = tuple(PromptPart(*part) for part in prefill.parts)
--- a/ashlatch/gateway/forecast.py
+++ b/ashlatch/gateway/forecast.py
@@ -26,8 +26,8 @@
 
 
 # The cost of a kilobyte sent between halls, in engine time; its price is about that of
-# 10 ms. Prefilling a long prompt again costs more than sending it to an engine that has
-# it cached; for a short prompt it is cheaper to prefill again.
+# 10 ms. Prefilling a long prompt again costs more than sending it to another hall with
+# an engine that has it cached; for a short prompt it is cheaper to prefill again.
 CROSS_HALL_MS_PER_KB = 10.0
 # An engine other than the home of a subject is chosen only when that saves more than
 # this share of the prefill time: later requests look for the cached prompt at its home.
--- a/ashlatch/gateway/limits.py
+++ b/ashlatch/gateway/limits.py
@@ -33,8 +33,8 @@
 
 log = logging.getLogger("ashlatch.gateway")
 
-# How long a gateway that does not know the others yet avoids a limited endpoint; it
-# checks again earlier.
+# The wait for a limited endpoint while the other gateways are not known yet. Each
+# request checks again, so the endpoint may be used earlier.
 UNKNOWN_GATEWAYS_WAIT_MS = 5000.0
 
 
--- a/ashlatch/gateway/peers.py
+++ b/ashlatch/gateway/peers.py
@@ -167,7 +167,7 @@
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Applies an update from another gateway and relays it if that is asked for."""
+        """Applies an update from another gateway and relays it if requested."""
         try:
             update: PeerUpdate = decode(data, PeerUpdate)
         except msgspec.MsgspecError:
@@ -179,5 +179,5 @@
             self._relay(update)
 
     def error_received(self, exc: Exception) -> None:
-        """Counts a datagram to a gateway that is not running; the fleet removes it."""
+        """Counts a datagram to a gateway that is not running; the core removes it."""
         self._context.metrics.count("datagrams_refused")
--- a/ashlatch/gateway/pool.py
+++ b/ashlatch/gateway/pool.py
@@ -15,8 +15,8 @@
 
 __all__ = ["ConnectionPool"]
 
-# Endpoints that do not announce an idle timeout may use one below a second, the
-# shortest that can be announced.
+# An endpoint that announces no idle timeout may use a shorter one than the second that
+# is the shortest time that can be announced.
 DEFAULT_IDLE_S = 0.25
 # Reserve for the milliseconds that a request travels while the endpoint may close.
 CLOSING_MARGIN_S = 0.25
--- a/ashlatch/gateway/recipients.py
+++ b/ashlatch/gateway/recipients.py
@@ -6,7 +6,7 @@
 not listening. Gateways of the local hall each receive it directly; in every other hall
 one gateway, drawn anew for each update, receives it and relays it to the others there.
 No agreement on the relay is needed: a gateway that has crashed, frozen or lost its
-network loses only its share of the updates until the fleet removes it, one in 39 on
+network loses only its share of the updates until the core removes it, one in 39 on
 average with 195 gateways in five halls.
 
 :copyright: Copyright 2026 by the ashlatch maintainers.
--- a/ashlatch/policy/rate_limit.py
+++ b/ashlatch/policy/rate_limit.py
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class LimitSharing:
-    """The gateways that share a limit; `connected` if they receive others' sends.
+    """The gateways that share a limit; `connected` if they receive each other's sends.
 
     A gateway that receives none uses only its fixed share of the limit.
     """
