--- a/ashlatch/gateway/core_updates.py
+++ b/ashlatch/gateway/core_updates.py
@@ -13,11 +13,12 @@
 import logging
 import zlib
 
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.crash_detector import apply_peer_crashes
+
 from ashlatch.catalog import EndpointList, Evacuations, GatewayVm, Rollout
 from ashlatch.fleet.protocol import SyncReply
 from ashlatch.gateway.cold import mark_returned_cold
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.crash_detector import apply_peer_crashes
 from ashlatch.gateway.logs import (
     ConfigurationApplied,
     DocumentUnreadable,
@@ -31,7 +32,9 @@
 from ashlatch.log import emit
 from ashlatch.platform.document import DocumentError, decode_catalog
 
-__all__ = ["CoreUpdates"]
+__all__ = [
+    "CoreUpdates",
+]
 
 
 log = logging.getLogger("ashlatch.gateway")
@@ -106,7 +109,7 @@
             cache_tokens = self._context.prefix_cache_tokens(prefill.instance)
             state = self._context.directory.state(prefill.instance)
             if state is not None and state.ended_recently(now_ms):
-                # Reported of the process that has just ended, whose cache is lost.
+                # Reported for the process that has just ended, whose cache is lost.
                 continue
             if cache_tokens:
                 parts = tuple(PromptPart(*part) for part in prefill.parts)
--- a/ashlatch/gateway/peers.py
+++ b/ashlatch/gateway/peers.py
@@ -14,11 +14,7 @@
 from typing import Any
 
 import msgspec
-
-from ashlatch.catalog import GatewayVm
-from ashlatch.codec import decode, encode
 from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.logs import PeersUnavailable
 from ashlatch.gateway.peer_updates import PEER_HANDLERS, Sender
 from ashlatch.gateway.recipients import (
     Recipients,
@@ -27,7 +23,6 @@
     load_recipients,
     prompt_recipients,
 )
-from ashlatch.gateway.traffic import TrafficKind
 from ashlatch.gateway.updates import (
     BackoffRequested,
     CrashRecordUpdate,
@@ -43,11 +38,18 @@
     SessionActive,
     SessionMoved,
 )
-from ashlatch.log import emit
 from ashlatch.policy.load_advertisement import load_level
+
+from ashlatch.catalog import GatewayVm
+from ashlatch.codec import decode, encode
+from ashlatch.gateway.logs import PeersUnavailable
+from ashlatch.gateway.traffic import TrafficKind
+from ashlatch.log import emit
 from ashlatch.rpc import Address
 
-__all__ = ["PeerProtocol"]
+__all__ = [
+    "PeerProtocol",
+]
 
 
 log = logging.getLogger("ashlatch.gateway")
@@ -165,7 +167,7 @@
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Applies an update from another gateway and relays it if that is asked for."""
+        """Applies an update from another gateway and relays it if requested."""
         try:
             update: PeerUpdate = decode(data, PeerUpdate)
         except msgspec.MsgspecError:
@@ -177,5 +179,5 @@
             self._relay(update)
 
     def error_received(self, exc: Exception) -> None:
-        """Counts a datagram to a gateway that is not running; the fleet removes it."""
+        """Counts a datagram to a gateway that is not running; the core removes it."""
         self._context.metrics.count("datagrams_refused")
