--- a/ashlatch/gateway/attempt.py
+++ b/ashlatch/gateway/attempt.py
@@ -25,12 +25,7 @@
 from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
 from ashlatch.platform.headers import decode_answer, endpoint_headers
 
-__all__ = [
-    "Attempt",
-    "AttemptFailed",
-    "FailureKind",
-]
-
+__all__ = ["Attempt", "AttemptFailed", "FailureKind"]
 
 R = TypeVar("R")
 
--- a/ashlatch/gateway/choice.py
+++ b/ashlatch/gateway/choice.py
@@ -33,7 +33,6 @@
     "EscalationDecision",
 ]
 
-
 # If the confidence of an answer is lower, the request is sent to the largest model.
 CONFIDENCE_MIN = 50.0
 # Engines serve prompts in classes by their prefill time, bounded by these values,
--- a/ashlatch/gateway/context.py
+++ b/ashlatch/gateway/context.py
@@ -30,9 +30,7 @@
 from ashlatch.policy.endpoint import EndpointPolicy
 from ashlatch.policy.quarantine import Quarantine
 
-__all__ = [
-    "GatewayContext",
-]
+__all__ = ["GatewayContext"]
 
 
 def _discard_update(update: PeerUpdate) -> None:
--- a/ashlatch/gateway/core_updates.py
+++ b/ashlatch/gateway/core_updates.py
@@ -32,9 +32,7 @@
 from ashlatch.log import emit
 from ashlatch.platform.document import DocumentError, decode_catalog
 
-__all__ = [
-    "CoreUpdates",
-]
+__all__ = ["CoreUpdates"]
 
 
 log = logging.getLogger("ashlatch.gateway")
--- a/ashlatch/gateway/daemon.py
+++ b/ashlatch/gateway/daemon.py
@@ -47,9 +47,7 @@
 from ashlatch.settings import GatewaySettings
 from ashlatch.suspension import watch_suspension
 
-__all__ = [
-    "GatewayDaemon",
-]
+__all__ = ["GatewayDaemon"]
 
 
 log = logging.getLogger("ashlatch.gateway")
--- a/ashlatch/gateway/directory.py
+++ b/ashlatch/gateway/directory.py
@@ -31,11 +31,7 @@
 from ashlatch.policy.rate_limit import RateLimit
 from ashlatch.policy.workload import Workload
 
-__all__ = [
-    "Directory",
-    "EndpointState",
-]
-
+__all__ = ["Directory", "EndpointState"]
 
 # After this many failures in a row, an endpoint receives no requests for this long.
 BREAKER_FAILURES = 2
--- a/ashlatch/gateway/forecast.py
+++ b/ashlatch/gateway/forecast.py
@@ -19,12 +19,7 @@
 from ashlatch.gateway.message import CallerRequest
 from ashlatch.policy.endpoint import rank
 
-__all__ = [
-    "Forecast",
-    "Forecaster",
-    "Send",
-]
-
+__all__ = ["Forecast", "Forecaster", "Send"]
 
 # The cost of a kilobyte sent between halls, in engine time; its price is about that of
 # 10 ms. Prefilling a long prompt again costs more than sending it to another hall with
--- a/ashlatch/gateway/peers.py
+++ b/ashlatch/gateway/peers.py
@@ -47,9 +47,7 @@
 from ashlatch.log import emit
 from ashlatch.rpc import Address
 
-__all__ = [
-    "PeerProtocol",
-]
+__all__ = ["PeerProtocol"]
 
 
 log = logging.getLogger("ashlatch.gateway")
--- a/ashlatch/gateway/pool.py
+++ b/ashlatch/gateway/pool.py
@@ -13,10 +13,7 @@
 from ashlatch.catalog import Endpoint
 from ashlatch.http.upstream import Upstream
 
-__all__ = [
-    "ConnectionPool",
-]
-
+__all__ = ["ConnectionPool"]
 
 # An endpoint that announces no idle timeout may use a shorter one than the second that
 # is the shortest time that can be announced.
--- a/ashlatch/gateway/recipients.py
+++ b/ashlatch/gateway/recipients.py
@@ -28,7 +28,6 @@
     "gateways_in_hall",
 ]
 
-
 # Prompts with a shorter prefill hardly delay other requests.
 SEND_MIN_MS = 30.0
 # Prompts that occupy an engine for longer than most answers take to begin matter to
--- a/ashlatch/gateway/request_record.py
+++ b/ashlatch/gateway/request_record.py
@@ -42,9 +42,7 @@
 from ashlatch.log import emit
 from ashlatch.policy.permission import DenialReason
 
-__all__ = [
-    "RequestRecord",
-]
+__all__ = ["RequestRecord"]
 
 
 log = logging.getLogger("ashlatch.gateway")
--- a/ashlatch/router/core.py
+++ b/ashlatch/router/core.py
@@ -40,7 +40,6 @@
     "ActiveAttempt",
 ]
 
-
 HANDLERS = Handlers("router")
 
 LEASE_MARGIN_MS = 50.0
--- a/ashlatch/router/notices.py
+++ b/ashlatch/router/notices.py
@@ -18,11 +18,7 @@
 from ashlatch.router.effect import WriteLog
 from ashlatch.router.event import EndpointNoticeReceived
 
-__all__ = [
-    "EndpointBackoff",
-    "EndpointLimited",
-    "EndpointLeavingAnnounced",
-]
+__all__ = ["EndpointBackoff", "EndpointLimited", "EndpointLeavingAnnounced"]
 
 
 @dataclass(frozen=True)
