--- a/ashlatch/gateway/attempt.py
+++ b/ashlatch/gateway/attempt.py
@@ -15,13 +15,12 @@
 from dataclasses import dataclass
 from typing import TypeVar
 
-from ashlatch.gateway.timeouts import CONNECT_MAX_S, AnswerTimeout
-
 from ashlatch.errors import AshlatchError
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Forecast
 from ashlatch.gateway.message import AnswerHead, CallerRequest, Dispatch, LoadFigures
 from ashlatch.gateway.pool import ConnectionPool
+from ashlatch.gateway.timeouts import CONNECT_MAX_S, AnswerTimeout
 from ashlatch.http.upstream import ConnectFailed, Upstream, UpstreamBroken
 from ashlatch.platform.headers import decode_answer, endpoint_headers
 
--- a/ashlatch/gateway/choice.py
+++ b/ashlatch/gateway/choice.py
@@ -13,9 +13,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from ashlatch.gateway.context import GatewayContext
-
 from ashlatch.catalog import Route, Service
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.forecast import Forecast, Forecaster, Send
 from ashlatch.gateway.message import CallerRequest
--- a/ashlatch/gateway/context.py
+++ b/ashlatch/gateway/context.py
@@ -13,18 +13,17 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ashlatch.gateway.latency_model import LatencyModel
-from ashlatch.gateway.prefix_cache import PrefixCaches
-from ashlatch.gateway.updates import PeerUpdate
-
 from ashlatch.catalog import GatewayVm, Service
 from ashlatch.gateway.budget import BudgetTerms, RepeatBudget
 from ashlatch.gateway.cold import ColdSendLimiter
 from ashlatch.gateway.directory import Directory, EndpointState
+from ashlatch.gateway.latency_model import LatencyModel
 from ashlatch.gateway.pool import ConnectionPool
+from ashlatch.gateway.prefix_cache import PrefixCaches
 from ashlatch.gateway.routing import RouteTable
 from ashlatch.gateway.tally import Tallies
 from ashlatch.gateway.traffic import TrafficCounter
+from ashlatch.gateway.updates import PeerUpdate
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.metrics import Metrics
 from ashlatch.policy.endpoint import EndpointPolicy
--- a/ashlatch/gateway/core_updates.py
+++ b/ashlatch/gateway/core_updates.py
@@ -13,12 +13,11 @@
 import logging
 import zlib
 
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.crash_detector import apply_peer_crashes
-
 from ashlatch.catalog import EndpointList, Evacuations, GatewayVm, Rollout
 from ashlatch.fleet.protocol import SyncReply
 from ashlatch.gateway.cold import mark_returned_cold
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.crash_detector import apply_peer_crashes
 from ashlatch.gateway.logs import (
     ConfigurationApplied,
     DocumentUnreadable,
--- a/ashlatch/gateway/daemon.py
+++ b/ashlatch/gateway/daemon.py
@@ -15,15 +15,14 @@
 import traceback
 from collections.abc import Callable
 
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.liveness import LivenessProber
-
 from ashlatch.catalog import GatewayVm
 from ashlatch.fleet.seeds import Seeds
 from ashlatch.gateway.admission import Refused, admit, refuse
 from ashlatch.gateway.budget import BudgetTerms
 from ashlatch.gateway.cold import ColdSendLimiter
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.exchange import Exchange
+from ashlatch.gateway.liveness import LivenessProber
 from ashlatch.gateway.logs import (
     HandlerFailed,
     RequestEnded,
--- a/ashlatch/gateway/directory.py
+++ b/ashlatch/gateway/directory.py
@@ -14,13 +14,13 @@
 from dataclasses import dataclass, field
 
 import msgspec
-from ashlatch.policy.load_advertisement import LoadAdvertisement
 
 from ashlatch.catalog import Endpoint, EndpointList, Evacuations
 from ashlatch.gateway.message import LoadFigures
 from ashlatch.policy.backoff import Backoff
 from ashlatch.policy.breaker import Breaker
 from ashlatch.policy.load import EndpointLoad, LoadReport
+from ashlatch.policy.load_advertisement import LoadAdvertisement
 from ashlatch.policy.permission import (
     ALLOWED,
     NEVER_MS,
--- a/ashlatch/gateway/forecast.py
+++ b/ashlatch/gateway/forecast.py
@@ -14,7 +14,6 @@
 from dataclasses import dataclass
 
 from ashlatch.gateway.context import GatewayContext
-
 from ashlatch.gateway.directory import EndpointState
 from ashlatch.gateway.message import CallerRequest
 from ashlatch.policy.endpoint import rank
--- a/ashlatch/gateway/peers.py
+++ b/ashlatch/gateway/peers.py
@@ -14,7 +14,11 @@
 from typing import Any
 
 import msgspec
+
+from ashlatch.catalog import GatewayVm
+from ashlatch.codec import decode, encode
 from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.logs import PeersUnavailable
 from ashlatch.gateway.peer_updates import PEER_HANDLERS, Sender
 from ashlatch.gateway.recipients import (
     Recipients,
@@ -23,6 +27,7 @@
     load_recipients,
     prompt_recipients,
 )
+from ashlatch.gateway.traffic import TrafficKind
 from ashlatch.gateway.updates import (
     BackoffRequested,
     CrashRecordUpdate,
@@ -38,13 +43,8 @@
     SessionActive,
     SessionMoved,
 )
-from ashlatch.policy.load_advertisement import load_level
-
-from ashlatch.catalog import GatewayVm
-from ashlatch.codec import decode, encode
-from ashlatch.gateway.logs import PeersUnavailable
-from ashlatch.gateway.traffic import TrafficKind
 from ashlatch.log import emit
+from ashlatch.policy.load_advertisement import load_level
 from ashlatch.rpc import Address
 
 __all__ = ["PeerProtocol"]
--- a/ashlatch/gateway/recipients.py
+++ b/ashlatch/gateway/recipients.py
@@ -16,9 +16,8 @@
 import random
 from dataclasses import dataclass
 
-from ashlatch.policy.load_advertisement import FULL_LEVEL
-
 from ashlatch.catalog import GatewayVm
+from ashlatch.policy.load_advertisement import FULL_LEVEL
 
 __all__ = [
     "Recipients",
--- a/ashlatch/gateway/request_record.py
+++ b/ashlatch/gateway/request_record.py
@@ -13,16 +13,13 @@
 import logging
 import math
 
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.crash_detector import record_refusal
-from ashlatch.gateway.fingerprint import format_fingerprint
-from ashlatch.gateway.session_updates import announce_session
-from ashlatch.gateway.updates import EndpointReplaced, PromptSent
-
 from ashlatch.gateway.admission import Admission
 from ashlatch.gateway.attempt import Attempt, AttemptFailed, FailureKind
 from ashlatch.gateway.choice import Choice, EscalationDecision
+from ashlatch.gateway.context import GatewayContext
+from ashlatch.gateway.crash_detector import record_refusal
 from ashlatch.gateway.directory import EndpointState
+from ashlatch.gateway.fingerprint import format_fingerprint
 from ashlatch.gateway.forecast import Forecast
 from ashlatch.gateway.limits import LimitReport, apply_answer_limit, record_limited_send
 from ashlatch.gateway.logs import (
@@ -36,8 +33,10 @@
 )
 from ashlatch.gateway.notices import apply_notice
 from ashlatch.gateway.reports import broadcast_load
+from ashlatch.gateway.session_updates import announce_session
 from ashlatch.gateway.tally import TallyKey
 from ashlatch.gateway.traffic import TrafficKind
+from ashlatch.gateway.updates import EndpointReplaced, PromptSent
 from ashlatch.http.upstream import CONNECT_REFUSED
 from ashlatch.log import emit
 from ashlatch.policy.permission import DenialReason
--- a/tests/test_session_versions.py
+++ b/tests/test_session_versions.py
@@ -29,14 +29,6 @@
 
 import msgspec
 import testtools
-from ashlatch.fleet.evaluation import Evidence, decide
-from ashlatch.fleet.soft_state import SoftState
-from ashlatch.gateway.context import GatewayContext
-from ashlatch.gateway.peer_updates import PEER_HANDLERS, Sender
-from ashlatch.gateway.session_updates import announce_session
-from ashlatch.gateway.updates import PeerUpdate, SessionMoved
-from tests.session_simulation import Load, SessionWorld
-from tests.stub_server import ReceivedRequest, StubServer
 
 from ashlatch.catalog import (
     CoreVm,
@@ -49,11 +41,16 @@
 from ashlatch.codec import encode
 from ashlatch.explain.lines import Line, read_lines
 from ashlatch.explain.sessions import explain_version_changes
+from ashlatch.fleet.evaluation import Evidence, decide
 from ashlatch.fleet.machine import FleetState
 from ashlatch.fleet.protocol import SyncRequest
+from ashlatch.fleet.soft_state import SoftState
 from ashlatch.gateway.budget import BudgetTerms
+from ashlatch.gateway.context import GatewayContext
 from ashlatch.gateway.directory import EndpointState
+from ashlatch.gateway.peer_updates import PEER_HANDLERS, Sender
 from ashlatch.gateway.peers import PeerProtocol
+from ashlatch.gateway.session_updates import announce_session
 from ashlatch.gateway.sessions import (
     HASH_RANGE,
     MOVABLE_SHARE,
@@ -61,11 +58,14 @@
     session_hash,
 )
 from ashlatch.gateway.tally import Tally, TallyKey
+from ashlatch.gateway.updates import PeerUpdate, SessionMoved
 from ashlatch.gateway.versions import VersionChooser
 from ashlatch.policy.endpoint import ENDPOINT_POLICIES
 from tests import stub_server
 from tests.fleet import PORTS, READY_PORT, Fleet, wait_for
 from tests.gateway import STREAM_HEADERS, GatewayHarness, build_request
+from tests.session_simulation import Load, SessionWorld
+from tests.stub_server import ReceivedRequest, StubServer
 
 CORE = CoreVm("10.0.1.1:7000", "hall-1")
 OLD = Endpoint("i-1", "app", "127.0.0.1:1", "hall-1", "v1", 8, False)
