--- a/ashlatch/store/lease.py
+++ b/ashlatch/store/lease.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class LeaseConfig:
-    """Durations of the leases; they must be equal on all members."""
+    """The lengths of the leases; they must be equal on all members."""
 
     router_lease_ms: float = 2000.0
     control_lease_ms: float = 3000.0
